--- a/benchmarks/block_map.cc
+++ b/benchmarks/block_map.cc
@@ -8,7 +8,7 @@
 
 #include "allocation_counter.h"
 #include "medlarcroft/steering/block_map_codec.h"
-#include "yardstick.h"
+#include "reference_sort.h"
 
 namespace medlarcroft::benchmarks {
 namespace {
--- a/benchmarks/catalogue_view.cc
+++ b/benchmarks/catalogue_view.cc
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "allocation_counter.h"
-#include "yardstick.h"
+#include "reference_sort.h"
 
 namespace medlarcroft::benchmarks {
 namespace {
--- a/benchmarks/coordination_benchmark.cc
+++ b/benchmarks/coordination_benchmark.cc
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "fakes/manual_clock.h"
-#include "medlarcroft/capacity/share_book.h"
+#include "medlarcroft/capacity/share_allocator.h"
 #include "medlarcroft/idempotency/key_authority.h"
 #include "medlarcroft/idempotency/ledger.h"
 #include "medlarcroft/membership/exchange.h"
@@ -16,7 +16,7 @@
 /// One dispatch's share: taken and given back.
 void TakeAndReleaseShare(benchmark::State& state) {
   const fakes::ManualClock clock;
-  capacity::ShareBook book({.host = HostName("h")}, clock);
+  capacity::ShareAllocator book({.host = HostName("h")}, clock);
   book.SetOwnValidUntil(MonotonicTime::max());
   std::vector<std::string> limits;
   for (int i = 0; i < state.range(0); ++i) {
@@ -42,9 +42,9 @@
       {.host = HostName("entry-host-12"), .incarnation = 1}, clock);
   const auto answer = std::make_shared<idempotency::Answer>();
   for (auto step : state) {
-    const auto text = ToText(authority.Issue(idempotency::Mode::kLocal));
+    const auto text = FormatKey(authority.Issue(idempotency::Mode::kLocal));
     const auto key = ValueOf(idempotency::ParseKey(text));
-    benchmark::DoNotOptimize(authority.Refuse(key));
+    benchmark::DoNotOptimize(authority.FindRefusal(key));
     benchmark::DoNotOptimize(ledger.Begin(key, {}, 1000, 0));
     (void)ledger.Complete(key, answer);
     clock.Advance(std::chrono::seconds(1));
@@ -60,7 +60,7 @@
                                    .number = {.incarnation = 1}};
   membership::MembershipTable table({}, self, clock);
   membership::MembershipTable other({}, self, clock);
-  membership::TargetSigns signs({}, clock);
+  membership::TargetStatusTable signs({}, clock);
   membership::ExchangeSelector selector;
   for (int i = 1; i < state.range(0); ++i) {
     membership::HostState peer = self;
--- a/benchmarks/host_at_size.cc
+++ b/benchmarks/host_at_size.cc
@@ -11,9 +11,9 @@
 #include "fakes/seeded_random.h"
 #include "fakes/virtual_time.h"
 #include "medlarcroft/membership/lookup_answer.h"
-#include "medlarcroft/news/region_news.h"
+#include "medlarcroft/peer_updates/region_broadcaster.h"
 #include "medlarcroft/request_path/request_path.h"
-#include "yardstick.h"
+#include "reference_sort.h"
 
 namespace medlarcroft {
 namespace {
@@ -25,16 +25,16 @@
 constexpr int kPeers = 98;
 constexpr int kObjects = 297;
 
-class NoObserver final : public request_path::BookObserver {
+class NoObserver final : public request_path::TargetDirectoryObserver {
  public:
-  void OnTargetChange(request_path::BookChange /*change*/,
+  void OnTargetChange(request_path::TargetChange /*change*/,
                       const request_path::TargetRecord& /*target*/) override {}
 };
 
-class NoSender final : public news::NewsSender {
+class NoSender final : public peer_updates::UpdateSender {
  public:
   void Send(std::span<const std::string> /*addresses*/,
-            const news::PeerNews& /*news*/) override {}
+            const peer_updates::PeerUpdate& /*news*/) override {}
 };
 
 std::string DomainName(int number) {
@@ -55,7 +55,7 @@
   NoObserver observer;
   fakes::SeededRandom random(1);
   routing::RouteTable routes;
-  request_path::TargetBook book(Regions(), observer);
+  request_path::TargetDirectory book(Regions(), observer);
   request_path::RequestPath path({.own_region = RegionName("region-0")}, routes,
                                  book, random);
   routes.Apply({.version = 1,
@@ -66,7 +66,7 @@
                             .timeout = std::chrono::seconds(4),
                             .latency_objective = std::chrono::seconds(2),
                             .max_attempts = 2,
-                            .parts = {{.service = service}},
+                            .weighted_services = {{.service = service}},
                             .is_sticky = true}}});
   std::vector<request_path::TargetRecord> targets;
   targets.reserve(kTargets);
@@ -83,7 +83,7 @@
   for (auto iteration : state) {
     (void)iteration;
     now += std::chrono::milliseconds(60);
-    const request_path::Begun begun =
+    const request_path::RequestStart begun =
         path.Begin({.host = "h",
                     .target = "/x",
                     .object = std::to_string(number++ % kObjects)},
@@ -97,11 +97,12 @@
   fakes::VirtualTime time;
   fakes::HostTimers timers(time, 0);
   NoSender sender;
-  news::RegionNews region({.host = HostName("host"),
-                           .failure_domain = FailureDomainName(DomainName(0))},
-                          timers, sender);
-  std::vector<news::Peer> peers;
-  news::PeerNews digest{.way = news::NewsWay::kDigest};
+  peer_updates::RegionBroadcaster region(
+      {.host = HostName("host"),
+       .failure_domain = FailureDomainName(DomainName(0))},
+      timers, sender);
+  std::vector<peer_updates::Peer> peers;
+  peer_updates::PeerUpdate digest{.way = peer_updates::UpdateRoute::kDigest};
   for (int number = 0; number < kPeers; ++number) {
     const HostName host("peer-" + std::to_string(number));
     peers.push_back({.host = host,
@@ -112,13 +113,13 @@
   region.SetPeers(peers);
   for (auto iteration : state) {
     (void)iteration;
-    region.OnNews(digest);
+    region.OnUpdate(digest);
   }
 }
 
 void AnswerLookup(benchmark::State& state) {
   fakes::SeededRandom random(1);
-  std::vector<membership::CallableHost> hosts;
+  std::vector<membership::LookupCandidate> hosts;
   hosts.reserve(kPeers);
   for (int number = 0; number < kPeers; ++number) {
     hosts.push_back({.address = "10.0.0.1:" + std::to_string(number),
@@ -128,7 +129,7 @@
   const FailureDomainName own(DomainName(0));
   for (auto iteration : state) {
     (void)iteration;
-    benchmark::DoNotOptimize(membership::ChooseNamedHosts(hosts, own, random));
+    benchmark::DoNotOptimize(membership::ChooseLookupHosts(hosts, own, random));
   }
 }
 
--- a/benchmarks/peer_exchange.cc
+++ b/benchmarks/peer_exchange.cc
@@ -8,7 +8,7 @@
 
 #include "gen-cpp/medlarcroft_constants.h"
 #include "gen-cpp/medlarcroft_types.h"
-#include "yardstick.h"
+#include "reference_sort.h"
 
 namespace medlarcroft::benchmarks {
 namespace {
--- a/benchmarks/placement_benchmark.cc
+++ b/benchmarks/placement_benchmark.cc
@@ -40,10 +40,10 @@
                   Duration(0), kNow);
   for (TargetIndex i = 0; i < configs.size(); ++i) {
     table.At(i).reported_at = kNow - std::chrono::milliseconds(i % 2000);
-    table.At(i).reported_others = i % (kSlots / 2);
+    table.At(i).reported_by_others = i % (kSlots / 2);
   }
   fakes::SeededRandom random(1);
-  const auto placement = MakePlacement(kKind);
+  const auto placement = MakePlacementStrategy(kKind);
 
   for (auto _ : state) {
     const TargetIndex target =
@@ -76,7 +76,7 @@
   benchmark->Arg(12)->Arg(260)->Arg(5000);
 }
 
-BENCHMARK(Place<PlacementKind::kTwoChoices>)->Apply(Sizes);
+BENCHMARK(Place<PlacementKind::kPowerOfTwoChoices>)->Apply(Sizes);
 BENCHMARK(Place<PlacementKind::kRandom>)->Apply(Sizes);
 BENCHMARK(Place<PlacementKind::kRoundRobin>)->Apply(Sizes);
 BENCHMARK(Place<PlacementKind::kLeastReportedLoad>)->Apply(Sizes);
--- a/benchmarks/request_lines.cc
+++ b/benchmarks/request_lines.cc
@@ -51,7 +51,7 @@
       .region = RegionName("kigali"),
       .report_age = std::chrono::milliseconds(120)};
   for (auto _ : state) {
-    RequestLines lines;
+    RequestLogBuffer lines;
     telemetry.OnSend(lines, "9c41d07be2a35f68", route, attempt);
     telemetry.OnAttemptEnd(lines, "9c41d07be2a35f68", attempt,
                            request_path::AttemptEnd::kAnswered,
--- a/benchmarks/shift_policies.cc
+++ b/benchmarks/shift_policies.cc
@@ -13,17 +13,17 @@
 namespace {
 
 using steering::ShiftPlannerOptions;
-using steering::scenario::MakePolicy;
 using steering::scenario::Outcome;
 using steering::scenario::PlannerPolicy;
+using steering::scenario::PolicyFactory;
 using steering::scenario::Scenario;
 using steering::scenario::ShiftLoop;
 
 constexpr std::uint64_t kSeed = 20261202;
 
-std::vector<std::pair<std::string, MakePolicy>> Policies() {
+std::vector<std::pair<std::string, PolicyFactory>> Policies() {
   ShiftPlannerOptions impatient;
-  impatient.steady_time = Duration::zero();
+  impatient.return_hold_time = Duration::zero();
   impatient.growth_margin = 0.0;
   ShiftPlannerOptions no_warm_up;
   no_warm_up.warm_up.cold_fraction = 1.0;
@@ -54,7 +54,7 @@
 
 void RunScenario(benchmark::State& state,
                  const Scenario& scenario,
-                 const MakePolicy& make_policy) {
+                 const PolicyFactory& make_policy) {
   Outcome outcome;
   for (auto iteration : state) {
     (void)iteration;
--- a/benchmarks/steering_decisions.cc
+++ b/benchmarks/steering_decisions.cc
@@ -3,12 +3,12 @@
 #include "allocation_counter.h"
 #include "fakes/manual_clock.h"
 #include "fakes/seeded_random.h"
-#include "medlarcroft/steering/handed_out_demand.h"
+#include "medlarcroft/steering/lookup_demand_tracker.h"
 #include "medlarcroft/steering/lookup_planner.h"
 #include "medlarcroft/steering/shift_limiter.h"
 #include "medlarcroft/steering/shift_planner.h"
 #include "planned_size.h"
-#include "yardstick.h"
+#include "reference_sort.h"
 
 namespace medlarcroft::benchmarks {
 namespace {
@@ -110,7 +110,7 @@
 BENCHMARK(UpdateLookups);
 
 void RecordHandedOut(benchmark::State& state) {
-  steering::HandedOutDemand demand;
+  steering::LookupDemandTracker demand;
   fakes::ManualClock clock;
   const ServiceName service = ServiceOf(0);
   const FailureDomainName domain(DomainName(3));
--- a/examples/embedding/keys.cc
+++ b/examples/embedding/keys.cc
@@ -27,10 +27,10 @@
 
   // The caller got this text before its request and sends it with each attempt.
   const std::string text =
-      idempotency::ToText(authority.Issue(idempotency::Mode::kLocal));
+      idempotency::FormatKey(authority.Issue(idempotency::Mode::kLocal));
   const auto parsed = idempotency::ParseKey(text);
   if (!medlarcroft::IsOk(parsed) ||
-      authority.Refuse(medlarcroft::ValueOf(parsed))) {
+      authority.FindRefusal(medlarcroft::ValueOf(parsed))) {
     return false;
   }
   const idempotency::Key& key = medlarcroft::ValueOf(parsed);
@@ -40,10 +40,10 @@
   int replays = 0;
   for (int attempt = 0; attempt < 3; ++attempt) {
     const auto verdict = ledger.Begin(key, fingerprint, kLargestAnswer, 0);
-    if (std::holds_alternative<idempotency::RunIt>(verdict)) {
+    if (std::holds_alternative<idempotency::DispatchRequest>(verdict)) {
       ++runs;
       ledger.Complete(key, std::make_shared<idempotency::Answer>());
-    } else if (std::holds_alternative<idempotency::ReplayIt>(verdict)) {
+    } else if (std::holds_alternative<idempotency::ReplayAnswer>(verdict)) {
       ++replays;
     }
   }
--- a/examples/embedding/shares.cc
+++ b/examples/embedding/shares.cc
@@ -3,19 +3,19 @@
 
 #include "example_clock.h"
 #include "examples.h"
-#include "medlarcroft/capacity/share_book.h"
+#include "medlarcroft/capacity/share_allocator.h"
 
 namespace {
 
 using medlarcroft::HostName;
 using medlarcroft::MonotonicTime;
-using medlarcroft::capacity::Ask;
-using medlarcroft::capacity::ShareBook;
+using medlarcroft::capacity::OutgoingShareRequest;
+using medlarcroft::capacity::ShareAllocator;
 
 constexpr std::string_view kLimit = "target/swap-ledger-1";
 
 /// @return how many units `book` can take now.
-int TakeAll(ShareBook& book) {
+int TakeAll(ShareAllocator& book) {
   int taken = 0;
   while (book.TryAcquire(kLimit)) {
     ++taken;
@@ -27,8 +27,8 @@
 
 bool ShowShares() {
   ExampleClock clock;
-  ShareBook first({.host = HostName("first"), .incarnation = 1}, clock);
-  ShareBook second({.host = HostName("second"), .incarnation = 1}, clock);
+  ShareAllocator first({.host = HostName("first"), .incarnation = 1}, clock);
+  ShareAllocator second({.host = HostName("second"), .incarnation = 1}, clock);
 
   // The target works on three requests at once: two for one, one for the other.
   first.SetOwn(kLimit, 2);
@@ -38,7 +38,7 @@
 
   // The second is busy and borrows one. In a real program the request and the
   // answer travel over the network, and either may be lost.
-  const Ask ask = second.Borrow(kLimit, 1, HostName("first"));
+  const OutgoingShareRequest ask = second.Borrow(kLimit, 1, HostName("first"));
   second.Apply(ask, first.Lend(ask.request));
 
   const int by_first = TakeAll(first);
@@ -48,7 +48,7 @@
 
   // Nobody renews the loan, so the borrower may not start work on it any more.
   clock.Advance(std::chrono::seconds(10));
-  const auto standing = second.Standing(kLimit);
+  const auto standing = second.State(kLimit);
   std::cout << "shares: after the lease the second may start "
             << standing.borrowed << " on loan\n";
   return by_first == 1 && by_second == 2 && standing.borrowed == 0;
--- a/lib/libmedlarcroft/include/medlarcroft/capacity/capacity_keeper.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/capacity_manager.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_CAPACITY_CAPACITY_KEEPER_H_
-#define MEDLARCROFT_CAPACITY_CAPACITY_KEEPER_H_
+#ifndef MEDLARCROFT_CAPACITY_CAPACITY_MANAGER_H_
+#define MEDLARCROFT_CAPACITY_CAPACITY_MANAGER_H_
 
 #include <cstdint>
 #include <map>
@@ -12,7 +12,7 @@
 
 #include "medlarcroft/capacity/capacity_plan.h"
 #include "medlarcroft/capacity/seat_holder.h"
-#include "medlarcroft/capacity/share_book.h"
+#include "medlarcroft/capacity/share_allocator.h"
 #include "medlarcroft/capacity/split_transition.h"
 #include "medlarcroft/ports/clock.h"
 #include "medlarcroft/ports/slot_source.h"
@@ -32,7 +32,7 @@
 /// @brief One seat as operators see it.
 struct SeatStatus {
   FailureDomainName failure_domain;
-  SeatStanding standing = SeatStanding::kNone;
+  SeatState state = SeatState::kNone;
   std::optional<std::uint32_t> seat;
 };
 
@@ -41,7 +41,7 @@
 /// It lives in the process that dispatches, so that a slot is taken, lent and
 /// given back in one place, and a restart of the control daemon costs no
 /// capacity. Safe to share between threads; only `StepSeats` blocks.
-class CapacityKeeper final : public ports::SlotSource {
+class CapacityManager final : public ports::SlotSource {
  public:
   struct Options {
     HostName host;
@@ -51,31 +51,31 @@
     std::uint32_t borrow_amount = 1;
   };
 
-  CapacityKeeper(const Options& options,
-                 ports::TableStore& store,
-                 const ports::Clock& clock);
+  CapacityManager(const Options& options,
+                  ports::TableStore& store,
+                  const ports::Clock& clock);
 
   /// @brief Takes over what a routing snapshot says.
   void ApplyPlan(CapacityPlan plan);
 
   /// @brief Says that this process runs; several times in a lease.
-  void Beat();
+  void RecordHeartbeat();
 
   /// @brief One round for each seat; blocks on the store, so it runs on a
   /// thread of its own, about once a second.
   void StepSeats(bool are_targets_reachable);
 
   /// @return hosts that should be called before the next `StepSeats`.
-  [[nodiscard]] std::set<HostName> WantsCalled() const;
+  [[nodiscard]] std::set<HostName> HostsToProbe() const;
 
   /// @brief Frees all seats and stops using them, as the last act of a stop.
-  void GiveUpSeats();
+  void ReleaseSeats();
 
   // ports::SlotSource
   [[nodiscard]] bool TryTake(const TargetName& target) override;
   void Release(const TargetName& target) override;
 
-  [[nodiscard]] UsableSlots UsableOf(const TargetName& target) const;
+  [[nodiscard]] UsableSlots UsableSlotsOf(const TargetName& target) const;
 
   /// @return seat number by failure domain, as far as held or waited for.
   [[nodiscard]] std::map<FailureDomainName, std::uint32_t> Seats() const;
@@ -86,27 +86,28 @@
   /// be safe, because other holders still have an older split.
   [[nodiscard]] bool IsWaitingForSplit() const;
   /// @return this host's part of a rate of its own domain; 0 without a seat.
-  [[nodiscard]] double OwnPartOf(const FailureDomainName& domain,
-                                 double rate) const;
+  [[nodiscard]] double OwnRateShare(const FailureDomainName& domain,
+                                    double rate) const;
 
   [[nodiscard]] ShareGrant Lend(const ShareRequest& request);
-  void TakeBack(const ShareRequest& request);
+  void AcceptReturn(const ShareRequest& request);
 
   /// @param pressed targets whose slots are used up while requests wait.
   /// @return loans to ask for, to renew and to return, in that order of use.
-  struct DueMessages {
-    std::vector<Ask> asks;
-    std::vector<Ask> returns;
+  struct DueRequests {
+    std::vector<OutgoingShareRequest> requests;
+    std::vector<OutgoingShareRequest> returns;
   };
-  [[nodiscard]] DueMessages Due(const std::vector<TargetName>& pressed);
-  void Apply(const Ask& ask, const ShareGrant& grant);
+  [[nodiscard]] DueRequests CollectDueRequests(
+      const std::vector<TargetName>& pressed);
+  void Apply(const OutgoingShareRequest& ask, const ShareGrant& grant);
 
  private:
   struct Limit {
     SlotLimit plan;
     SplitTransition transition;
     bool is_started = false;
-    std::vector<Use> uses;
+    std::vector<AcquiredUnit> uses;
   };
   struct Domain {
     SeatDomainPlan plan;
@@ -125,7 +126,7 @@
   ports::TableStore& store_;
   const ports::Clock& clock_;
   mutable std::mutex mutex_;
-  ShareBook book_;
+  ShareAllocator book_;
   std::map<FailureDomainName, Domain> domains_;
   std::map<std::string, Limit, std::less<>> limits_;
   std::vector<Lender> lenders_;
@@ -142,4 +143,4 @@
 
 }  // namespace medlarcroft::capacity
 
-#endif  // MEDLARCROFT_CAPACITY_CAPACITY_KEEPER_H_
+#endif  // MEDLARCROFT_CAPACITY_CAPACITY_MANAGER_H_
--- a/lib/libmedlarcroft/include/medlarcroft/capacity/loans_out.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/issued_loans.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_CAPACITY_LOANS_OUT_H_
-#define MEDLARCROFT_CAPACITY_LOANS_OUT_H_
+#ifndef MEDLARCROFT_CAPACITY_ISSUED_LOANS_H_
+#define MEDLARCROFT_CAPACITY_ISSUED_LOANS_H_
 
 #include <compare>
 #include <cstddef>
@@ -29,7 +29,7 @@
                                 MonotonicTime now);
 
   /// @brief The borrower uses nothing of the loan and never will.
-  void TakeBack(const ShareRequest& request, MonotonicTime now);
+  void AcceptReturn(const ShareRequest& request, MonotonicTime now);
 
   /// @brief Forgets loans whose time is over.
   void DropEnded(MonotonicTime now);
@@ -59,4 +59,4 @@
 
 }  // namespace medlarcroft::capacity
 
-#endif  // MEDLARCROFT_CAPACITY_LOANS_OUT_H_
+#endif  // MEDLARCROFT_CAPACITY_ISSUED_LOANS_H_
--- a/lib/libmedlarcroft/include/medlarcroft/capacity/seat_holder.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/seat_holder.h
@@ -18,11 +18,11 @@
 
 namespace medlarcroft::capacity {
 
-enum class SeatStanding {
+enum class SeatState {
   kNone,
-  kWaiting,   ///< Taken; what the predecessor lent or began may still run.
-  kHeld,      ///< Its shares may be used and lent.
-  kDoubtful,  ///< This process was paused; another may have taken the seat.
+  kWaiting,      ///< Taken; what the predecessor lent or began may still run.
+  kHeld,         ///< Its shares may be used and lent.
+  kUnconfirmed,  ///< This process was paused; another may have taken the seat.
 };
 
 /// @brief Passes a seat to another process without the platform, as when the
@@ -52,8 +52,8 @@
 /// (`IsAbandoned`), and the new owner waits until nothing of the old one can
 /// still run. A holder needs no platform to go on: while it is not paused, its
 /// siblings hear it, and so nobody takes the seat. `Step` blocks on the store
-/// and runs on a control thread; `Beat` and `ValidUntil` do not. Not safe to
-/// share between threads without a lock around each call.
+/// and runs on a control thread; `RecordHeartbeat` and `ValidUntil` do not. Not
+/// safe to share between threads without a lock around each call.
 class SeatHolder {
  public:
   SeatHolder(SeatHolderOptions options,
@@ -62,7 +62,7 @@
 
   /// @brief Says that this process runs. Called at least every third of a
   /// lease; a gap of more than a lease means a pause, and doubt.
-  void Beat();
+  void RecordHeartbeat();
 
   /// @brief One round: takes, confirms or gives up a seat. One scan and at most
   /// one write. Called about once a lease, jittered.
@@ -76,7 +76,7 @@
   /// @return whom the daemon should call before the next `Step`, so that
   /// `DomainEvidence` shows whether they answer: owners that seem gone while
   /// this host has no seat, and everybody while it waits or is in doubt.
-  [[nodiscard]] std::vector<HostName> WantsCalled(
+  [[nodiscard]] std::vector<HostName> HostsToProbe(
       const DomainEvidence& evidence) const;
 
   /// @brief Gives the seat up for good, as when leaving: not used from now on,
@@ -90,10 +90,11 @@
   /// @return whether the seat is now this process's, after the wait.
   bool Accept(const SeatHandover& handover);
 
-  [[nodiscard]] SeatStanding Standing() const;
+  [[nodiscard]] SeatState State() const;
   /// @return the seat held or waited for; what this host tells its peers.
   [[nodiscard]] std::optional<std::uint32_t> Seat() const;
-  /// @return until when the shares may be used, if no `Beat` follows.
+  /// @return until when the shares may be used, if no `RecordHeartbeat`
+  /// follows.
   [[nodiscard]] MonotonicTime ValidUntil() const;
   /// @return the split revision that all taken seats had adopted at the last
   /// scan; nullopt when they differ.
@@ -144,7 +145,7 @@
   SeatTable table_;
   const ports::Clock& clock_;
   mutable std::mutex mutex_;
-  SeatStanding standing_ = SeatStanding::kNone;
+  SeatState standing_ = SeatState::kNone;
   std::optional<std::uint32_t> seat_;
   std::uint64_t epoch_ = 0;
   std::uint64_t generation_ = 0;
--- a/lib/libmedlarcroft/include/medlarcroft/capacity/seat_pacing.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/seat_pacing.h
@@ -15,7 +15,7 @@
   bool is_settled = false;
 };
 
-/// @brief The mean pause between two rounds of `CapacityKeeper::StepSeats`.
+/// @brief The mean pause between two rounds of `CapacityManager::StepSeats`.
 ///
 /// Load: 880 hosts that read all rows of their region, some 126 at 52 hosts a
 /// domain. Harm prevented: at one fixed period each host's bytes grow with the
@@ -25,7 +25,7 @@
 /// A host that serves nothing yet looks each 0.4 s: 190 fresh hosts a day. The
 /// price is that slots grow later after a change, and that a sibling's lost
 /// domain is taken over later, by up to one period: 12.6 s at 126 rows.
-[[nodiscard]] Duration SeatPeriodFor(const SeatPacingInputs& inputs);
+[[nodiscard]] Duration SeatPollInterval(const SeatPacingInputs& inputs);
 
 }  // namespace medlarcroft::capacity
 
--- a/lib/libmedlarcroft/include/medlarcroft/capacity/share_book.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/share_allocator.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_CAPACITY_SHARE_BOOK_H_
-#define MEDLARCROFT_CAPACITY_SHARE_BOOK_H_
+#ifndef MEDLARCROFT_CAPACITY_SHARE_ALLOCATOR_H_
+#define MEDLARCROFT_CAPACITY_SHARE_ALLOCATOR_H_
 
 #include <cstdint>
 #include <map>
@@ -8,15 +8,15 @@
 #include <string_view>
 #include <vector>
 
+#include "medlarcroft/capacity/issued_loans.h"
 #include "medlarcroft/capacity/lease_rules.h"
-#include "medlarcroft/capacity/loans_out.h"
 #include "medlarcroft/capacity/share_message.h"
 #include "medlarcroft/core/identifiers.h"
 #include "medlarcroft/ports/clock.h"
 
 namespace medlarcroft::capacity {
 
-struct ShareBookOptions {
+struct ShareAllocatorOptions {
   HostName host;
   std::uint64_t incarnation = 0;
   LeaseRules rules;
@@ -26,7 +26,7 @@
 };
 
 /// @brief One unit in use; given back by `Release`.
-struct Use {
+struct AcquiredUnit {
   std::string limit_name;
   std::uint64_t loan = 0;  ///< 0: the own share.
   /// The work must be cancelled then, since others count on its end.
@@ -35,14 +35,14 @@
 
 /// @brief A request on its way to `lender`. The answer is applied together with
 /// it, since the lease counts from `sent_at`.
-struct Ask {
+struct OutgoingShareRequest {
   HostName lender;
   ShareRequest request;
   MonotonicTime sent_at;
 };
 
 /// @brief What a limit looks like from here.
-struct ShareStanding {
+struct ShareState {
   std::uint32_t own = 0;
   std::uint32_t own_in_use = 0;
   std::uint32_t lent = 0;
@@ -61,9 +61,9 @@
 /// starts no work after its lease, and a lender reuses a unit only when it was
 /// returned or when lease and longest work are over. Only own shares are lent,
 /// so that there are no chains of leases. Not safe to share between threads.
-class ShareBook {
+class ShareAllocator {
  public:
-  ShareBook(ShareBookOptions options, const ports::Clock& clock);
+  ShareAllocator(ShareAllocatorOptions options, const ports::Clock& clock);
 
   /// @brief The seat's part of a limit, 0 when no seat is held. Lowering it
   /// cuts no work in flight.
@@ -74,30 +74,31 @@
 
   /// @brief Called at the moment of dispatch, so that a host that was paused
   /// since it planned the dispatch does not use what has lapsed.
-  [[nodiscard]] std::optional<Use> TryAcquire(std::string_view limit_name);
-  void Release(const Use& use);
+  [[nodiscard]] std::optional<AcquiredUnit> TryAcquire(
+      std::string_view limit_name);
+  void Release(const AcquiredUnit& use);
 
   [[nodiscard]] ShareGrant Lend(const ShareRequest& request);
-  void TakeBack(const ShareRequest& request);
+  void AcceptReturn(const ShareRequest& request);
   /// @brief While true, loans of that limit are not renewed.
   void WantBack(std::string_view limit_name, bool is_wanted);
 
   /// @brief Begins a loan. `lender` must hold a seat with a share of the limit.
-  [[nodiscard]] Ask Borrow(std::string_view limit_name,
-                           std::uint32_t amount,
-                           const HostName& lender);
+  [[nodiscard]] OutgoingShareRequest Borrow(std::string_view limit_name,
+                                            std::uint32_t amount,
+                                            const HostName& lender);
   /// @brief Applies an answer; late, repeated and unasked ones do nothing.
-  void Apply(const Ask& ask, const ShareGrant& grant);
+  void Apply(const OutgoingShareRequest& ask, const ShareGrant& grant);
   /// @return renewals of the loans that have less than half a lease left and
   /// are in use or were lately.
-  [[nodiscard]] std::vector<Ask> Renewals();
+  [[nodiscard]] std::vector<OutgoingShareRequest> Renewals();
   /// @return returns of the loans that served no work for `return_idle_after`
   /// or have lapsed; they are unusable from now on.
-  [[nodiscard]] std::vector<Ask> Returns();
+  [[nodiscard]] std::vector<OutgoingShareRequest> Returns();
   /// @brief Gives all idle loans back, as when leaving.
-  [[nodiscard]] std::vector<Ask> ReturnAllIdle();
+  [[nodiscard]] std::vector<OutgoingShareRequest> ReturnAllIdle();
 
-  [[nodiscard]] ShareStanding Standing(std::string_view limit_name) const;
+  [[nodiscard]] ShareState State(std::string_view limit_name) const;
 
  private:
   struct Loan {
@@ -124,9 +125,10 @@
   [[nodiscard]] ShareRequest RequestFor(std::string_view limit_name,
                                         std::uint64_t loan,
                                         std::uint32_t amount) const;
-  [[nodiscard]] std::vector<Ask> ReturnIdleSince(MonotonicTime time);
+  [[nodiscard]] std::vector<OutgoingShareRequest> ReturnIdleSince(
+      MonotonicTime time);
 
-  ShareBookOptions options_;
+  ShareAllocatorOptions options_;
   const ports::Clock& clock_;
   Limits limits_;
   MonotonicTime own_valid_until_{MonotonicTime::min()};
@@ -135,4 +137,4 @@
 
 }  // namespace medlarcroft::capacity
 
-#endif  // MEDLARCROFT_CAPACITY_SHARE_BOOK_H_
+#endif  // MEDLARCROFT_CAPACITY_SHARE_ALLOCATOR_H_
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_relay.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_poller.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_CATALOGUE_CATALOGUE_RELAY_H_
-#define MEDLARCROFT_CATALOGUE_CATALOGUE_RELAY_H_
+#ifndef MEDLARCROFT_CATALOGUE_CATALOGUE_POLLER_H_
+#define MEDLARCROFT_CATALOGUE_CATALOGUE_POLLER_H_
 
 #include <cstdint>
 #include <optional>
@@ -26,7 +26,7 @@
 /// peers and read the platform only when peers fail them. `Step` blocks on the
 /// platform, so it has a thread of its own and a slow platform delays nothing
 /// but itself.
-class CatalogueRelay {
+class CataloguePoller {
  public:
   struct Options {
     /// Two relays in each of 17 domains at 1 s are 34 reads a second. A change
@@ -49,7 +49,7 @@
     ports::RandomSource& random;
   };
 
-  CatalogueRelay(Options options, Ports ports);
+  CataloguePoller(Options options, Ports ports);
 
   /// @brief Reads the platform if this host is needed to.
   /// @param is_relay whether this host watches the head for its domain.
@@ -79,4 +79,4 @@
 
 }  // namespace medlarcroft::catalogue
 
-#endif  // MEDLARCROFT_CATALOGUE_CATALOGUE_RELAY_H_
+#endif  // MEDLARCROFT_CATALOGUE_CATALOGUE_POLLER_H_
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_replica.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_replica.h
@@ -30,7 +30,7 @@
 /// @brief Why a host must not answer from this catalogue yet.
 enum class NotReadyReason {
   /// Neither the platform nor a peer that holds a catalogue has answered.
-  kNothingHeard,
+  kNoRevisionReceived,
   kBehindHighestSeen,  ///< A higher revision was shown and is not held.
 };
 
@@ -46,8 +46,8 @@
   std::uint64_t revision = 0;
   std::uint64_t highest_seen = 0;
   bool is_ready = false;
-  std::vector<NotReadyReason> not_ready_because;
-  Duration in_force_for{};             ///< Since the revision was applied here.
+  std::vector<NotReadyReason> not_ready_reasons;
+  Duration time_in_force{};            ///< Since the revision was applied here.
   std::optional<Duration> since_peer;  ///< nullopt: never heard.
   std::optional<Duration> since_platform;  ///< nullopt: never heard.
   std::vector<EntryName> not_understood;
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/change_request.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/change_request.h
@@ -34,7 +34,7 @@
   std::uint64_t revision = 0;
   std::uint64_t version = 0;
   /// An earlier attempt with this id had been accepted already.
-  bool was_settled = false;
+  bool was_already_accepted = false;
 };
 
 /// @brief Another operator was first. The change was not made.
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/operator_api.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/operator_api.h
@@ -68,7 +68,7 @@
   std::uint64_t revision = 0;
   std::uint64_t version = 0;
   bool is_created = false;
-  bool was_settled = false;
+  bool was_already_accepted = false;
 };
 
 /// @brief An entry as read.
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/platform_schedule.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/platform_poll_schedule.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_CATALOGUE_PLATFORM_SCHEDULE_H_
-#define MEDLARCROFT_CATALOGUE_PLATFORM_SCHEDULE_H_
+#ifndef MEDLARCROFT_CATALOGUE_PLATFORM_POLL_SCHEDULE_H_
+#define MEDLARCROFT_CATALOGUE_PLATFORM_POLL_SCHEDULE_H_
 
 #include <array>
 #include <cstddef>
@@ -10,7 +10,7 @@
 namespace medlarcroft::catalogue {
 
 /// @brief What a host reads from the platform by itself.
-enum class PlatformReading { kCatalogueHead, kHostList, kBlockMap };
+enum class PlatformPoll { kCatalogueHead, kHostList, kBlockMap };
 
 /// @brief When each reading is due. Each has a time of its own.
 ///
@@ -19,21 +19,21 @@
 /// quarter late and much later while the head's calls back off, and a leaving
 /// target gets new work past its promise. So the pause ends at whichever is due
 /// first.
-class PlatformSchedule {
+class PlatformPollSchedule {
  public:
   static constexpr std::size_t kReadings = 3;
 
-  [[nodiscard]] bool IsDue(PlatformReading reading, MonotonicTime now) const {
+  [[nodiscard]] bool IsDue(PlatformPoll reading, MonotonicTime now) const {
     return now >= due_[Index(reading)];
   }
-  void SetDue(PlatformReading reading, MonotonicTime at) {
+  void SetDue(PlatformPoll reading, MonotonicTime at) {
     due_[Index(reading)] = at;
   }
   /// @return how long until the first reading is due; zero when one is.
-  [[nodiscard]] Duration PauseFrom(MonotonicTime now) const;
+  [[nodiscard]] Duration TimeUntilNextDue(MonotonicTime now) const;
 
  private:
-  static std::size_t Index(PlatformReading reading) {
+  static std::size_t Index(PlatformPoll reading) {
     return static_cast<std::size_t>(reading);
   }
 
@@ -44,7 +44,7 @@
 ///
 /// Load: 880 hosts that all read it. Harm prevented: their reads crowd out the
 /// catalogue's, and a read that failed once costs a leaving target's promise.
-class HostListPace {
+class HostListPollTiming {
  public:
   /// @param entry_hosts in the list that was read.
   [[nodiscard]] Duration AfterRead(std::size_t entry_hosts);
@@ -61,4 +61,4 @@
 
 }  // namespace medlarcroft::catalogue
 
-#endif  // MEDLARCROFT_CATALOGUE_PLATFORM_SCHEDULE_H_
+#endif  // MEDLARCROFT_CATALOGUE_PLATFORM_POLL_SCHEDULE_H_
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/platform_budget.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/platform_rate_limiter.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_CATALOGUE_PLATFORM_BUDGET_H_
-#define MEDLARCROFT_CATALOGUE_PLATFORM_BUDGET_H_
+#ifndef MEDLARCROFT_CATALOGUE_PLATFORM_RATE_LIMITER_H_
+#define MEDLARCROFT_CATALOGUE_PLATFORM_RATE_LIMITER_H_
 
 #include <cstdint>
 #include <mutex>
@@ -13,7 +13,7 @@
 namespace medlarcroft::catalogue {
 
 /// @brief How many calls a host made to the platform, and how they ended.
-struct PlatformCounts {
+struct PlatformCallCounts {
   std::uint64_t reads = 0;
   std::uint64_t writes = 0;
   std::uint64_t refused_reads = 0;  ///< Over the budget, never sent.
@@ -35,7 +35,7 @@
 /// recovering. Limits: 880 hosts at 2 reads and 0.25 writes a second are 1,760
 /// and 220 a second even when every host uses up its budget; the burst lets a
 /// cold start or one operator's script through.
-class PlatformBudget {
+class PlatformRateLimiter {
  public:
   struct Options {
     double reads_per_second = 2.0;
@@ -44,13 +44,13 @@
     double write_burst = 10.0;
   };
 
-  PlatformBudget(Options options, const ports::Clock& clock);
+  PlatformRateLimiter(Options options, const ports::Clock& clock);
 
-  [[nodiscard]] bool TakeRead();
-  [[nodiscard]] bool TakeWrite();
-  void NoteOutcome(bool was_answered);
+  [[nodiscard]] bool TryAcquireRead();
+  [[nodiscard]] bool TryAcquireWrite();
+  void RecordOutcome(bool was_answered);
 
-  [[nodiscard]] PlatformCounts Counts() const;
+  [[nodiscard]] PlatformCallCounts Counts() const;
   [[nodiscard]] PlatformReachability Reachability() const;
 
  private:
@@ -67,16 +67,16 @@
   Bucket reads_;
   Bucket writes_;
   MonotonicTime filled_at_;
-  PlatformCounts counts_;
+  PlatformCallCounts counts_;
   bool is_reachable_ = false;
   MonotonicTime reachability_since_;
 };
 
 /// @brief A table service that spends a budget; a call beyond it is refused as
 /// unavailable, which is true: it had no effect.
-class BudgetedTableStore final : public ports::TableStore {
+class RateLimitedTableStore final : public ports::TableStore {
  public:
-  BudgetedTableStore(ports::TableStore& table, PlatformBudget& budget);
+  RateLimitedTableStore(ports::TableStore& table, PlatformRateLimiter& budget);
 
   [[nodiscard]] Result<ports::Row, ports::StoreFailure> Read(
       std::string_view key) override;
@@ -89,13 +89,14 @@
 
  private:
   ports::TableStore& table_;
-  PlatformBudget& budget_;
+  PlatformRateLimiter& budget_;
 };
 
 /// @brief An object store that spends the same budget.
-class BudgetedObjectStore final : public ports::ObjectStore {
+class RateLimitedObjectStore final : public ports::ObjectStore {
  public:
-  BudgetedObjectStore(ports::ObjectStore& objects, PlatformBudget& budget);
+  RateLimitedObjectStore(ports::ObjectStore& objects,
+                         PlatformRateLimiter& budget);
 
   [[nodiscard]] Result<std::optional<std::string>, ports::StoreFailure> Get(
       std::string_view name) override;
@@ -105,9 +106,9 @@
 
  private:
   ports::ObjectStore& objects_;
-  PlatformBudget& budget_;
+  PlatformRateLimiter& budget_;
 };
 
 }  // namespace medlarcroft::catalogue
 
-#endif  // MEDLARCROFT_CATALOGUE_PLATFORM_BUDGET_H_
+#endif  // MEDLARCROFT_CATALOGUE_PLATFORM_RATE_LIMITER_H_
--- a/lib/libmedlarcroft/include/medlarcroft/core/packed_number.h
+++ b/lib/libmedlarcroft/include/medlarcroft/core/little_endian.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_CORE_PACKED_NUMBER_H_
-#define MEDLARCROFT_CORE_PACKED_NUMBER_H_
+#ifndef MEDLARCROFT_CORE_LITTLE_ENDIAN_H_
+#define MEDLARCROFT_CORE_LITTLE_ENDIAN_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -9,9 +9,9 @@
 namespace medlarcroft {
 
 /// @brief Appends the lowest `bytes` bytes of a number, the lowest first.
-inline void AppendPacked(std::string& text,
-                         std::uint32_t number,
-                         std::size_t bytes) {
+inline void AppendLittleEndian(std::string& text,
+                               std::uint32_t number,
+                               std::size_t bytes) {
   for (std::size_t i = 0; i < bytes; ++i) {
     text.push_back(static_cast<char>((number >> (8 * i)) & 0xFFU));
   }
@@ -19,8 +19,8 @@
 
 /// @brief Takes a number of `count` bytes, the lowest first, off the front.
 /// @param bytes at least `count`.
-[[nodiscard]] inline std::uint32_t TakePacked(std::string_view& bytes,
-                                              std::size_t count) {
+[[nodiscard]] inline std::uint32_t TakeLittleEndian(std::string_view& bytes,
+                                                    std::size_t count) {
   std::uint32_t number = 0;
   for (std::size_t i = 0; i < count; ++i) {
     number |= static_cast<std::uint32_t>(static_cast<unsigned char>(bytes[i]))
@@ -32,4 +32,4 @@
 
 }  // namespace medlarcroft
 
-#endif  // MEDLARCROFT_CORE_PACKED_NUMBER_H_
+#endif  // MEDLARCROFT_CORE_LITTLE_ENDIAN_H_
--- a/lib/libmedlarcroft/include/medlarcroft/core/mixed.h
+++ b/lib/libmedlarcroft/include/medlarcroft/core/mix_bits.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_CORE_MIXED_H_
-#define MEDLARCROFT_CORE_MIXED_H_
+#ifndef MEDLARCROFT_CORE_MIX_BITS_H_
+#define MEDLARCROFT_CORE_MIX_BITS_H_
 
 #include <cstdint>
 
@@ -7,7 +7,7 @@
 
 // The last steps of SplitMix64: each bit of the result depends on each of
 // `number`.
-[[nodiscard]] constexpr std::uint64_t Mixed(std::uint64_t number) {
+[[nodiscard]] constexpr std::uint64_t MixBits(std::uint64_t number) {
   constexpr std::uint64_t kFirstFactor = 0xbf58476d1ce4e5b9U;
   constexpr std::uint64_t kSecondFactor = 0x94d049bb133111ebU;
   number = (number ^ (number >> 30U)) * kFirstFactor;
@@ -17,4 +17,4 @@
 
 }  // namespace medlarcroft
 
-#endif  // MEDLARCROFT_CORE_MIXED_H_
+#endif  // MEDLARCROFT_CORE_MIX_BITS_H_
--- a/lib/libmedlarcroft/include/medlarcroft/decision/attempt_rules.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/attempt_rules.h
@@ -18,15 +18,15 @@
   /// The answer may be passed to the caller.
   bool has_answer = false;
   /// Another attempt may help an idempotent request.
-  bool is_worth_retry = false;
-  bool is_blamed_on_target = false;
+  bool is_retryable = false;
+  bool is_target_failure = false;
   /// Another attempt takes nothing from the retry budget.
   ///
   /// Failure: hedges have just spent the budget when a target begins to leave.
   /// Symptom: a planned drain costs callers "not run" refusals. A target that
   /// said that it leaves gets nothing new, so such retries end with what was in
   /// flight there, at most its slots; they can't multiply the load.
-  bool is_retry_free = false;
+  bool is_retry_budget_exempt = false;
   SlotRelease release = SlotRelease::kAtOnce;
 };
 
@@ -35,11 +35,11 @@
 /// Harm prevented by the slot that is held after a timeout or a lost
 /// connection: the target may still work on the request, and one more sent to
 /// the free-looking slot would be over its limit.
-[[nodiscard]] const AttemptRules& RulesOf(AttemptOutcome outcome);
+[[nodiscard]] const AttemptRules& RulesFor(AttemptOutcome outcome);
 
 /// @return whether a request may have another attempt after this outcome: a
 /// non-idempotent one only with proof that it did not run.
-[[nodiscard]] bool MayRunAgain(const AttemptRules& rules, bool is_idempotent);
+[[nodiscard]] bool MayRetry(const AttemptRules& rules, bool is_idempotent);
 
 }  // namespace medlarcroft::decision
 
--- a/lib/libmedlarcroft/include/medlarcroft/decision/explanation.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/explanation.h
@@ -24,20 +24,20 @@
 };
 
 /// @brief The rule that decides how much of a target is used now.
-enum class TargetRule {
+enum class TargetUsageRule {
   kFullShare,
-  kRamping,      ///< Cold, back from ejection, or it shed work.
-  kProbing,      ///< One request at a time after an ejection.
-  kEjected,      ///< Slow or failing by this host's own measurements.
-  kLeaving,      ///< Some source said that it leaves.
-  kLeaseLapsed,  ///< This host's share of it has ended.
-  kNoShare,      ///< This host holds no slot of it.
+  kRamping,       ///< Cold, back from ejection, or it shed work.
+  kProbing,       ///< One request at a time after an ejection.
+  kEjected,       ///< Slow or failing by this host's own measurements.
+  kLeaving,       ///< Some source said that it leaves.
+  kLeaseExpired,  ///< This host's share of it has ended.
+  kNoShare,       ///< This host holds no slot of it.
 };
 
 /// @brief Inputs and rule for one target.
 struct TargetExplanation {
   TargetName target;
-  TargetRule rule = TargetRule::kFullShare;
+  TargetUsageRule rule = TargetUsageRule::kFullShare;
   std::uint32_t slots = 0;
   std::uint32_t share = 0;
   std::uint32_t usable = 0;
--- a/lib/libmedlarcroft/include/medlarcroft/decision/leaving_mark.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/leaving_status.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_DECISION_LEAVING_MARK_H_
-#define MEDLARCROFT_DECISION_LEAVING_MARK_H_
+#ifndef MEDLARCROFT_DECISION_LEAVING_STATUS_H_
+#define MEDLARCROFT_DECISION_LEAVING_STATUS_H_
 
 #include "medlarcroft/core/time.h"
 
@@ -20,7 +20,7 @@
 /// Failure: a host that reports the snapshot's word as its own sight. Symptom:
 /// hosts confirm each other for ever and a target is never used again after its
 /// drain. `IsSigned` is therefore all that a host may report.
-class LeavingMark {
+class LeavingStatus {
  public:
   /// The target itself says that it leaves.
   void OnSign(MonotonicTime now);
@@ -42,4 +42,4 @@
 
 }  // namespace medlarcroft::decision
 
-#endif  // MEDLARCROFT_DECISION_LEAVING_MARK_H_
+#endif  // MEDLARCROFT_DECISION_LEAVING_STATUS_H_
--- a/lib/libmedlarcroft/include/medlarcroft/decision/placement.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/placement.h
@@ -54,7 +54,7 @@
       ports::RandomSource& random) = 0;
 };
 
-[[nodiscard]] std::unique_ptr<PlacementStrategy> MakePlacement(
+[[nodiscard]] std::unique_ptr<PlacementStrategy> MakePlacementStrategy(
     PlacementKind kind);
 
 }  // namespace medlarcroft::decision
--- a/lib/libmedlarcroft/include/medlarcroft/decision/service_config.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/service_config.h
@@ -36,8 +36,8 @@
 
 /// @brief How a target is chosen; all but the first are kept for comparison.
 enum class PlacementKind {
-  kTwoChoices,
-  kOptimisticTwoChoices,
+  kPowerOfTwoChoices,
+  kOptimisticPowerOfTwoChoices,
   kRandom,
   kRoundRobin,
   kLeastReportedLoad,
@@ -52,7 +52,7 @@
 /// @brief Fixed for the life of a scheduler. The defaults are those weighed in
 /// docs/decisions.
 struct SchedulerOptions {
-  PlacementKind placement = PlacementKind::kTwoChoices;
+  PlacementKind placement = PlacementKind::kPowerOfTwoChoices;
   QueueBound queue_bound = QueueBound::kTime;
   bool is_fair_between_brands = true;
   bool is_hedging_enabled = true;
--- a/lib/libmedlarcroft/include/medlarcroft/decision/slot_ramp.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/slot_ramp.h
@@ -26,7 +26,7 @@
                                      MonotonicTime now) const;
   /// @return the part of the share in use, in (0, 1], while the target recovers
   /// from a shed; 1 otherwise.
-  [[nodiscard]] double PartAfterShed(MonotonicTime now) const;
+  [[nodiscard]] double FractionAfterShed(MonotonicTime now) const;
 
  private:
   [[nodiscard]] double Part(MonotonicTime now) const;
--- a/lib/libmedlarcroft/include/medlarcroft/decision/target_table.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/target_table.h
@@ -14,7 +14,7 @@
 #include "medlarcroft/core/identifiers.h"
 #include "medlarcroft/core/time.h"
 #include "medlarcroft/decision/explanation.h"
-#include "medlarcroft/decision/leaving_mark.h"
+#include "medlarcroft/decision/leaving_status.h"
 #include "medlarcroft/decision/service_config.h"
 #include "medlarcroft/decision/slot_ramp.h"
 #include "medlarcroft/decision/target_health.h"
@@ -32,7 +32,7 @@
   /// False once a snapshot took the target out of the service.
   bool is_member = true;
   /// Its class runs far longer than another on this target.
-  bool is_long = false;
+  bool is_long_running = false;
   /// Place in the service's list of available targets, if it is there.
   std::optional<std::size_t> position;
 };
@@ -44,12 +44,12 @@
   bool is_watched = false;        ///< Refreshed at intervals.
   std::uint32_t outstanding = 0;  ///< This host's, with slots still held.
   std::uint32_t usable = 0;       ///< As of the last refresh.
-  LeavingMark leaving;
+  LeavingStatus leaving;
   TargetHealth health;
   SlotRamp ramp;
   /// Work of other hosts at the last report, and when that was true.
   std::uint32_t reported_total = 0;
-  std::uint32_t reported_others = 0;
+  std::uint32_t reported_by_others = 0;
   std::optional<MonotonicTime> reported_at;
   /// Until then timeouts say nothing about the target: connections to it were
   /// found silent, and others opened as early may be so too.
@@ -112,9 +112,7 @@
   void Release(TargetIndex target, ServiceIndex service, MonotonicTime now);
   /// Keeps the slot until `until`: the target may work on the attempt until
   /// then, although this host has ended it.
-  void ReleaseLater(TargetIndex target,
-                    ServiceIndex service,
-                    MonotonicTime until);
+  void ReleaseAt(TargetIndex target, ServiceIndex service, MonotonicTime until);
 
   /// Takes out an outlier unless too many of its services' targets are out.
   void EjectIfOutlier(TargetIndex target, MonotonicTime now);
@@ -132,7 +130,8 @@
   /// @return when `Advance` next has work; the maximum when it has none.
   [[nodiscard]] MonotonicTime NextChange() const;
 
-  [[nodiscard]] TargetRule RuleOf(TargetIndex target, MonotonicTime now) const;
+  [[nodiscard]] TargetUsageRule RuleOf(TargetIndex target,
+                                       MonotonicTime now) const;
 
  private:
   struct ServiceView {
--- a/lib/libmedlarcroft/include/medlarcroft/emulation/emulated_host.h
+++ b/lib/libmedlarcroft/include/medlarcroft/emulation/emulated_host.h
@@ -25,7 +25,7 @@
 };
 
 /// @brief One host with the product's own decisions.
-class EmulatedHost final : public request_path::BookObserver,
+class EmulatedHost final : public request_path::TargetDirectoryObserver,
                            public request_path::CrashObserver,
                            public request_path::LimitObserver {
  public:
@@ -50,7 +50,7 @@
   [[nodiscard]] request_path::RequestPath& Path() { return path_; }
   [[nodiscard]] const std::string& Region() const { return region_; }
 
-  void OnTargetChange(request_path::BookChange /*change*/,
+  void OnTargetChange(request_path::TargetChange /*change*/,
                       const request_path::TargetRecord& /*target*/) override {}
   void OnPublish(const request_path::CrashReport& report) override;
   void OnBlocked(request_path::RequestFingerprint /*request*/,
@@ -68,7 +68,7 @@
   ReportSinks sinks_;
   RepeatableRandom random_;
   routing::RouteTable routes_;
-  request_path::TargetBook targets_;
+  request_path::TargetDirectory targets_;
   request_path::RequestPath path_;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/emulation/emulation.h
+++ b/lib/libmedlarcroft/include/medlarcroft/emulation/emulation.h
@@ -14,7 +14,7 @@
 #include "medlarcroft/emulation/emulated_deployment.h"
 #include "medlarcroft/emulation/emulated_host.h"
 #include "medlarcroft/emulation/emulated_target.h"
-#include "medlarcroft/emulation/emulation_figures.h"
+#include "medlarcroft/emulation/emulation_metrics.h"
 #include "medlarcroft/emulation/event_queue.h"
 
 namespace medlarcroft::emulation {
@@ -105,7 +105,8 @@
                 const request_path::LoadReport& report);
   void Finish(const RunningPointer& running);
   void CancelSend(Send& send, Duration way);
-  void OnRefused(const Caller& caller, const request_path::Ending& ending);
+  void OnRefused(const Caller& caller,
+                 const request_path::RequestFailure& ending);
   void Conclude(const Caller& caller, bool is_served, bool is_refused);
 
   [[nodiscard]] Duration Elapsed() const { return events_.Now() - began_; }
--- a/lib/libmedlarcroft/include/medlarcroft/forwarding/forward_proof.h
+++ b/lib/libmedlarcroft/include/medlarcroft/forwarding/forward_proof.h
@@ -45,16 +45,16 @@
 /// @return the proof of `claim` for `request` under `secret`, in hexadecimal.
 /// Failure prevented: a caller that sets the headers itself would have its
 /// non-idempotent request run past the ledger, so twice.
-[[nodiscard]] std::string ProveForward(const ForwardClaim& claim,
-                                       const ForwardedRequest& request,
-                                       std::string_view secret);
+[[nodiscard]] std::string SignForward(const ForwardClaim& claim,
+                                      const ForwardedRequest& request,
+                                      std::string_view secret);
 
 /// @return whether `proof` was made with `secret` and is recent.
-[[nodiscard]] bool IsForwardProved(const ForwardClaim& claim,
-                                   const ForwardedRequest& request,
-                                   std::string_view proof,
-                                   std::string_view secret,
-                                   WallTime now);
+[[nodiscard]] bool IsForwardProofValid(const ForwardClaim& claim,
+                                       const ForwardedRequest& request,
+                                       std::string_view proof,
+                                       std::string_view secret,
+                                       WallTime now);
 
 }  // namespace medlarcroft::forwarding
 
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/fingerprint.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/fingerprint.h
@@ -25,7 +25,7 @@
   std::string_view body;
 };
 
-[[nodiscard]] Fingerprint FingerprintOf(const RequestIdentity& request);
+[[nodiscard]] Fingerprint ComputeFingerprint(const RequestIdentity& request);
 
 }  // namespace medlarcroft::idempotency
 
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/key.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/key.h
@@ -65,7 +65,7 @@
 /// @return the value of the `Idempotency-Key` header:
 /// `k1:MODE:ISSUER:INCARNATION:SEQUENCE:EXPIRY_MS:MAC`, numbers in
 /// hexadecimal.
-[[nodiscard]] std::string ToText(const Key& key);
+[[nodiscard]] std::string FormatKey(const Key& key);
 
 /// @brief Reads the text form. The MAC is not checked here.
 [[nodiscard]] Result<Key, KeyParseError> ParseKey(std::string_view text);
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/key_authority.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/key_authority.h
@@ -22,7 +22,7 @@
 };
 
 /// @brief Why secrets were not taken.
-enum class KeySecretsError { kTooShort, kSameTwice };
+enum class KeySecretsError { kTooShort, kIdenticalSecrets };
 
 /// @brief Why a key that was read is not good.
 enum class KeyRefusal {
@@ -51,7 +51,7 @@
   [[nodiscard]] Key Issue(Mode mode);
 
   /// @return the reason not to take `key`, or nullopt when it is good.
-  [[nodiscard]] std::optional<KeyRefusal> Refuse(const Key& key) const;
+  [[nodiscard]] std::optional<KeyRefusal> FindRefusal(const Key& key) const;
 
   /// @brief Takes other secrets; on an error the old ones stay.
   [[nodiscard]] Result<Success, KeySecretsError> Rotate(KeySecrets secrets);
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/ledger.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/ledger.h
@@ -36,11 +36,11 @@
 
 /// @brief Dispatch it, then settle it by `Complete`, `MarkUnknown` or
 /// `MarkNotRun`. A durable key needs its claim first (`DurableClaims`).
-struct RunIt {};
+struct DispatchRequest {};
 /// @brief The first attempt runs; its settlement returns this waiter.
-struct WaitForIt {};
+struct AwaitFirstAttempt {};
 /// @brief It ran; this is the whole answer.
-struct ReplayIt {
+struct ReplayAnswer {
   SharedAnswer answer;
 };
 
@@ -60,7 +60,8 @@
   Outcome outcome = Outcome::kUnknown;
 };
 
-using BeginResult = std::variant<RunIt, WaitForIt, ReplayIt, Refused>;
+using BeginResult =
+    std::variant<DispatchRequest, AwaitFirstAttempt, ReplayAnswer, Refused>;
 
 /// @brief What this incarnation knows of each key that it let run: the guard
 /// that a key is dispatched at most once by this process. Kept in memory only;
@@ -72,7 +73,8 @@
 
   /// @brief Decides about one attempt of a verified key.
   /// @param reserve_bytes the class's bound on an answer.
-  /// @param waiter returned by the settlement if the result is `WaitForIt`.
+  /// @param waiter returned by the settlement if the result is
+  /// `AwaitFirstAttempt`.
   [[nodiscard]] BeginResult Begin(const Key& key,
                                   const Fingerprint& fingerprint,
                                   std::size_t reserve_bytes,
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/load_session.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/load_session.h
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "medlarcroft/load_generator/arrival_schedule.h"
-#include "medlarcroft/load_generator/claim_book.h"
 #include "medlarcroft/load_generator/load_statistics.h"
 #include "medlarcroft/load_generator/load_transport.h"
 #include "medlarcroft/load_generator/lookup_cache.h"
+#include "medlarcroft/load_generator/outcome_auditor.h"
 #include "medlarcroft/ports/random_source.h"
 
 namespace medlarcroft::load_generator {
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/load_statistics.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/load_statistics.h
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "medlarcroft/load_generator/answer_check.h"
-#include "medlarcroft/load_generator/claim_book.h"
 #include "medlarcroft/load_generator/load_plan.h"
 #include "medlarcroft/load_generator/load_report.h"
+#include "medlarcroft/load_generator/outcome_auditor.h"
+#include "medlarcroft/load_generator/response_check.h"
 #include "medlarcroft/telemetry/latency_histogram.h"
 
 namespace medlarcroft::load_generator {
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/lookup_cache.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/lookup_cache.h
@@ -33,7 +33,7 @@
 
 enum class LookupAnswerError { kNotJson, kMissingField, kNoEntryHost };
 
-[[nodiscard]] Result<LookupAnswer, LookupAnswerError> ParseLookupAnswer(
+[[nodiscard]] Result<LookupAnswer, LookupAnswerError> ParseLookupResponse(
     std::string_view json);
 
 /// @return the keys of an answer to POST /v1/keys; empty when there are none.
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/answer_check.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/response_check.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_LOAD_GENERATOR_ANSWER_CHECK_H_
-#define MEDLARCROFT_LOAD_GENERATOR_ANSWER_CHECK_H_
+#ifndef MEDLARCROFT_LOAD_GENERATOR_RESPONSE_CHECK_H_
+#define MEDLARCROFT_LOAD_GENERATOR_RESPONSE_CHECK_H_
 
 #include <optional>
 #include <string>
@@ -26,14 +26,14 @@
 
 /// @brief What an answer must show to be this request's own.
 struct ExpectedEcho {
-  std::string_view path_tail;  ///< Unique for each request.
+  std::string_view path_suffix;  ///< Unique for each request.
   std::string_view body_hash;
 };
 
 /// @brief Judges what came of one attempt. Stand-in targets echo path and body
 /// hash, so that an answer to another request shows.
-[[nodiscard]] AttemptVerdict JudgeAnswer(const ExchangeResult& result,
-                                         const ExpectedEcho& expected);
+[[nodiscard]] AttemptVerdict CheckResponse(const ExchangeResult& result,
+                                           const ExpectedEcho& expected);
 
 /// @return the name of the cause of an unsuccessful attempt: the answer's
 /// `code`, its status, or the kind of failure.
@@ -44,4 +44,4 @@
 
 }  // namespace medlarcroft::load_generator
 
-#endif  // MEDLARCROFT_LOAD_GENERATOR_ANSWER_CHECK_H_
+#endif  // MEDLARCROFT_LOAD_GENERATOR_RESPONSE_CHECK_H_
--- a/lib/libmedlarcroft/include/medlarcroft/membership/exchange.h
+++ b/lib/libmedlarcroft/include/medlarcroft/membership/exchange.h
@@ -15,7 +15,7 @@
 #include "medlarcroft/membership/heartbeat.h"
 #include "medlarcroft/membership/host_state.h"
 #include "medlarcroft/membership/membership_table.h"
-#include "medlarcroft/membership/target_signs.h"
+#include "medlarcroft/membership/target_status_table.h"
 #include "medlarcroft/ports/random_source.h"
 
 namespace medlarcroft::membership {
@@ -68,7 +68,7 @@
 class ExchangeSelector {
  public:
   [[nodiscard]] ExchangeContent Select(const MembershipTable& members,
-                                       const TargetSigns& targets,
+                                       const TargetStatusTable& targets,
                                        std::size_t message_bytes);
 
  private:
@@ -106,7 +106,7 @@
 /// sender's.
 void ApplyExchange(const ExchangeContent& content,
                    MembershipTable& members,
-                   TargetSigns& targets);
+                   TargetStatusTable& targets);
 
 /// @brief Chooses whom to call: each host of the view once a round, in an order
 /// drawn anew each round, so that no pair stays apart for more than two rounds.
--- a/lib/libmedlarcroft/include/medlarcroft/membership/lookup_answer.h
+++ b/lib/libmedlarcroft/include/medlarcroft/membership/lookup_answer.h
@@ -12,7 +12,7 @@
 namespace medlarcroft::membership {
 
 /// @brief A ready host that callers may be sent to.
-struct CallableHost {
+struct LookupCandidate {
   std::string address;
   FailureDomainName failure_domain;
   double link_mbps = 0;  ///< Stands for what the host carries.
@@ -32,8 +32,8 @@
 /// each answer names a few hosts of the caller's own domain, drawn by what they
 /// carry; a domain that has too few left is helped out by the others.
 /// @param domain the caller's; empty: unknown.
-[[nodiscard]] std::vector<std::string> ChooseNamedHosts(
-    std::span<const CallableHost> hosts,
+[[nodiscard]] std::vector<std::string> ChooseLookupHosts(
+    std::span<const LookupCandidate> hosts,
     const FailureDomainName& domain,
     ports::RandomSource& random);
 
--- a/lib/libmedlarcroft/include/medlarcroft/membership/membership_table.h
+++ b/lib/libmedlarcroft/include/medlarcroft/membership/membership_table.h
@@ -54,7 +54,7 @@
 };
 
 /// @brief A host that was heard, as far as callers are sent to it.
-struct HeardHost {
+struct HostStateView {
   const HostState& state;  ///< As told; `age` is not kept up.
   Duration age{0};         ///< Of the newest sign of life.
   bool is_leaving = false;
@@ -110,7 +110,8 @@
   [[nodiscard]] std::vector<Member> Members() const;
   /// @brief Visits all hosts that were heard, but this one, by name. Nothing is
   /// copied: look-ups come often, and there may be hundreds of hosts.
-  void VisitHeard(const std::function<void(const HeardHost&)>& visit) const;
+  void VisitHostStates(
+      const std::function<void(const HostStateView&)>& visit) const;
   [[nodiscard]] std::optional<Member> Find(const HostName& host) const;
   /// @return the hosts of the own domain that are alive or suspect, with this
   /// one unless it leaves.
--- a/lib/libmedlarcroft/include/medlarcroft/membership/relays.h
+++ b/lib/libmedlarcroft/include/medlarcroft/membership/rendezvous_hash.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_MEMBERSHIP_RELAYS_H_
-#define MEDLARCROFT_MEMBERSHIP_RELAYS_H_
+#ifndef MEDLARCROFT_MEMBERSHIP_RENDEZVOUS_HASH_H_
+#define MEDLARCROFT_MEMBERSHIP_RENDEZVOUS_HASH_H_
 
 #include <cstddef>
 #include <span>
@@ -16,11 +16,11 @@
 /// only its duties. Views differ for a while, so two hosts may do a duty at
 /// once; every duty must bear that.
 /// @return at most `count` of `hosts`, in order of preference.
-[[nodiscard]] std::vector<HostName> ChooseRelays(
+[[nodiscard]] std::vector<HostName> ChooseHostsByRendezvousHash(
     std::string_view duty,
     std::span<const HostName> hosts,
     std::size_t count);
 
 }  // namespace medlarcroft::membership
 
-#endif  // MEDLARCROFT_MEMBERSHIP_RELAYS_H_
+#endif  // MEDLARCROFT_MEMBERSHIP_RENDEZVOUS_HASH_H_
--- a/lib/libmedlarcroft/include/medlarcroft/membership/target_signs.h
+++ b/lib/libmedlarcroft/include/medlarcroft/membership/target_status_table.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_MEMBERSHIP_TARGET_SIGNS_H_
-#define MEDLARCROFT_MEMBERSHIP_TARGET_SIGNS_H_
+#ifndef MEDLARCROFT_MEMBERSHIP_TARGET_STATUS_TABLE_H_
+#define MEDLARCROFT_MEMBERSHIP_TARGET_STATUS_TABLE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 namespace medlarcroft::membership {
 
-struct TargetSignsOptions {
+struct TargetStatusOptions {
   /// An observation this old counts no more.
   Duration forget_after = std::chrono::seconds(30);
   /// A target that was seen leaving is believed to be back only when an
@@ -26,7 +26,7 @@
 };
 
 /// @brief What the hosts of the domain together see of one target.
-struct TargetView {
+struct MergedTargetStatus {
   bool is_leaving = false;
   std::uint32_t observers = 0;
   std::uint32_t ejected_by = 0;
@@ -42,9 +42,9 @@
 /// operator: work placed on a leaving target is cut or refused, while sparing a
 /// target that stays costs a part of the domain's capacity for a while. Not
 /// safe to share between threads.
-class TargetSigns {
+class TargetStatusTable {
  public:
-  TargetSigns(TargetSignsOptions options, const ports::Clock& clock);
+  TargetStatusTable(TargetStatusOptions options, const ports::Clock& clock);
 
   /// @return whether it told something new.
   bool Receive(const TargetObservation& observation);
@@ -52,7 +52,7 @@
   /// @brief The operator's word, from the catalogue; it holds while it stands.
   void SetDrained(std::set<TargetName> targets);
 
-  [[nodiscard]] TargetView ViewOf(const TargetName& target) const;
+  [[nodiscard]] MergedTargetStatus ViewOf(const TargetName& target) const;
   [[nodiscard]] bool IsLeaving(const TargetName& target) const;
   /// @return the newest observation of each target by each observer, `age` as
   /// of now.
@@ -70,7 +70,7 @@
 
   [[nodiscard]] bool IsSeenLeaving(const Record& record) const;
 
-  TargetSignsOptions options_;
+  TargetStatusOptions options_;
   const ports::Clock& clock_;
   std::map<TargetName, Record> records_;
   std::set<TargetName> drained_;
@@ -79,4 +79,4 @@
 
 }  // namespace medlarcroft::membership
 
-#endif  // MEDLARCROFT_MEMBERSHIP_TARGET_SIGNS_H_
+#endif  // MEDLARCROFT_MEMBERSHIP_TARGET_STATUS_TABLE_H_
--- a/lib/libmedlarcroft/include/medlarcroft/news/global_news.h
+++ b/lib/libmedlarcroft/include/medlarcroft/peer_updates/global_broadcaster.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_NEWS_GLOBAL_NEWS_H_
-#define MEDLARCROFT_NEWS_GLOBAL_NEWS_H_
+#ifndef MEDLARCROFT_PEER_UPDATES_GLOBAL_BROADCASTER_H_
+#define MEDLARCROFT_PEER_UPDATES_GLOBAL_BROADCASTER_H_
 
 #include <functional>
 #include <span>
@@ -7,11 +7,11 @@
 #include <vector>
 
 #include "medlarcroft/core/identifiers.h"
-#include "medlarcroft/news/peer_news.h"
-#include "medlarcroft/news/region_news.h"
+#include "medlarcroft/peer_updates/peer_update.h"
+#include "medlarcroft/peer_updates/region_broadcaster.h"
 #include "medlarcroft/ports/random_source.h"
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 
 /// @brief A registered host of another region.
 struct RemoteHost {
@@ -27,29 +27,29 @@
 /// within their region. Delivery is best effort, since datagrams may be lost
 /// and the chosen hosts may be down: the reporting host must repeat a report
 /// for as long as it is relevant.
-class GlobalNews {
+class GlobalBroadcaster {
  public:
   struct Parts {
-    RegionNews& region;
-    NewsSender& sender;
+    RegionBroadcaster& region;
+    UpdateSender& sender;
     ports::RandomSource& random;
     /// Returns the registered hosts of other regions.
     std::function<std::vector<RemoteHost>()> remote_hosts;
   };
 
-  GlobalNews(const HostName& host, Parts parts);
+  GlobalBroadcaster(const HostName& host, Parts parts);
 
   void TellCrashes(std::span<const request_path::CrashReport> reports);
   void TellLimits(std::span<const request_path::LimitReport> reports);
 
   /// @brief Forwards reports received from another region to the local one.
-  void OnNews(const PeerNews& news);
+  void OnNews(const PeerUpdate& news);
 
  private:
   /// @brief Sends the reports in `field` to the other regions, at most
   /// `most_per_datagram` in each datagram.
   template <typename Report>
-  void SendToOtherRegions(std::vector<Report> PeerNews::*field,
+  void SendToOtherRegions(std::vector<Report> PeerUpdate::*field,
                           std::span<const Report> reports,
                           std::size_t most_per_datagram);
   [[nodiscard]] std::vector<std::string> PickRemoteAddresses();
@@ -58,6 +58,6 @@
   Parts parts_;
 };
 
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
 
-#endif  // MEDLARCROFT_NEWS_GLOBAL_NEWS_H_
+#endif  // MEDLARCROFT_PEER_UPDATES_GLOBAL_BROADCASTER_H_
--- a/lib/libmedlarcroft/include/medlarcroft/news/peer_news.h
+++ b/lib/libmedlarcroft/include/medlarcroft/peer_updates/peer_update.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_NEWS_PEER_NEWS_H_
-#define MEDLARCROFT_NEWS_PEER_NEWS_H_
+#ifndef MEDLARCROFT_PEER_UPDATES_PEER_UPDATE_H_
+#define MEDLARCROFT_PEER_UPDATES_PEER_UPDATE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -10,12 +10,12 @@
 
 #include "medlarcroft/membership/heartbeat.h"
 #include "medlarcroft/membership/host_state.h"
-#include "medlarcroft/request_path/crash_ledger.h"
+#include "medlarcroft/request_path/crash_tracker.h"
 #include "medlarcroft/request_path/object_key.h"
 #include "medlarcroft/request_path/rate_limits.h"
 #include "medlarcroft/request_path/target_identity.h"
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 
 /// @brief An object that a host has just sent to a target.
 struct PlacedObject {
@@ -26,15 +26,15 @@
 };
 
 /// @brief How many requests a target had from all hosts when it answered one.
-struct ToldLoad {
+struct ReportedLoad {
   request_path::TargetNumber target{};
   std::uint32_t requests = 0;  ///< On the wire at most 255.
 
-  friend bool operator==(const ToldLoad&, const ToldLoad&) = default;
+  friend bool operator==(const ReportedLoad&, const ReportedLoad&) = default;
 };
 
 /// @brief Who the news is for beside the host that hears it.
-enum class NewsWay : std::uint8_t {
+enum class UpdateRoute : std::uint8_t {
   kDirect,       ///< Nobody else: its sender tells each host itself.
   kReport,       ///< A host to the relay of its domain: for the whole region.
   kExchange,     ///< From relay to relay: for the receiver's domain.
@@ -43,12 +43,12 @@
 };
 
 /// @brief What one host tells another in one datagram.
-struct PeerNews {
-  NewsWay way = NewsWay::kDirect;
+struct PeerUpdate {
+  UpdateRoute way = UpdateRoute::kDirect;
   std::uint32_t sender = 0;  ///< `membership::HashOf` its name.
   std::optional<membership::HostState> state;  ///< Without its loads.
   std::vector<PlacedObject> placed;
-  std::vector<ToldLoad> loads;
+  std::vector<ReportedLoad> loads;
   std::vector<request_path::CrashReport> crashes;
   std::vector<request_path::LimitReport> limits;
   /// Signs of life of hosts whose state is known, in ten bytes each.
@@ -61,7 +61,7 @@
 inline constexpr std::size_t kLimitReportBytes = 8;
 
 [[nodiscard]] std::string EncodePlaced(const std::vector<PlacedObject>& placed);
-[[nodiscard]] std::string EncodeLoads(const std::vector<ToldLoad>& loads);
+[[nodiscard]] std::string EncodeLoads(const std::vector<ReportedLoad>& loads);
 [[nodiscard]] std::string EncodeCrashes(
     const std::vector<request_path::CrashReport>& crashes);
 /// Rates are rounded up to thousandths of a request per second, so that only a
@@ -71,7 +71,7 @@
 /// @return nullopt when the length does not fit.
 [[nodiscard]] std::optional<std::vector<PlacedObject>> DecodePlaced(
     std::string_view bytes);
-[[nodiscard]] std::optional<std::vector<ToldLoad>> DecodeLoads(
+[[nodiscard]] std::optional<std::vector<ReportedLoad>> DecodeLoads(
     std::string_view bytes);
 /// @return nullopt when the length is invalid or a kind is unknown.
 [[nodiscard]] std::optional<std::vector<request_path::CrashReport>>
@@ -80,6 +80,6 @@
 [[nodiscard]] std::optional<std::vector<request_path::LimitReport>>
 DecodeLimits(std::string_view bytes);
 
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
 
-#endif  // MEDLARCROFT_NEWS_PEER_NEWS_H_
+#endif  // MEDLARCROFT_PEER_UPDATES_PEER_UPDATE_H_
--- a/lib/libmedlarcroft/include/medlarcroft/news/region_news.h
+++ b/lib/libmedlarcroft/include/medlarcroft/peer_updates/region_broadcaster.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_NEWS_REGION_NEWS_H_
-#define MEDLARCROFT_NEWS_REGION_NEWS_H_
+#ifndef MEDLARCROFT_PEER_UPDATES_REGION_BROADCASTER_H_
+#define MEDLARCROFT_PEER_UPDATES_REGION_BROADCASTER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -14,11 +14,11 @@
 
 #include "medlarcroft/core/identifiers.h"
 #include "medlarcroft/core/time.h"
-#include "medlarcroft/news/news_queue.h"
-#include "medlarcroft/news/peer_news.h"
+#include "medlarcroft/peer_updates/peer_update.h"
+#include "medlarcroft/peer_updates/update_queue.h"
 #include "medlarcroft/ports/timers.h"
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 
 /// @brief Another host of the region, as the list of hosts shows it.
 struct Peer {
@@ -29,11 +29,11 @@
 };
 
 /// @brief Sends datagrams; one may be lost.
-class NewsSender {
+class UpdateSender {
  public:
-  virtual ~NewsSender() = default;
+  virtual ~UpdateSender() = default;
   virtual void Send(std::span<const std::string> addresses,
-                    const PeerNews& news) = 0;
+                    const PeerUpdate& news) = 0;
 };
 
 /// @brief Another host counts as a domain's relay from now on.
@@ -58,20 +58,22 @@
 /// nothing, and its hosts look dead to the others. Relays are never silent, so
 /// whoever counts on one that is takes the next in an order that all share; a
 /// host relays for whoever reports to it, so that nothing has to be agreed.
-class RegionNews {
+class RegionBroadcaster {
  public:
   struct Options {
     HostName host;
     FailureDomainName failure_domain;
     double link_mbps = 0;
     /// Told of each change, for the log; none: nobody is.
-    std::function<void(const RelayChange&)> on_relay;
+    std::function<void(const RelayChange&)> on_relay_changed;
   };
 
-  RegionNews(Options options, ports::Timers& timers, NewsSender& sender);
-  ~RegionNews();
-  RegionNews(const RegionNews&) = delete;
-  RegionNews& operator=(const RegionNews&) = delete;
+  RegionBroadcaster(Options options,
+                    ports::Timers& timers,
+                    UpdateSender& sender);
+  ~RegionBroadcaster();
+  RegionBroadcaster(const RegionBroadcaster&) = delete;
+  RegionBroadcaster& operator=(const RegionBroadcaster&) = delete;
 
   /// @brief Starts to relay when it is this host's turn.
   void Start();
@@ -79,23 +81,23 @@
   void SetPeers(std::vector<Peer> peers);
   [[nodiscard]] std::span<const Peer> Peers() const { return peers_; }
   /// @return whether news goes by relays.
-  [[nodiscard]] bool IsRelayed() const;
+  [[nodiscard]] bool UsesRelays() const;
 
   /// @brief Tells the region, soon and together with more.
   void TellPlaced(const PlacedObject& placed);
-  void TellLoad(const ToldLoad& load);
+  void TellLoad(const ReportedLoad& load);
   void TellCrashes(std::span<const request_path::CrashReport> reports);
   void TellLimits(std::span<const request_path::LimitReport> reports);
   /// @brief Tells the region at once.
-  void TellBeat(const membership::Heartbeat& heartbeat);
+  void BroadcastHeartbeat(const membership::Heartbeat& heartbeat);
   /// @brief Tells each host of the region itself, at once.
-  void TellState(const membership::HostState& state);
+  void BroadcastState(const membership::HostState& state);
   /// @brief Tells the next few hosts of the region, so that each hears it in
   /// its turn: those that missed it, or were cut off meanwhile.
-  void TellStateInTurn(const membership::HostState& state);
+  void SendStateToNextPeers(const membership::HostState& state);
 
   /// @brief Takes in a datagram, to tell it on where that is this host's part.
-  void OnNews(const PeerNews& news);
+  void OnNews(const PeerUpdate& news);
 
   /// @return whether this host tells its domain digests now.
   [[nodiscard]] bool IsRelay() const;
@@ -120,11 +122,11 @@
   /// @brief Sends the reports in `field` to the region, at most
   /// `most_per_datagram` in each datagram.
   template <typename Report>
-  void SendReports(std::vector<Report> PeerNews::*field,
+  void SendReports(std::vector<Report> PeerUpdate::*field,
                    std::span<const Report> reports,
                    std::size_t most_per_datagram);
   /// @brief Sends to the region, through the relay if there is one.
-  void SendToRegion(PeerNews news);
+  void SendToRegion(PeerUpdate news);
   void Relay();
   /// @brief Drops what other hosts told: by now it is old.
   void DropGathered();
@@ -144,7 +146,7 @@
   Options options_;
   std::uint32_t own_hash_;
   ports::Timers& timers_;
-  NewsSender& sender_;
+  UpdateSender& sender_;
   std::vector<Peer> peers_;
   std::vector<std::string> peer_addresses_;
   /// Place in `peer_addresses_`, modulo its size. Hosts that start together
@@ -155,21 +157,22 @@
   std::unordered_map<std::uint32_t, Source> sources_;
   std::map<FailureDomainName, Choice> relays_;
   /// Own news that waits.
-  PeerNews pending_;
+  PeerUpdate pending_;
   std::map<request_path::TargetNumber, std::uint32_t> pending_loads_;
   std::map<request_path::TargetNumber, request_path::LimitReport>
       pending_limits_;
   bool is_sending_soon_ = false;
   /// For the hosts of this domain.
-  NewsQueue digest_;
+  UpdateQueue digest_;
   /// For other domains.
-  NewsQueue exchange_;
+  UpdateQueue exchange_;
   std::optional<MonotonicTime> asked_at_;  ///< To relay, by a report.
   std::map<std::uint32_t, MonotonicTime> exchanged_with_;
   /// Null once this is gone: timers may still run then.
-  std::shared_ptr<RegionNews*> self_ = std::make_shared<RegionNews*>(this);
+  std::shared_ptr<RegionBroadcaster*> self_ =
+      std::make_shared<RegionBroadcaster*>(this);
 };
 
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
 
-#endif  // MEDLARCROFT_NEWS_REGION_NEWS_H_
+#endif  // MEDLARCROFT_PEER_UPDATES_REGION_BROADCASTER_H_
--- a/lib/libmedlarcroft/include/medlarcroft/news/news_queue.h
+++ b/lib/libmedlarcroft/include/medlarcroft/peer_updates/update_queue.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_NEWS_NEWS_QUEUE_H_
-#define MEDLARCROFT_NEWS_NEWS_QUEUE_H_
+#ifndef MEDLARCROFT_PEER_UPDATES_UPDATE_QUEUE_H_
+#define MEDLARCROFT_PEER_UPDATES_UPDATE_QUEUE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -8,9 +8,9 @@
 #include <unordered_map>
 
 #include "medlarcroft/core/time.h"
-#include "medlarcroft/news/peer_news.h"
+#include "medlarcroft/peer_updates/peer_update.h"
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 
 /// @brief Gathers what many hosts tell, to be told on in one datagram.
 ///
@@ -19,14 +19,14 @@
 /// links of small hosts. So what was told a moment ago is not told again, and
 /// what a datagram does not take waits, the oldest objects and crashes being
 /// dropped and each target's latest load kept.
-class NewsQueue {
+class UpdateQueue {
  public:
-  void Add(const PeerNews& news, MonotonicTime now);
+  void Add(const PeerUpdate& news, MonotonicTime now);
 
   /// @return at most `most_bytes` of what waits: signs of life first, then
   /// crash reports up to half of the remainder, then limit reports up to half
   /// of what is left after them, then objects and loads by halves.
-  [[nodiscard]] PeerNews Take(std::size_t most_bytes, MonotonicTime now);
+  [[nodiscard]] PeerUpdate Take(std::size_t most_bytes, MonotonicTime now);
 
   [[nodiscard]] bool IsEmpty() const {
     return heartbeats_.empty() && placed_.empty() && loads_.empty() &&
@@ -52,16 +52,16 @@
   };
 
   void AddPlaced(const PlacedObject& placed, MonotonicTime now);
-  void AddLoad(const ToldLoad& load, MonotonicTime now);
+  void AddLoad(const ReportedLoad& load, MonotonicTime now);
   void AddLimit(const request_path::LimitReport& report, MonotonicTime now);
   void AddCrash(const request_path::CrashReport& report, MonotonicTime now);
-  void TakeHeartbeats(PeerNews& news,
+  void TakeHeartbeats(PeerUpdate& news,
                       std::size_t& bytes_left,
                       MonotonicTime now);
-  void TakeCrashes(PeerNews& news, std::size_t& bytes_left);
-  void TakeLimits(PeerNews& news, std::size_t& bytes_left, MonotonicTime now);
-  void TakePlaced(PeerNews& news, std::size_t& bytes_left, std::size_t most);
-  void TakeLoads(PeerNews& news, std::size_t& bytes_left, MonotonicTime now);
+  void TakeCrashes(PeerUpdate& news, std::size_t& bytes_left);
+  void TakeLimits(PeerUpdate& news, std::size_t& bytes_left, MonotonicTime now);
+  void TakePlaced(PeerUpdate& news, std::size_t& bytes_left, std::size_t most);
+  void TakeLoads(PeerUpdate& news, std::size_t& bytes_left, MonotonicTime now);
   void ForgetTold(MonotonicTime now);
 
   std::map<std::uint32_t, HeardBeat> heartbeats_;
@@ -77,6 +77,6 @@
   MonotonicTime forgot_at_{};
 };
 
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
 
-#endif  // MEDLARCROFT_NEWS_NEWS_QUEUE_H_
+#endif  // MEDLARCROFT_PEER_UPDATES_UPDATE_QUEUE_H_
--- a/lib/libmedlarcroft/include/medlarcroft/news/news_pace.h
+++ b/lib/libmedlarcroft/include/medlarcroft/peer_updates/update_timing.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_NEWS_NEWS_PACE_H_
-#define MEDLARCROFT_NEWS_NEWS_PACE_H_
+#ifndef MEDLARCROFT_PEER_UPDATES_UPDATE_TIMING_H_
+#define MEDLARCROFT_PEER_UPDATES_UPDATE_TIMING_H_
 
 #include <algorithm>
 #include <cstddef>
@@ -9,22 +9,22 @@
 /// @file
 /// @brief How often hosts of a region tell each other what they know.
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 
 /// Up to so many others each host tells each other itself: ten datagrams a
 /// second, with some fifty loads of five bytes, stay within the 7 KB a second
 /// that a host's control may take.
-inline constexpr std::size_t kMostPeersToldDirectly = 8;
+inline constexpr std::size_t kMaxDirectPeers = 8;
 
-[[nodiscard]] constexpr bool IsToldDirectly(std::size_t peers) {
-  return peers <= kMostPeersToldDirectly;
+[[nodiscard]] constexpr bool UsesDirectDelivery(std::size_t peers) {
+  return peers <= kMaxDirectPeers;
 }
 
-inline constexpr Duration kBeatPeriod = std::chrono::milliseconds(800);
+inline constexpr Duration kHeartbeatPeriod = std::chrono::milliseconds(800);
 /// Three beats and the way by two relays: one lost datagram must not take a
 /// host out of look-ups, and a dead one must be out well before callers have
 /// tried it often.
-inline constexpr Duration kUnheardLimit = std::chrono::milliseconds(2600);
+inline constexpr Duration kLivenessTimeout = std::chrono::milliseconds(2600);
 
 /// Hosts that are told the whole state with each beat, in turn: all of them at
 /// once would be a datagram of each host to each.
@@ -43,7 +43,7 @@
 
 /// How long news waits to go to the relay together, and loads to go to all: in
 /// half a second a load loses its worth.
-inline constexpr Duration kReportDelay = std::chrono::milliseconds(100);
+inline constexpr Duration kReportBatchDelay = std::chrono::milliseconds(100);
 
 /// Objects and loads in one datagram of a host's own news.
 inline constexpr std::size_t kMostPlacedTogether = 100;
@@ -60,7 +60,7 @@
 
 /// Between a relay's datagrams. With their size it bounds what each host hears
 /// to 6.5 KB a second.
-inline constexpr Duration kDigestPeriod = std::chrono::milliseconds(200);
+inline constexpr Duration kRelayPeriod = std::chrono::milliseconds(200);
 inline constexpr std::size_t kMostDigestBytes = 1200;
 
 /// A relay that is not heard for so long is passed over: three datagrams are
@@ -71,6 +71,6 @@
 /// A host relays for so long after it was last reported to.
 inline constexpr Duration kRelayAfterAsked = std::chrono::seconds(2);
 
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
 
-#endif  // MEDLARCROFT_NEWS_NEWS_PACE_H_
+#endif  // MEDLARCROFT_PEER_UPDATES_UPDATE_TIMING_H_
--- a/lib/libmedlarcroft/include/medlarcroft/rows/follow_pace.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/follow_timing.h
@@ -1,16 +1,16 @@
-#ifndef MEDLARCROFT_ROWS_FOLLOW_PACE_H_
-#define MEDLARCROFT_ROWS_FOLLOW_PACE_H_
+#ifndef MEDLARCROFT_REPLICATION_FOLLOW_TIMING_H_
+#define MEDLARCROFT_REPLICATION_FOLLOW_TIMING_H_
 
 #include <algorithm>
 #include <cstddef>
 
 #include "medlarcroft/core/time.h"
-#include "medlarcroft/rows/row_source.h"
+#include "medlarcroft/replication/row_source.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 /// @brief How a host follows a table.
-struct FollowPace {
+struct FollowTiming {
   /// How long the store holds a call when nothing changes.
   Duration wait{0};
   /// How long changes may wait to be heard together: where many hosts and
@@ -32,7 +32,7 @@
 
 /// From a call that is given up to the answer of the next one: a pause, and a
 /// new connection to another region.
-inline constexpr Duration kAskAgainTime = std::chrono::milliseconds(450);
+inline constexpr Duration kRetryTime = std::chrono::milliseconds(450);
 
 /// How much later than the hold an answer of the store may come, over the pause
 /// after a change: the way to another region and a packet sent again.
@@ -43,7 +43,7 @@
 /// Failure: a reader pauses after a change, then holds its next call for all of
 /// its time. Symptom: were the pause left out, it would turn all its followers
 /// away each time, and all of them would call the store.
-[[nodiscard]] constexpr Duration FreshFor(const FollowPace& pace) {
+[[nodiscard]] constexpr Duration FreshFor(const FollowTiming& pace) {
   return pace.wait + pace.pause_after_change + kStoreWayMargin;
 }
 
@@ -52,7 +52,7 @@
 inline constexpr Duration kPeerAnswerMargin = std::chrono::milliseconds(400);
 
 /// Each host reads for itself. The hold is cut to `LongestHold`.
-inline constexpr FollowPace kPaceAlone{
+inline constexpr FollowTiming kDirectReadTiming{
     .wait = std::chrono::milliseconds(4800),
     .pause_after_change = std::chrono::milliseconds(120)};
 
@@ -63,7 +63,7 @@
 /// both times: 900 + 500 ms until it says so, 600 + 400 ms until a call to a
 /// dead one is given up. The sum and a call of their own stay below 2.5 s, in
 /// which leaving targets and configurations have to be known.
-inline constexpr FollowPace kPaceForOthers{
+inline constexpr FollowTiming kSharedReadTiming{
     .wait = std::chrono::milliseconds(900),
     .pause_after_change = std::chrono::milliseconds(250)};
 
@@ -80,7 +80,7 @@
 /// a request that crashes targets until its call to the reader times out. That
 /// timeout, which includes `reader_wait`, and the host's own call to the store
 /// must fit in the time in which all hosts have to apply a block.
-inline constexpr FollowPace kPaceOfHostList{
+inline constexpr FollowTiming kHostListTiming{
     .wait = std::chrono::seconds(9),
     .pause_after_change = std::chrono::milliseconds(1000),
     .reader_wait = std::chrono::seconds(2),
@@ -89,7 +89,7 @@
 /// Up to so many hosts of a region each read the store for themselves; in
 /// larger ones one reads each table for all, since calls to the store have a
 /// price and a limit for all hosts together.
-inline constexpr std::size_t kHostsThatReadThemselves = 5;
+inline constexpr std::size_t kMaxDirectReaders = 5;
 
 /// @brief The longest hold of hosts that must be in step with the store once
 /// both have been without trouble for `in_touch_after`.
@@ -102,8 +102,7 @@
 /// the time that the host has.
 [[nodiscard]] constexpr Duration LongestHold(Duration in_touch_after) {
   constexpr Duration kShortest = std::chrono::milliseconds(300);
-  return std::max(kShortest,
-                  in_touch_after - kStoreAnswerMargin - kAskAgainTime);
+  return std::max(kShortest, in_touch_after - kStoreAnswerMargin - kRetryTime);
 }
 
 /// @brief The longest pause between failing calls of hosts that follow a
@@ -118,18 +117,19 @@
   return std::max(kShortest, in_touch_after - kRest);
 }
 
-[[nodiscard]] constexpr FollowPace PaceOf(std::size_t hosts_in_region,
-                                          Duration in_touch_after) {
-  FollowPace pace =
-      hosts_in_region > kHostsThatReadThemselves ? kPaceForOthers : kPaceAlone;
+[[nodiscard]] constexpr FollowTiming FollowTimingFor(
+    std::size_t hosts_in_region,
+    Duration in_touch_after) {
+  FollowTiming pace = hosts_in_region > kMaxDirectReaders ? kSharedReadTiming
+                                                          : kDirectReadTiming;
   pace.wait = std::min(pace.wait, LongestHold(in_touch_after));
-  if (hosts_in_region > kHostsThatReadThemselves) {
+  if (hosts_in_region > kMaxDirectReaders) {
     pace.first_pause_of_followers = std::chrono::milliseconds(600);
     pace.longest_pause_of_followers = LongestPause(in_touch_after);
   }
   return pace;
 }
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
 
-#endif  // MEDLARCROFT_ROWS_FOLLOW_PACE_H_
+#endif  // MEDLARCROFT_REPLICATION_FOLLOW_TIMING_H_
--- a/lib/libmedlarcroft/include/medlarcroft/rows/peer_readers.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/peer_readers.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ROWS_PEER_READERS_H_
-#define MEDLARCROFT_ROWS_PEER_READERS_H_
+#ifndef MEDLARCROFT_REPLICATION_PEER_READERS_H_
+#define MEDLARCROFT_REPLICATION_PEER_READERS_H_
 
 #include <cstddef>
 #include <functional>
@@ -11,12 +11,12 @@
 #include "medlarcroft/core/identifiers.h"
 #include "medlarcroft/ports/random_source.h"
 #include "medlarcroft/ports/timers.h"
-#include "medlarcroft/rows/reader_choice.h"
-#include "medlarcroft/rows/refused_readers.h"
-#include "medlarcroft/rows/row.h"
-#include "medlarcroft/rows/table_teller.h"
+#include "medlarcroft/replication/reader_choice.h"
+#include "medlarcroft/replication/refused_readers.h"
+#include "medlarcroft/replication/row.h"
+#include "medlarcroft/replication/table_server.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 /// @brief The hosts that may be asked for rows.
 class PeerDirectory {
@@ -26,7 +26,8 @@
   /// @return this host and the live ones of its region.
   [[nodiscard]] virtual std::vector<ReaderCandidate> LiveHosts() const = 0;
   /// @return the listed hosts of other regions.
-  [[nodiscard]] virtual std::vector<ReaderCandidate> HostsElsewhere() const = 0;
+  [[nodiscard]] virtual std::vector<ReaderCandidate> HostsInOtherRegions()
+      const = 0;
   /// @return how many hosts of the region are listed, this one included.
   [[nodiscard]] virtual std::size_t HostsInRegion() const = 0;
 };
@@ -35,7 +36,7 @@
 class PeerReaders {
  public:
   using AskHost = std::function<void(const std::string& address,
-                                     const PeerQuestion& question,
+                                     const RowsRequest& question,
                                      RowsCallback callback)>;
   struct Options {
     HostName host;
@@ -60,18 +61,18 @@
   [[nodiscard]] bool HasReaders() const;
   /// @brief Asks the host that reads for this one.
   /// @return false when this host is to read for itself.
-  bool AskReader(const PeerQuestion& question, RowsCallback callback);
+  bool AskReader(const RowsRequest& question, RowsCallback callback);
   /// @brief Asks some host that reads the store, in any region.
-  void AskSomeReader(const PeerQuestion& question, RowsCallback callback);
+  void AskSomeReader(const RowsRequest& question, RowsCallback callback);
 
  private:
   [[nodiscard]] std::vector<ReaderCandidate> Candidates() const;
-  bool AskReaderOf(const PeerQuestion& question,
+  bool AskReaderOf(const RowsRequest& question,
                    int others_left,
                    RowsCallback callback);
   /// @brief Asks a host; one that has nothing fresh is left out for a while.
   void Ask(const ReaderCandidate& reader,
-           const PeerQuestion& question,
+           const RowsRequest& question,
            RowsCallback callback);
 
   Options options_;
@@ -81,6 +82,6 @@
   std::shared_ptr<PeerReaders*> self_ = std::make_shared<PeerReaders*>(this);
 };
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
 
-#endif  // MEDLARCROFT_ROWS_PEER_READERS_H_
+#endif  // MEDLARCROFT_REPLICATION_PEER_READERS_H_
--- a/lib/libmedlarcroft/include/medlarcroft/rows/reader_choice.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/reader_choice.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ROWS_READER_CHOICE_H_
-#define MEDLARCROFT_ROWS_READER_CHOICE_H_
+#ifndef MEDLARCROFT_REPLICATION_READER_CHOICE_H_
+#define MEDLARCROFT_REPLICATION_READER_CHOICE_H_
 
 #include <cstddef>
 #include <map>
@@ -10,7 +10,7 @@
 
 #include "medlarcroft/core/identifiers.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 /// @brief A live host that may read a table for its region.
 struct ReaderCandidate {
@@ -57,6 +57,6 @@
     std::span<const ReaderCandidate> candidates,
     const std::map<FailureDomainName, RegionName>& regions);
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
 
-#endif  // MEDLARCROFT_ROWS_READER_CHOICE_H_
+#endif  // MEDLARCROFT_REPLICATION_READER_CHOICE_H_
--- a/lib/libmedlarcroft/include/medlarcroft/rows/refused_readers.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/refused_readers.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ROWS_REFUSED_READERS_H_
-#define MEDLARCROFT_ROWS_REFUSED_READERS_H_
+#ifndef MEDLARCROFT_REPLICATION_REFUSED_READERS_H_
+#define MEDLARCROFT_REPLICATION_REFUSED_READERS_H_
 
 #include <algorithm>
 #include <map>
@@ -7,9 +7,9 @@
 
 #include "medlarcroft/core/identifiers.h"
 #include "medlarcroft/core/time.h"
-#include "medlarcroft/rows/reader_choice.h"
+#include "medlarcroft/replication/reader_choice.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 /// @brief Hosts that had nothing fresh to tell when they were asked.
 ///
@@ -47,6 +47,6 @@
   return known_within >= kTimeForOtherReader ? 1 : 0;
 }
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
 
-#endif  // MEDLARCROFT_ROWS_REFUSED_READERS_H_
+#endif  // MEDLARCROFT_REPLICATION_REFUSED_READERS_H_
--- a/lib/libmedlarcroft/include/medlarcroft/rows/row.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/row.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ROWS_ROW_H_
-#define MEDLARCROFT_ROWS_ROW_H_
+#ifndef MEDLARCROFT_REPLICATION_ROW_H_
+#define MEDLARCROFT_REPLICATION_ROW_H_
 
 #include <cstdint>
 #include <functional>
@@ -11,7 +11,7 @@
 #include "medlarcroft/core/result.h"
 #include "medlarcroft/core/time.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 /// @brief One row of a versioned table.
 struct Row {
@@ -37,10 +37,10 @@
 enum class RowFailure {
   /// No connection, or it ended. A write may have been, or may yet be, done.
   kUnreachable,
-  kRefused,          ///< Turned away; nothing was done.
-  kForgotten,        ///< The history that was asked for is gone.
-  kConditionFailed,  ///< A row has another version; nothing was done.
-  kBadAnswer,        ///< An answer that can't be read.
+  kRefused,             ///< Turned away; nothing was done.
+  kHistoryUnavailable,  ///< The history that was asked for is gone.
+  kConditionFailed,     ///< A row has another version; nothing was done.
+  kBadAnswer,           ///< An answer that can't be read.
   kTimedOut,  ///< Sent, and no answer in time; a write as with `kUnreachable`.
 };
 
@@ -48,6 +48,6 @@
 
 using RowsCallback = std::function<void(Result<RowBatch, RowFailure>)>;
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
 
-#endif  // MEDLARCROFT_ROWS_ROW_H_
+#endif  // MEDLARCROFT_REPLICATION_ROW_H_
--- a/lib/libmedlarcroft/include/medlarcroft/rows/row_source.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/row_source.h
@@ -1,13 +1,13 @@
-#ifndef MEDLARCROFT_ROWS_ROW_SOURCE_H_
-#define MEDLARCROFT_ROWS_ROW_SOURCE_H_
+#ifndef MEDLARCROFT_REPLICATION_ROW_SOURCE_H_
+#define MEDLARCROFT_REPLICATION_ROW_SOURCE_H_
 
 #include <cstdint>
 #include <string_view>
 
 #include "medlarcroft/core/time.h"
-#include "medlarcroft/rows/row.h"
+#include "medlarcroft/replication/row.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 /// How much later than its hold an answer of the store may come before the call
 /// is given up: a packet that is lost between regions is sent again within a
@@ -32,6 +32,6 @@
                       RowsCallback callback) = 0;
 };
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
 
-#endif  // MEDLARCROFT_ROWS_ROW_SOURCE_H_
+#endif  // MEDLARCROFT_REPLICATION_ROW_SOURCE_H_
--- a/lib/libmedlarcroft/include/medlarcroft/rows/store_clock.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/store_clock.h
@@ -1,11 +1,11 @@
-#ifndef MEDLARCROFT_ROWS_STORE_CLOCK_H_
-#define MEDLARCROFT_ROWS_STORE_CLOCK_H_
+#ifndef MEDLARCROFT_REPLICATION_STORE_CLOCK_H_
+#define MEDLARCROFT_REPLICATION_STORE_CLOCK_H_
 
 #include <optional>
 
 #include "medlarcroft/core/time.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 /// @brief Tells when the store gave an answer, in this host's time, from the
 /// steady clock that the answer shows.
@@ -36,6 +36,6 @@
   std::optional<MonotonicTime> origin_;
 };
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
 
-#endif  // MEDLARCROFT_ROWS_STORE_CLOCK_H_
+#endif  // MEDLARCROFT_REPLICATION_STORE_CLOCK_H_
--- a/lib/libmedlarcroft/include/medlarcroft/rows/table_follower.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/table_follower.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ROWS_TABLE_FOLLOWER_H_
-#define MEDLARCROFT_ROWS_TABLE_FOLLOWER_H_
+#ifndef MEDLARCROFT_REPLICATION_TABLE_FOLLOWER_H_
+#define MEDLARCROFT_REPLICATION_TABLE_FOLLOWER_H_
 
 #include <cstdint>
 #include <functional>
@@ -12,14 +12,14 @@
 #include "medlarcroft/core/time.h"
 #include "medlarcroft/ports/random_source.h"
 #include "medlarcroft/ports/timers.h"
-#include "medlarcroft/rows/follow_pace.h"
-#include "medlarcroft/rows/row.h"
-#include "medlarcroft/rows/row_source.h"
-#include "medlarcroft/rows/store_clock.h"
-#include "medlarcroft/rows/table_mirror.h"
-#include "medlarcroft/rows/table_teller.h"
+#include "medlarcroft/replication/follow_timing.h"
+#include "medlarcroft/replication/row.h"
+#include "medlarcroft/replication/row_source.h"
+#include "medlarcroft/replication/store_clock.h"
+#include "medlarcroft/replication/table_mirror.h"
+#include "medlarcroft/replication/table_server.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 /// @brief A call to the store that brought nothing.
 struct FailedCall {
@@ -43,7 +43,7 @@
   virtual void OnRows(std::span<const Row> rows) = 0;
   virtual void OnCallFailed(const FailedCall& call) = 0;
   /// News comes again, `away` after the last that came.
-  virtual void OnStoreBack(Duration away) = 0;
+  virtual void OnStoreRecovered(Duration away) = 0;
   /// The host that read for this one failed it: from now on this one reads the
   /// store itself for a while.
   virtual void OnReaderLost(RowFailure failure,
@@ -56,14 +56,14 @@
  public:
   struct Options {
     std::string table;
-    FollowPace pace;
+    FollowTiming pace;
     /// Asks some other host while the store turns this one away; none: nobody
     /// is asked.
-    std::function<void(const PeerQuestion& question, RowsCallback callback)>
+    std::function<void(const RowsRequest& question, RowsCallback callback)>
         ask_peer;
     /// Asks a host that reads for the region.
     /// @return false when this host is to read the store itself.
-    std::function<bool(const PeerQuestion& question, RowsCallback callback)>
+    std::function<bool(const RowsRequest& question, RowsCallback callback)>
         ask_reader;
   };
 
@@ -81,14 +81,14 @@
 
   void Start() { Read(); }
   /// @brief Follows at that pace from now on.
-  void SetPace(const FollowPace& pace) { options_.pace = pace; }
+  void SetTiming(const FollowTiming& pace) { options_.pace = pace; }
 
   [[nodiscard]] const std::string& Table() const { return options_.table; }
   [[nodiscard]] bool HasTable() const { return has_table_; }
   /// @return how long ago the store, or a host that it serves, last answered;
   /// nullopt: never.
   [[nodiscard]] std::optional<Duration> Age() const;
-  [[nodiscard]] bool IsAway() const { return away_since_.has_value(); }
+  [[nodiscard]] bool IsDisconnected() const { return away_since_.has_value(); }
   /// @return whether an answer is due and has not come, so that there may be
   /// changes that this host has not heard of.
   [[nodiscard]] bool IsOverdue() const;
@@ -96,7 +96,7 @@
   /// on it reads the store itself.
   /// @return the rows while it has heard from the store itself within the time
   /// that a call is held, and a little.
-  [[nodiscard]] FreshTable TellOthers();
+  [[nodiscard]] FreshTable ServeFollowers();
   /// @return the rows as last heard.
   [[nodiscard]] TableMirror& Mirror() { return mirror_; }
   [[nodiscard]] const TableMirror& Mirror() const { return mirror_; }
@@ -154,6 +154,6 @@
       std::make_shared<TableFollower*>(this);
 };
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
 
-#endif  // MEDLARCROFT_ROWS_TABLE_FOLLOWER_H_
+#endif  // MEDLARCROFT_REPLICATION_TABLE_FOLLOWER_H_
--- a/lib/libmedlarcroft/include/medlarcroft/rows/table_mirror.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/table_mirror.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ROWS_TABLE_MIRROR_H_
-#define MEDLARCROFT_ROWS_TABLE_MIRROR_H_
+#ifndef MEDLARCROFT_REPLICATION_TABLE_MIRROR_H_
+#define MEDLARCROFT_REPLICATION_TABLE_MIRROR_H_
 
 #include <cstdint>
 #include <functional>
@@ -9,9 +9,9 @@
 #include <utility>
 
 #include "medlarcroft/core/time.h"
-#include "medlarcroft/rows/row.h"
+#include "medlarcroft/replication/row.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 /// @brief The rows of one table as this host last heard them, for other hosts
 /// that the store turns away or that do not read it themselves.
@@ -41,11 +41,11 @@
 struct FreshTable {
   const TableMirror* mirror = nullptr;  ///< Null: there is none.
   /// There is none yet, as its reader has just started.
-  bool is_awaited = false;
+  bool is_loading = false;
   /// How long it counts as fresh unless the store answers again.
   Duration fresh_for{0};
 };
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
 
-#endif  // MEDLARCROFT_ROWS_TABLE_MIRROR_H_
+#endif  // MEDLARCROFT_REPLICATION_TABLE_MIRROR_H_
--- a/lib/libmedlarcroft/include/medlarcroft/rows/table_teller.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/table_server.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ROWS_TABLE_TELLER_H_
-#define MEDLARCROFT_ROWS_TABLE_TELLER_H_
+#ifndef MEDLARCROFT_REPLICATION_TABLE_SERVER_H_
+#define MEDLARCROFT_REPLICATION_TABLE_SERVER_H_
 
 #include <cstdint>
 #include <functional>
@@ -10,14 +10,14 @@
 
 #include "medlarcroft/core/time.h"
 #include "medlarcroft/ports/timers.h"
-#include "medlarcroft/rows/follow_pace.h"
-#include "medlarcroft/rows/row.h"
-#include "medlarcroft/rows/table_mirror.h"
+#include "medlarcroft/replication/follow_timing.h"
+#include "medlarcroft/replication/row.h"
+#include "medlarcroft/replication/table_mirror.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 /// @brief What one host asks another for.
-struct PeerQuestion {
+struct RowsRequest {
   std::string table;
   std::uint64_t known_version = 0;
   /// How long the other one may wait for newer rows. None come when it has
@@ -34,18 +34,18 @@
 /// Load: some thirty hosts of a region wait on one. Harm prevented: all of them
 /// act on old news while the one that reads for them is cut off, and does not
 /// know it.
-class TableTeller {
+class TableServer {
  public:
   using FindTable = std::function<FreshTable(std::string_view table)>;
 
-  TableTeller(ports::Timers& timers, FindTable find_table)
+  TableServer(ports::Timers& timers, FindTable find_table)
       : timers_(timers), find_table_(std::move(find_table)) {}
-  TableTeller(const TableTeller&) = delete;
-  TableTeller& operator=(const TableTeller&) = delete;
+  TableServer(const TableServer&) = delete;
+  TableServer& operator=(const TableServer&) = delete;
 
   /// @param answer runs once: rows newer than those known, none when nothing
   /// came, or `kRefused` when this host does not hear from the store itself.
-  void Ask(const PeerQuestion& question, RowsCallback answer);
+  void Ask(const RowsRequest& question, RowsCallback answer);
 
   /// @brief Answers those that wait for a table that has changed.
   void OnChange(std::string_view table);
@@ -65,6 +65,6 @@
   std::map<std::uint64_t, Waiting> waiting_;
 };
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
 
-#endif  // MEDLARCROFT_ROWS_TABLE_TELLER_H_
+#endif  // MEDLARCROFT_REPLICATION_TABLE_SERVER_H_
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/crash_ledger.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/crash_tracker.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_REQUEST_PATH_CRASH_LEDGER_H_
-#define MEDLARCROFT_REQUEST_PATH_CRASH_LEDGER_H_
+#ifndef MEDLARCROFT_REQUEST_PATH_CRASH_TRACKER_H_
+#define MEDLARCROFT_REQUEST_PATH_CRASH_TRACKER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -31,7 +31,7 @@
   friend bool operator==(const CrashReport&, const CrashReport&) = default;
 };
 
-/// @brief Receives the decisions of a `CrashLedger`.
+/// @brief Receives the decisions of a `CrashTracker`.
 class CrashObserver {
  public:
   virtual ~CrashObserver() = default;
@@ -58,7 +58,7 @@
 /// succeed on the next target, which clears them on all hosts. A frequent
 /// request that is affected by unrelated crashes is protected by its recent
 /// answers on other hosts, which respond to crash reports with `kAnswered`.
-class CrashLedger {
+class CrashTracker {
  public:
   struct Options {
     std::uint32_t crashes_to_block = 3;
@@ -76,7 +76,7 @@
     std::size_t most_requests = 1000;
   };
 
-  explicit CrashLedger(const Options& options) : options_(options) {}
+  explicit CrashTracker(const Options& options) : options_(options) {}
 
   /// @param observer may be null; must outlive the ledger otherwise.
   void Observe(CrashObserver* observer) { observer_ = observer; }
@@ -152,4 +152,4 @@
 
 }  // namespace medlarcroft::request_path
 
-#endif  // MEDLARCROFT_REQUEST_PATH_CRASH_LEDGER_H_
+#endif  // MEDLARCROFT_REQUEST_PATH_CRASH_TRACKER_H_
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/placement_policy.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/placement_policy.h
@@ -10,7 +10,7 @@
 #include "medlarcroft/request_path/rate_limits.h"
 #include "medlarcroft/request_path/region_load.h"
 #include "medlarcroft/request_path/service_times.h"
-#include "medlarcroft/request_path/target_book.h"
+#include "medlarcroft/request_path/target_directory.h"
 
 namespace medlarcroft::request_path {
 
@@ -27,20 +27,20 @@
   /// A target that has just joined has nothing and would stay unused for long:
   /// its first request is priced as if it were likely warm, which gives it an
   /// object to keep.
-  double warm_when_untried = 0.8;
+  double warm_when_unused = 0.8;
   /// A queue is felt a little before the last slot is taken, since the estimate
   /// of the others' work is late.
-  double slots_believed_free = 0.85;
+  double queueing_threshold = 0.85;
   /// What the slot time that a request takes costs the others, over that time,
   /// when all targets are full. Failure: after a burst objects spread to
   /// targets that don't have them, each run there takes three or four times as
   /// long, and that load spreads the next ones. Symptom: targets stay full of
   /// work without the object long after the burst is over. Paying for the slot
   /// keeps a request waiting a little for a target that has the object.
-  double slot_price = 1.0;
+  double slot_cost_weight = 1.0;
   /// How much the load of the targets beside one counts, over its own in the
   /// mean, as its last report grows old.
-  double region_load_part = 0.5;
+  double region_load_weight = 0.5;
 };
 
 /// @brief What placing one request depends on beside the targets.
@@ -73,9 +73,9 @@
 };
 
 /// @brief Which of the priced candidates gets the request.
-class CandidateRule {
+class CandidateSelector {
  public:
-  virtual ~CandidateRule() = default;
+  virtual ~CandidateSelector() = default;
   /// @param candidates by region, and within each by the object's order; at
   /// least one.
   /// @return a place in `candidates`.
@@ -84,7 +84,7 @@
 };
 
 /// @brief The one that is expected to answer first.
-class SoonestAnswer final : public CandidateRule {
+class SoonestAnswer final : public CandidateSelector {
  public:
   [[nodiscard]] std::size_t Choose(
       std::span<const Placement> candidates) const override;
@@ -109,7 +109,7 @@
     std::span<const RegionTargets> regions,
     const PlacementQuestion& question,
     MonotonicTime now,
-    const CandidateRule& rule = SoonestAnswer());
+    const CandidateSelector& rule = SoonestAnswer());
 
 }  // namespace medlarcroft::request_path
 
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/region_plan.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/region_plan.h
@@ -20,7 +20,7 @@
 /// @brief How fast a plan may move.
 struct RegionPlanOptions {
   /// Part of the requests that may change their region, a second.
-  double most_moved_per_second = 0.0075;
+  double max_shift_per_second = 0.0075;
 };
 
 /// @brief Which part of one service's requests, of this host's callers, runs in
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/request_path.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/request_path.h
@@ -13,13 +13,13 @@
 #include "medlarcroft/core/identifiers.h"
 #include "medlarcroft/core/time.h"
 #include "medlarcroft/ports/random_source.h"
-#include "medlarcroft/request_path/attempt_allowance.h"
-#include "medlarcroft/request_path/crash_ledger.h"
+#include "medlarcroft/request_path/crash_tracker.h"
 #include "medlarcroft/request_path/placement_policy.h"
 #include "medlarcroft/request_path/rate_limits.h"
 #include "medlarcroft/request_path/region_plan.h"
+#include "medlarcroft/request_path/retry_budget_share.h"
 #include "medlarcroft/request_path/service_times.h"
-#include "medlarcroft/request_path/target_book.h"
+#include "medlarcroft/request_path/target_directory.h"
 #include "medlarcroft/routing/route_table.h"
 
 namespace medlarcroft::request_path {
@@ -40,23 +40,23 @@
 };
 
 /// @brief Why a request ends without a target's answer.
-enum class EndReason {
-  kNotConfigured,   ///< This host knows no configuration yet.
-  kNoRoute,         ///< No route takes it.
-  kNoRouteYet,      ///< None that is known, but the news may be old.
-  kNoTarget,        ///< No target may be used.
-  kNoRoom,          ///< The wait would be too long.
-  kTooLate,         ///< It can't be answered in the time that is left.
-  kRetriesSpent,    ///< It did not run, and no further send is allowed.
-  kMayHaveRun,      ///< A send was lost, and must not be repeated.
-  kTimedOut,        ///< The time is over while a target had it.
-  kHostLeaving,     ///< This host takes nothing new.
-  kCrashesTargets,  ///< It is blocked because it crashed targets.
+enum class FailureReason {
+  kNotConfigured,        ///< This host knows no configuration yet.
+  kNoRoute,              ///< No route takes it.
+  kNoRouteYet,           ///< None that is known, but the news may be old.
+  kNoTarget,             ///< No target may be used.
+  kOverloaded,           ///< The wait would be too long.
+  kDeadlineUnreachable,  ///< It can't be answered in the time that is left.
+  kRetriesExhausted,     ///< It did not run, and no further send is allowed.
+  kMayHaveRun,           ///< A send was lost, and must not be repeated.
+  kTimedOut,             ///< The time is over while a target had it.
+  kHostDraining,         ///< This host takes nothing new.
+  kRequestBlocked,       ///< It is blocked because it crashed targets.
 };
 
 /// @brief A final answer that this host makes itself.
-struct Ending {
-  EndReason reason = EndReason::kNoTarget;
+struct RequestFailure {
+  FailureReason reason = FailureReason::kNoTarget;
   /// Proved: no target ran it, and none will.
   bool is_not_run = true;
   /// When the caller may come back; absent: no use.
@@ -75,9 +75,9 @@
   Duration time_left{0};   ///< To tell the target.
   bool may_repeat = false;
   /// Other hosts are to hear that the target has the object now.
-  bool is_news = false;
+  bool should_announce = false;
   /// When `OnSlow` is due, if the attempt has not ended by then.
-  std::optional<Duration> slow_after;
+  std::optional<Duration> hedge_after;
   Placement placement;
   std::optional<Duration> report_age;
 };
@@ -91,10 +91,10 @@
 /// @brief Another send of the request is under way; its end decides.
 struct AwaitAttempt {};
 
-using Step = std::variant<SendAttempt, Ending, PassOn, AwaitAttempt>;
+using Step = std::variant<SendAttempt, RequestFailure, PassOn, AwaitAttempt>;
 
 /// @brief What `Begin` tells beside the first step.
-struct Begun {
+struct RequestStart {
   RequestTicket ticket = 0;  ///< 0: it ended at once.
   std::shared_ptr<const routing::Route> route;
   ServiceName service;
@@ -115,38 +115,41 @@
  public:
   struct Options {
     RegionName own_region;
-    AttemptBound attempt_bound;
+    RetryLimit retry_limit;
     /// A cold target's requests in any second, over its configured rate.
     double cold_over = 1.0;
     double cold_extra = 0.0;
     /// Whether requests keep to a plan of regions; otherwise each is placed
     /// wherever it is best.
-    bool plans_regions = true;
+    bool uses_region_plan = true;
     RegionPlanOptions region_plan;
     PlacementOptions placement;
     /// Chooses among the targets; null: the one expected to answer first. It
     /// must outlive the path.
-    const CandidateRule* rule = nullptr;
+    const CandidateSelector* rule = nullptr;
     /// The longest wait in a target's queue that is still accepted, in parts of
     /// the latency objective: beyond it the answer comes late and holds up what
     /// follows.
-    double longest_wait = 0.6;
-    CrashLedger::Options crashes;
+    double max_queue_wait = 0.6;
+    CrashTracker::Options crashes;
     RateLimits::Options limits;
   };
 
   RequestPath(const Options& options,
               routing::RouteTable& routes,
-              TargetBook& targets,
+              TargetDirectory& targets,
               ports::RandomSource& random);
 
   /// @brief How many hosts share what is bounded for all: those that are or
   /// may be sending.
   void SetHostCount(std::uint32_t hosts) { host_count_ = std::max(hosts, 1U); }
   /// @brief Whether the configuration may be older than what is in force.
-  void SetNewsDoubtful(bool is_doubtful) { is_news_doubtful_ = is_doubtful; }
+  void SetConfigurationStale(bool is_doubtful) {
+    is_news_doubtful_ = is_doubtful;
+  }
 
-  [[nodiscard]] Begun Begin(const CallerRequest& request, MonotonicTime now);
+  [[nodiscard]] RequestStart Begin(const CallerRequest& request,
+                                   MonotonicTime now);
 
   [[nodiscard]] Step OnAttemptEnd(RequestTicket ticket,
                                   AttemptNumber attempt,
@@ -155,7 +158,8 @@
   /// @brief An attempt takes longer than is usual.
   [[nodiscard]] Step OnSlow(RequestTicket ticket, MonotonicTime now);
   /// @brief The time that `Begin` told is over: the request ends.
-  [[nodiscard]] Ending OnTimeout(RequestTicket ticket, MonotonicTime now);
+  [[nodiscard]] RequestFailure OnTimeout(RequestTicket ticket,
+                                         MonotonicTime now);
   /// @brief The caller went away: the request ends.
   void OnCallerGone(RequestTicket ticket);
 
@@ -163,11 +167,11 @@
                 const LoadReport& report,
                 MonotonicTime now);
   /// @brief Another host sent that object to a target.
-  void OnPlacedByOther(TargetNumber target, ObjectKey object);
+  void OnPlacedByOtherHost(TargetNumber target, ObjectKey object);
   /// @brief Another host heard how many requests a target had.
-  void OnToldLoad(TargetNumber target,
-                  std::uint32_t requests,
-                  MonotonicTime now);
+  void OnReportedLoad(TargetNumber target,
+                      std::uint32_t requests,
+                      MonotonicTime now);
   void OnConnected(const RegionName& region, Duration round_trip) {
     distances_.OnConnected(region, round_trip);
   }
@@ -181,7 +185,7 @@
   /// @brief Applies a rate limit report of another host.
   void OnLimitReport(const LimitReport& report, MonotonicTime now);
   [[nodiscard]] RateLimits& Limits() { return limits_; }
-  [[nodiscard]] CrashLedger& Crashes() { return crashes_; }
+  [[nodiscard]] CrashTracker& Crashes() { return crashes_; }
   [[nodiscard]] std::size_t InFlight() const { return requests_.size(); }
   [[nodiscard]] std::uint32_t HostCount() const { return host_count_; }
   [[nodiscard]] std::uint64_t ConfigurationVersion() const {
@@ -214,7 +218,7 @@
     std::optional<AttemptNumber> failed_answer;
   };
 
-  [[nodiscard]] AttemptAllowance& AllowanceOf(const ServiceName& service);
+  [[nodiscard]] RetryBudgetShare& AllowanceOf(const ServiceName& service);
   [[nodiscard]] ServiceTimes& TimesOf(const ServiceName& service,
                                       Duration latency_objective);
   [[nodiscard]] std::uint32_t ColdAllowance(const ServiceName& service) const;
@@ -235,7 +239,7 @@
   [[nodiscard]] Step SendAgain(Request& request, MonotonicTime now);
   [[nodiscard]] Step Conclude(RequestTicket ticket,
                               Request& request,
-                              const Ending& ending);
+                              const RequestFailure& ending);
   void Learn(const Request& request,
              const Attempt& attempt,
              AttemptEnd end,
@@ -249,16 +253,16 @@
   Options options_;
   SoonestAnswer soonest_answer_;
   routing::RouteTable& routes_;
-  TargetBook& targets_;
+  TargetDirectory& targets_;
   ports::RandomSource& random_;
   RegionDistances distances_;
-  CrashLedger crashes_;
+  CrashTracker crashes_;
   RateLimits limits_;
   std::uint32_t host_count_ = 1;
   bool is_news_doubtful_ = false;
   RequestTicket last_ticket_ = 0;
   std::unordered_map<RequestTicket, Request> requests_;
-  std::map<ServiceName, AttemptAllowance> allowances_;
+  std::map<ServiceName, RetryBudgetShare> allowances_;
   std::map<ServiceName, ServiceTimes> times_;
   std::map<ServiceName, RegionPlan> plans_;
   std::map<ServiceName, RegionLoad> loads_;
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/attempt_allowance.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/retry_budget_share.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_REQUEST_PATH_ATTEMPT_ALLOWANCE_H_
-#define MEDLARCROFT_REQUEST_PATH_ATTEMPT_ALLOWANCE_H_
+#ifndef MEDLARCROFT_REQUEST_PATH_RETRY_BUDGET_SHARE_H_
+#define MEDLARCROFT_REQUEST_PATH_RETRY_BUDGET_SHARE_H_
 
 #include <cstdint>
 
@@ -10,7 +10,7 @@
 
 /// @brief The bound that all hosts together keep on further sends of one
 /// service's requests.
-struct AttemptBound {
+struct RetryLimit {
   double ratio = 0.2;  ///< Further sends for each request.
   double fixed = 50;   ///< On top, in each window, of all hosts together.
   Duration window = std::chrono::seconds(10);
@@ -23,9 +23,9 @@
 /// down. Each host spends from the requests that it took itself and from an
 /// equal part of the fixed amount, so the sum over all hosts holds whatever
 /// they know of each other; a host that is cut off has its part all the same.
-class AttemptAllowance {
+class RetryBudgetShare {
  public:
-  explicit AttemptAllowance(const AttemptBound& bound);
+  explicit RetryBudgetShare(const RetryLimit& bound);
 
   void OnRequest(MonotonicTime now) { requests_.Add(now); }
   /// @param hosts that share the fixed part: all that may be sending.
@@ -34,11 +34,11 @@
   [[nodiscard]] double Left(std::uint32_t hosts, MonotonicTime now) const;
 
  private:
-  AttemptBound bound_;
+  RetryLimit bound_;
   EventWindow requests_;
   EventWindow further_sends_;
 };
 
 }  // namespace medlarcroft::request_path
 
-#endif  // MEDLARCROFT_REQUEST_PATH_ATTEMPT_ALLOWANCE_H_
+#endif  // MEDLARCROFT_REQUEST_PATH_RETRY_BUDGET_SHARE_H_
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/target_book.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/target_directory.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_REQUEST_PATH_TARGET_BOOK_H_
-#define MEDLARCROFT_REQUEST_PATH_TARGET_BOOK_H_
+#ifndef MEDLARCROFT_REQUEST_PATH_TARGET_DIRECTORY_H_
+#define MEDLARCROFT_REQUEST_PATH_TARGET_DIRECTORY_H_
 
 #include <map>
 #include <memory>
@@ -28,7 +28,7 @@
     std::span<TargetState* const> targets);
 
 /// @brief What changed in the book, for the log.
-enum class BookChange {
+enum class TargetChange {
   kAdded,
   kUpdated,
   kLeaving,
@@ -40,10 +40,10 @@
 };
 
 /// @brief Hears of changes.
-class BookObserver {
+class TargetDirectoryObserver {
  public:
-  virtual ~BookObserver() = default;
-  virtual void OnTargetChange(BookChange change,
+  virtual ~TargetDirectoryObserver() = default;
+  virtual void OnTargetChange(TargetChange change,
                               const TargetRecord& target) = 0;
 };
 
@@ -54,9 +54,9 @@
 /// id is another one: it starts with no belief, and cold. News of an earlier
 /// process than the one that is known changes nothing, so hosts that heard in
 /// different orders agree once each has heard of the latest.
-class TargetBook {
+class TargetDirectory {
  public:
-  TargetBook(DomainRegions regions, BookObserver& observer);
+  TargetDirectory(DomainRegions regions, TargetDirectoryObserver& observer);
 
   /// @brief The registry's whole content. Targets that are missing are gone,
   /// or doubted until `doubted_until` when their entries may have lapsed while
@@ -124,7 +124,7 @@
       const ServiceName& service) const;
 
   DomainRegions regions_;
-  BookObserver& observer_;
+  TargetDirectoryObserver& observer_;
   bool is_first_list_ = true;
   std::map<TargetName, Entry> targets_;
   std::unordered_map<TargetNumber, TargetState*> numbers_;
@@ -139,4 +139,4 @@
 
 }  // namespace medlarcroft::request_path
 
-#endif  // MEDLARCROFT_REQUEST_PATH_TARGET_BOOK_H_
+#endif  // MEDLARCROFT_REQUEST_PATH_TARGET_DIRECTORY_H_
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/target_state.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/target_state.h
@@ -24,7 +24,7 @@
   kAnswered,      ///< A whole answer, not a failure of the target.
   kTargetFailed,  ///< A whole answer that reports a failure; counts as run.
   kNotRun,        ///< The target says that it did not run it.
-  kOtherTarget,   ///< Another target has the address; it did not run it.
+  kWrongTarget,   ///< Another target has the address; it did not run it.
   kNeverSent,     ///< No connection came about.
   kLost,          ///< The connection or its answer broke; it may have run.
   kTimedOut,      ///< No answer in time; it may have run.
@@ -48,7 +48,7 @@
 
   void OnSent(ObjectKey object, MonotonicTime now);
   /// Another host sent it that object.
-  void OnSentByOther(ObjectKey object);
+  void OnSentByOtherHost(ObjectKey object);
   /// @param relative_time the time at the target divided by what was expected;
   /// absent when it says nothing of the target's speed.
   void OnEnded(AttemptEnd end,
--- a/lib/libmedlarcroft/include/medlarcroft/routing/routing_configuration.h
+++ b/lib/libmedlarcroft/include/medlarcroft/routing/routing_configuration.h
@@ -15,7 +15,7 @@
 enum class RequestKind { kIdempotent, kNonIdempotent };
 
 /// @brief One of the services that share a route's requests.
-struct ServicePart {
+struct WeightedService {
   ServiceName service;
   double weight = 1.0;  ///< In proportion to the other parts' weights.
 };
@@ -32,7 +32,7 @@
   Duration latency_objective = std::chrono::seconds(1);
   std::uint32_t max_attempts = 1;  ///< Targets that one request may be sent to.
   int priority = 0;                ///< 0 is the highest.
-  std::vector<ServicePart> parts;  ///< At least one.
+  std::vector<WeightedService> weighted_services;  ///< At least one.
   /// Targets work faster on an object that they handled lately.
   bool is_sticky = false;
   /// Regions whose targets may run it; empty: all.
--- a/lib/libmedlarcroft/include/medlarcroft/steering/handed_out_demand.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/lookup_demand_tracker.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_STEERING_HANDED_OUT_DEMAND_H_
-#define MEDLARCROFT_STEERING_HANDED_OUT_DEMAND_H_
+#ifndef MEDLARCROFT_STEERING_LOOKUP_DEMAND_TRACKER_H_
+#define MEDLARCROFT_STEERING_LOOKUP_DEMAND_TRACKER_H_
 
 #include <array>
 #include <cstddef>
@@ -14,7 +14,7 @@
 
 namespace medlarcroft::steering {
 
-/// @brief Bounds of `HandedOutDemand`.
+/// @brief Bounds of `LookupDemandTracker`.
 struct HandedOutOptions {
   /// Longest TTL that is told apart; a longer one counts as this long.
   Duration longest_ttl = std::chrono::seconds(64);
@@ -31,9 +31,9 @@
 /// domain that looked idle, until all that it sent arrives at once. The memory
 /// is a ring of buckets for each pair, by expiry time, so it is bounded and an
 /// answer is dropped at most one bucket too late.
-class HandedOutDemand {
+class LookupDemandTracker {
  public:
-  explicit HandedOutDemand(HandedOutOptions options = {});
+  explicit LookupDemandTracker(HandedOutOptions options = {});
 
   /// @brief Counts one answer.
   /// @param demand_per_second what its caller is expected to bring.
@@ -79,4 +79,4 @@
 
 }  // namespace medlarcroft::steering
 
-#endif  // MEDLARCROFT_STEERING_HANDED_OUT_DEMAND_H_
+#endif  // MEDLARCROFT_STEERING_LOOKUP_DEMAND_TRACKER_H_
--- a/lib/libmedlarcroft/include/medlarcroft/steering/lookup_planner.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/lookup_planner.h
@@ -17,7 +17,7 @@
 #include "medlarcroft/steering/entry_host.h"
 #include "medlarcroft/steering/lookup_answer.h"
 #include "medlarcroft/steering/shift_plan.h"
-#include "medlarcroft/steering/weighted_draw.h"
+#include "medlarcroft/steering/weighted_sampler.h"
 
 namespace medlarcroft::steering {
 
--- a/lib/libmedlarcroft/include/medlarcroft/steering/shift_admission.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/shift_admission.h
@@ -29,7 +29,7 @@
 /// the receiver over its capacity: a forwarded request gets a slot only while
 /// the reserve stays free after it and none of the domain's own callers waits.
 /// It never queues, because its deadline has already paid for the link.
-[[nodiscard]] Result<Success, ShiftAdmissionRefusal> AdmitShifted(
+[[nodiscard]] Result<Success, ShiftAdmissionRefusal> AdmitForwarded(
     const ReceiverState& state);
 
 }  // namespace medlarcroft::steering
--- a/lib/libmedlarcroft/include/medlarcroft/steering/shift_planner.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/shift_planner.h
@@ -20,7 +20,7 @@
   double growth_margin = 0.05;
   /// Home must have been cheaper for so long before a shift is taken back.
   /// Three heartbeats late plus the longest usual look-up TTL, twice over.
-  Duration steady_time = std::chrono::seconds(30);
+  Duration return_hold_time = std::chrono::seconds(30);
   /// A summary is taken at its word up to this age (a few exchanges) …
   Duration fresh_age = std::chrono::seconds(3);
   /// … and offers nothing from this age on; in between, in proportion.
--- a/lib/libmedlarcroft/include/medlarcroft/steering/weighted_draw.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/weighted_sampler.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_STEERING_WEIGHTED_DRAW_H_
-#define MEDLARCROFT_STEERING_WEIGHTED_DRAW_H_
+#ifndef MEDLARCROFT_STEERING_WEIGHTED_SAMPLER_H_
+#define MEDLARCROFT_STEERING_WEIGHTED_SAMPLER_H_
 
 #include <cstddef>
 #include <span>
@@ -32,4 +32,4 @@
 
 }  // namespace medlarcroft::steering
 
-#endif  // MEDLARCROFT_STEERING_WEIGHTED_DRAW_H_
+#endif  // MEDLARCROFT_STEERING_WEIGHTED_SAMPLER_H_
--- a/lib/libmedlarcroft/include/medlarcroft/telemetry/request_line_budget.h
+++ b/lib/libmedlarcroft/include/medlarcroft/telemetry/request_log_sampler.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_TELEMETRY_REQUEST_LINE_BUDGET_H_
-#define MEDLARCROFT_TELEMETRY_REQUEST_LINE_BUDGET_H_
+#ifndef MEDLARCROFT_TELEMETRY_REQUEST_LOG_SAMPLER_H_
+#define MEDLARCROFT_TELEMETRY_REQUEST_LOG_SAMPLER_H_
 
 #include <cstdint>
 #include <string_view>
@@ -12,9 +12,9 @@
 /// @brief How a request ended, for whoever may have to explain it.
 enum class RequestOutcome {
   kServed,
-  kLate,         ///< Answered past its objective, or its caller left.
-  kFailed,       ///< Refused or failed by this host.
-  kOrderFailed,  ///< The same, of a request that is not idempotent.
+  kLate,                 ///< Answered past its objective, or its caller left.
+  kFailed,               ///< Refused or failed by this host.
+  kNonIdempotentFailed,  ///< The same, of a request that is not idempotent.
 };
 
 [[nodiscard]] std::string_view NameOf(RequestOutcome outcome);
@@ -27,7 +27,7 @@
 /// id that is found can't be explained; and without a limit lines cost more
 /// than the requests. A hash of the id selects some, whatever becomes of them;
 /// others are selected at their end, orders that failed before the rest.
-class RequestLineBudget {
+class RequestLogSampler {
  public:
   /// Most requests a second that are logged for their id.
   static constexpr std::uint32_t kById = 20;
@@ -36,11 +36,11 @@
   static constexpr std::uint32_t kAtEnd = 20;
 
   /// @brief Asked once a request, at its first line.
-  [[nodiscard]] bool ChooseById(std::string_view id, MonotonicTime now);
+  [[nodiscard]] bool SampleById(std::string_view id, MonotonicTime now);
   /// @brief Asked at the end of a request that is not logged for its id.
-  [[nodiscard]] bool ChooseAtEnd(RequestOutcome outcome, MonotonicTime now);
+  [[nodiscard]] bool SampleAtEnd(RequestOutcome outcome, MonotonicTime now);
   /// @return how many requests were left out since it was last asked.
-  [[nodiscard]] std::uint64_t TakeLeftOut() {
+  [[nodiscard]] std::uint64_t TakeUnsampledCount() {
     return std::exchange(left_out_, 0);
   }
 
@@ -58,4 +58,4 @@
 
 }  // namespace medlarcroft::telemetry
 
-#endif  // MEDLARCROFT_TELEMETRY_REQUEST_LINE_BUDGET_H_
+#endif  // MEDLARCROFT_TELEMETRY_REQUEST_LOG_SAMPLER_H_
--- a/lib/libmedlarcroft/source/adapters/console/catalogue_change_commands.cc
+++ b/lib/libmedlarcroft/source/adapters/console/catalogue_change_commands.cc
@@ -1,10 +1,10 @@
 #include <nlohmann/json.hpp>
 #include <ostream>
 
-#include "adapters/console/answer_report.h"
 #include "adapters/console/catalogue_commands.h"
 #include "adapters/console/command_line.h"
 #include "adapters/console/in_force_wait.h"
+#include "adapters/console/response_report.h"
 #include "adapters/platform/platform_json.h"
 #include "adapters/process/program_options.h"
 
@@ -92,7 +92,7 @@
     return ReportNoAnswer(context, ErrorOf(reply), change.change_id);
   }
 
-  const ClientAnswer& answer = ValueOf(reply).answer;
+  const ClientResponse& answer = ValueOf(reply).answer;
   const ExitCode code = ExitCodeOfChange(ValueOf(reply));
   if (code != ExitCode::kDone) {
     (void)ReportRefusal(context, answer);
@@ -129,7 +129,7 @@
   }
   const auto document = ReadSettingsFile(parsed->words[1]);
   if (!IsOk(document)) {
-    PrintFaults(ErrorOf(document), context.errors);
+    PrintSettingsErrors(ErrorOf(document), context.errors);
     return ExitCode::kBadUsage;
   }
 
--- a/lib/libmedlarcroft/source/adapters/console/catalogue_check_command.cc
+++ b/lib/libmedlarcroft/source/adapters/console/catalogue_check_command.cc
@@ -1,8 +1,8 @@
 #include <map>
 #include <ostream>
 
-#include "adapters/console/answer_report.h"
 #include "adapters/console/catalogue_commands.h"
+#include "adapters/console/response_report.h"
 #include "adapters/process/program_options.h"
 #include "medlarcroft/catalogue/entry_codec.h"
 #include "medlarcroft/catalogue/entry_rules.h"
@@ -31,7 +31,7 @@
                                       const std::string& path) {
   const auto text = ReadSettingsFile(path);
   if (!IsOk(text)) {
-    PrintFaults(ErrorOf(text), context.errors);
+    PrintSettingsErrors(ErrorOf(text), context.errors);
     return std::nullopt;
   }
   auto parsed =
--- a/lib/libmedlarcroft/source/adapters/console/catalogue_read_commands.cc
+++ b/lib/libmedlarcroft/source/adapters/console/catalogue_read_commands.cc
@@ -6,10 +6,10 @@
 #include <ostream>
 #include <sstream>
 
-#include "adapters/console/answer_report.h"
 #include "adapters/console/catalogue_commands.h"
 #include "adapters/console/command_line.h"
 #include "adapters/console/in_force_wait.h"
+#include "adapters/console/response_report.h"
 #include "adapters/console/text_table.h"
 #include "adapters/platform/platform_json.h"
 
--- a/lib/libmedlarcroft/source/adapters/console/drain_command.cc
+++ b/lib/libmedlarcroft/source/adapters/console/drain_command.cc
@@ -4,9 +4,9 @@
 #include <array>
 #include <ostream>
 
-#include "adapters/console/answer_report.h"
 #include "adapters/console/command_line.h"
 #include "adapters/console/in_force_wait.h"
+#include "adapters/console/response_report.h"
 #include "medlarcroft/catalogue/entry_codec.h"
 
 namespace medlarcroft::adapters {
@@ -44,7 +44,7 @@
   if (!IsOk(reply)) {
     return ReportNoAnswer(context, ErrorOf(reply), {});
   }
-  const ClientAnswer& answer = ValueOf(reply).answer;
+  const ClientResponse& answer = ValueOf(reply).answer;
   const ExitCode code = ExitCodeOf(answer);
   if (code == ExitCode::kNotFound) {
     return std::uint64_t{0};
--- a/lib/libmedlarcroft/source/adapters/console/answer_report.cc
+++ b/lib/libmedlarcroft/source/adapters/console/response_report.cc
@@ -1,4 +1,4 @@
-#include "adapters/console/answer_report.h"
+#include "adapters/console/response_report.h"
 
 #include <nlohmann/json.hpp>
 #include <ostream>
@@ -29,7 +29,7 @@
   if (!IsOk(reply)) {
     return ReportNoAnswer(context, ErrorOf(reply), {});
   }
-  const ClientAnswer& answer = ValueOf(reply).answer;
+  const ClientResponse& answer = ValueOf(reply).answer;
   if (ExitCodeOf(answer) != ExitCode::kDone) {
     return ReportRefusal(context, answer);
   }
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-ExitCode ExitCodeOf(const ClientAnswer& answer) {
+ExitCode ExitCodeOf(const ClientResponse& answer) {
   if (answer.headers.Find("Medlar-Outcome") == "unknown") {
     return ExitCode::kOutcomeUnknown;
   }
@@ -89,7 +89,7 @@
 }
 
 ExitCode ReportRefusal(const CommandContext& context,
-                       const ClientAnswer& answer) {
+                       const ClientResponse& answer) {
   auto body = nlohmann::ordered_json::parse(answer.body, nullptr, false);
   if (!body.is_object()) {
     context.errors << "answer " << answer.status << '\n';
--- a/lib/libmedlarcroft/source/adapters/console/answer_report.h
+++ b/lib/libmedlarcroft/source/adapters/console/response_report.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ADAPTERS_CONSOLE_ANSWER_REPORT_H_
-#define MEDLARCROFT_ADAPTERS_CONSOLE_ANSWER_REPORT_H_
+#ifndef MEDLARCROFT_ADAPTERS_CONSOLE_RESPONSE_REPORT_H_
+#define MEDLARCROFT_ADAPTERS_CONSOLE_RESPONSE_REPORT_H_
 
 #include <functional>
 #include <nlohmann/json.hpp>
@@ -12,7 +12,7 @@
 namespace medlarcroft::adapters {
 
 /// @return the exit code that an answer of the operators' interface stands for.
-[[nodiscard]] ExitCode ExitCodeOf(const ClientAnswer& answer);
+[[nodiscard]] ExitCode ExitCodeOf(const ClientResponse& answer);
 
 /// @brief Says why no steerd answered.
 /// @param change_id set for a change: it may have been made.
@@ -35,7 +35,7 @@
 
 /// @brief Says what a refusal says, with its faults.
 [[nodiscard]] ExitCode ReportRefusal(const CommandContext& context,
-                                     const ClientAnswer& answer);
+                                     const ClientResponse& answer);
 
 /// @return the exit code of a change. After a lost answer only an acceptance or
 /// a conflict is proof: the change id or the entry's version then rules out
@@ -47,4 +47,4 @@
 
 }  // namespace medlarcroft::adapters
 
-#endif  // MEDLARCROFT_ADAPTERS_CONSOLE_ANSWER_REPORT_H_
+#endif  // MEDLARCROFT_ADAPTERS_CONSOLE_RESPONSE_REPORT_H_
--- a/lib/libmedlarcroft/source/adapters/console/status_commands.cc
+++ b/lib/libmedlarcroft/source/adapters/console/status_commands.cc
@@ -4,9 +4,9 @@
 #include <nlohmann/json.hpp>
 #include <ostream>
 
-#include "adapters/console/answer_report.h"
 #include "adapters/console/command_line.h"
 #include "adapters/console/json_tree.h"
+#include "adapters/console/response_report.h"
 #include "adapters/console/steerd_status.h"
 #include "adapters/console/text_table.h"
 #include "adapters/platform/platform_json.h"
@@ -51,7 +51,7 @@
   table.Print(out);
 }
 
-Json BodyOf(const ClientAnswer& answer) {
+Json BodyOf(const ClientResponse& answer) {
   const Json body = Json::parse(answer.body, nullptr, false);
   return body.is_discarded() ? Json(nullptr) : body;
 }
--- a/lib/libmedlarcroft/source/adapters/console/steerd_client.h
+++ b/lib/libmedlarcroft/source/adapters/console/steerd_client.h
@@ -18,7 +18,7 @@
 
 /// @brief An answer, and what went before it.
 struct SteerdReply {
-  ClientAnswer answer;
+  ClientResponse answer;
   /// An earlier steerd may have got the request and not answered.
   bool had_lost_answer = false;
 };
@@ -26,7 +26,7 @@
 /// @brief One steerd's answer, or none, in the order of the URLs.
 struct SteerdAnswer {
   std::string url;
-  Result<ClientAnswer, TransportError> result;
+  Result<ClientResponse, TransportError> result;
 };
 
 /// @brief Talks to the first steerd that answers.
--- a/lib/libmedlarcroft/source/adapters/entry/attempt_result.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/attempt_result.cc
@@ -34,7 +34,7 @@
   }
 }
 
-AttemptOutcome OutcomeOf(const ClientAnswer& answer) {
+AttemptOutcome OutcomeOf(const ClientResponse& answer) {
   if (answer.headers.Find(protocol::kTargetNotRun)) {
     return answer.headers.Find(protocol::kTargetDraining)
                ? AttemptOutcome::kTargetLeaving
@@ -44,18 +44,19 @@
                                             : AttemptOutcome::kAnswered;
 }
 
-bool IsCrossed(const ClientAnswer& answer, std::string_view attempt_name) {
+bool IsCrossed(const ClientResponse& answer, std::string_view attempt_name) {
   const auto echoed = answer.headers.Find(protocol::kRequestId);
   return echoed && *echoed != attempt_name;
 }
 
 }  // namespace
 
-AttemptResult JudgeAttempt(ClientResult result, std::string_view attempt_name) {
+AttemptResult ClassifyAttempt(ClientResult result,
+                              std::string_view attempt_name) {
   if (!IsOk(result)) {
     return {.outcome = OutcomeOf(ErrorOf(result))};
   }
-  ClientAnswer answer = TakeValue(std::move(result));
+  ClientResponse answer = TakeValue(std::move(result));
   if (IsCrossed(answer, attempt_name)) {
     return {.outcome = AttemptOutcome::kConnectionLost, .is_crossed = true};
   }
--- a/lib/libmedlarcroft/source/adapters/entry/attempt_result.h
+++ b/lib/libmedlarcroft/source/adapters/entry/attempt_result.h
@@ -14,7 +14,7 @@
 struct AttemptResult {
   decision::AttemptOutcome outcome = decision::AttemptOutcome::kConnectionLost;
   /// Present for a whole answer, and only then.
-  std::optional<ClientAnswer> answer;
+  std::optional<ClientResponse> answer;
   /// The target said that it is leaving, whatever the answer.
   bool is_target_leaving = false;
   /// The answer named another attempt: it belongs to somebody else.
@@ -22,8 +22,8 @@
 };
 
 /// @brief Judges what came back for the attempt called `attempt_name`.
-[[nodiscard]] AttemptResult JudgeAttempt(ClientResult result,
-                                         std::string_view attempt_name);
+[[nodiscard]] AttemptResult ClassifyAttempt(ClientResult result,
+                                            std::string_view attempt_name);
 
 }  // namespace medlarcroft::adapters
 
--- a/lib/libmedlarcroft/source/adapters/entry/caller_watch.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/caller_disconnect_monitor.cc
@@ -1,25 +1,25 @@
-#include "adapters/entry/caller_watch.h"
+#include "adapters/entry/caller_disconnect_monitor.h"
 
 #include <utility>
 #include <vector>
 
 namespace medlarcroft::adapters {
 
-void CallerWatch::Add(decision::RequestTicket ticket,
-                      const std::shared_ptr<Responder>& responder,
-                      bool is_kept_if_dispatched) {
+void CallerDisconnectMonitor::Add(decision::RequestTicket ticket,
+                                  const std::shared_ptr<Responder>& responder,
+                                  bool is_kept_if_dispatched) {
   const std::lock_guard lock(mutex_);
   watched_[ticket] = {responder, is_kept_if_dispatched};
 }
 
-void CallerWatch::Check() {
+void CallerDisconnectMonitor::Check() {
   std::vector<std::pair<decision::RequestTicket, bool>> gone;
   {
     const std::lock_guard lock(mutex_);
     for (auto it = watched_.begin(); it != watched_.end();) {
       // The listener drops its responder once the request is answered.
       const auto responder = it->second.responder.lock();
-      if (responder && !responder->IsCallerGone()) {
+      if (responder && !responder->IsClientDisconnected()) {
         ++it;
         continue;
       }
--- a/lib/libmedlarcroft/source/adapters/entry/caller_watch.h
+++ b/lib/libmedlarcroft/source/adapters/entry/caller_disconnect_monitor.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ADAPTERS_ENTRY_CALLER_WATCH_H_
-#define MEDLARCROFT_ADAPTERS_ENTRY_CALLER_WATCH_H_
+#ifndef MEDLARCROFT_ADAPTERS_ENTRY_CALLER_DISCONNECT_MONITOR_H_
+#define MEDLARCROFT_ADAPTERS_ENTRY_CALLER_DISCONNECT_MONITOR_H_
 
 #include <map>
 #include <memory>
@@ -16,9 +16,9 @@
 /// holds a slot. Symptom: under load, most slots work for nobody. Looking at
 /// each caller's connection a few times a second is enough, since a request
 /// holds its slot for tens of milliseconds or more.
-class CallerWatch {
+class CallerDisconnectMonitor {
  public:
-  explicit CallerWatch(RequestEngine& engine) : engine_(engine) {}
+  explicit CallerDisconnectMonitor(RequestEngine& engine) : engine_(engine) {}
 
   /// @param is_kept_if_dispatched see `RequestEngine::Cancel`.
   void Add(decision::RequestTicket ticket,
@@ -42,4 +42,4 @@
 
 }  // namespace medlarcroft::adapters
 
-#endif  // MEDLARCROFT_ADAPTERS_ENTRY_CALLER_WATCH_H_
+#endif  // MEDLARCROFT_ADAPTERS_ENTRY_CALLER_DISCONNECT_MONITOR_H_
--- a/lib/libmedlarcroft/source/adapters/entry/claim_worker.h
+++ b/lib/libmedlarcroft/source/adapters/entry/claim_worker.h
@@ -5,7 +5,7 @@
 #include <functional>
 
 #include "adapters/process/worker_thread.h"
-#include "medlarcroft/catalogue/platform_budget.h"
+#include "medlarcroft/catalogue/platform_rate_limiter.h"
 #include "medlarcroft/idempotency/durable_claims.h"
 
 namespace medlarcroft::adapters {
@@ -21,7 +21,7 @@
   static constexpr std::size_t kMaxQueued = 128;
 
   ClaimWorker(idempotency::DurableClaims& claims,
-              const catalogue::PlatformBudget& budget)
+              const catalogue::PlatformRateLimiter& budget)
       : claims_(claims), budget_(budget) {}
 
   /// @brief Claims `key`; `callback` runs on the worker's thread.
@@ -43,7 +43,7 @@
 
   /// @brief Notes that a claimed key was sent to a target.
   void MarkDispatched(const idempotency::Key& key) {
-    worker_.PostFirst(
+    worker_.PostFront(
         [this, key] { static_cast<void>(claims_.MarkDispatched(key)); });
   }
 
@@ -52,7 +52,7 @@
 
  private:
   idempotency::DurableClaims& claims_;
-  const catalogue::PlatformBudget& budget_;
+  const catalogue::PlatformRateLimiter& budget_;
   WorkerThread worker_;
 };
 
--- a/lib/libmedlarcroft/source/adapters/entry/entry_gauges.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_gauges.cc
@@ -42,9 +42,9 @@
   set(kLedgerBytes, sources_.keys.LedgerBytes());
   set(kClaims, sources_.claims.Waiting());
   const auto seats = sources_.capacity.Status();
-  set(kSeats, static_cast<std::size_t>(
-                  std::ranges::count(seats, capacity::SeatStanding::kHeld,
-                                     &capacity::SeatStatus::standing)));
+  set(kSeats,
+      static_cast<std::size_t>(std::ranges::count(
+          seats, capacity::SeatState::kHeld, &capacity::SeatStatus::state)));
   RefreshSlots();
 }
 
@@ -54,7 +54,7 @@
     for (const auto& [name, service] : routes->services) {
       for (const decision::TargetConfig& target : service.config.targets) {
         const capacity::UsableSlots slots =
-            sources_.capacity.UsableOf(target.name);
+            sources_.capacity.UsableSlotsOf(target.name);
         const auto add = [&](std::string_view kind, std::uint32_t count) {
           values.push_back({{target.name, Label::OfConstant("kind", kind)},
                             static_cast<double>(count)});
--- a/lib/libmedlarcroft/source/adapters/entry/entry_gauges.h
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_gauges.h
@@ -2,10 +2,10 @@
 #define MEDLARCROFT_ADAPTERS_ENTRY_ENTRY_GAUGES_H_
 
 #include "adapters/entry/claim_worker.h"
-#include "adapters/entry/key_guard.h"
+#include "adapters/entry/idempotency_guard.h"
 #include "adapters/entry/request_engine.h"
 #include "adapters/http/listener_metrics.h"
-#include "medlarcroft/capacity/capacity_keeper.h"
+#include "medlarcroft/capacity/capacity_manager.h"
 #include "medlarcroft/telemetry/gauge_group.h"
 #include "medlarcroft/telemetry/metrics.h"
 
@@ -17,8 +17,8 @@
  public:
   struct Sources {
     const RequestEngine& engine;
-    const KeyGuard& keys;
-    const capacity::CapacityKeeper& capacity;
+    const IdempotencyGuard& keys;
+    const capacity::CapacityManager& capacity;
     const ClaimWorker& claims;
   };
 
--- a/lib/libmedlarcroft/source/adapters/entry/entry_handler.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_handler.cc
@@ -36,7 +36,7 @@
 }
 
 std::size_t EntryHandler::MaxBodyBytes(const HttpRequest& request) const {
-  const auto service = ServiceIn(request.raw_target);
+  const auto service = ExtractServiceName(request.raw_target);
   const SharedRoutingTable routes = engine_.Routes();
   if (!service || !routes) {
     return kSmallBodyBytes;
--- a/lib/libmedlarcroft/source/adapters/entry/entry_handler.h
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_handler.h
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "adapters/entry/request_engine.h"
-#include "adapters/entry/service_path.h"
+#include "adapters/entry/service_request_handler.h"
 #include "adapters/http/http_server.h"
 
 namespace medlarcroft::adapters {
@@ -22,7 +22,9 @@
     virtual std::optional<HttpResponse> Find(const HttpRequest& request) = 0;
   };
 
-  EntryHandler(ServicePath& path, const RequestEngine& engine, Pages& pages)
+  EntryHandler(ServiceRequestHandler& path,
+               const RequestEngine& engine,
+               Pages& pages)
       : path_(path), engine_(engine), pages_(pages) {}
 
   std::optional<HttpResponse> Handle(
@@ -36,7 +38,7 @@
   void StopAdmitting() { is_stopping_ = true; }
 
  private:
-  ServicePath& path_;
+  ServiceRequestHandler& path_;
   const RequestEngine& engine_;
   Pages& pages_;
   std::atomic<bool> is_stopping_{false};
--- a/lib/libmedlarcroft/source/adapters/entry/entry_node.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_node.cc
@@ -3,22 +3,22 @@
 #include <array>
 #include <utility>
 
-#include "adapters/entry/caller_watch.h"
+#include "adapters/entry/caller_disconnect_monitor.h"
 #include "adapters/entry/claim_worker.h"
 #include "adapters/entry/entry_gauges.h"
 #include "adapters/entry/entry_handler.h"
-#include "adapters/entry/entry_pages.h"
+#include "adapters/entry/entry_operator_endpoints.h"
 #include "adapters/entry/entry_telemetry.h"
 #include "adapters/entry/host_forwarder.h"
-#include "adapters/entry/key_guard.h"
+#include "adapters/entry/idempotency_guard.h"
 #include "adapters/entry/request_engine.h"
-#include "adapters/entry/routing_follower.h"
-#include "adapters/entry/service_path.h"
-#include "adapters/entry/share_agent.h"
+#include "adapters/entry/routing_synchronizer.h"
+#include "adapters/entry/service_request_handler.h"
+#include "adapters/entry/share_lending.h"
 #include "adapters/entry/shift_chooser.h"
 #include "adapters/entry/target_poller.h"
 #include "adapters/http/http_client.h"
-#include "adapters/peer/listener_metrics.h"
+#include "adapters/peer/thrift_listener_metrics.h"
 #include "adapters/peer/thrift_server.h"
 #include "adapters/platform/http_platform.h"
 #include "adapters/process/hex.h"
@@ -27,9 +27,9 @@
 #include "adapters/process/system_random.h"
 #include "adapters/process/text_file.h"
 #include "adapters/process/worker_thread.h"
-#include "medlarcroft/capacity/capacity_keeper.h"
+#include "medlarcroft/capacity/capacity_manager.h"
 #include "medlarcroft/capacity/seat_pacing.h"
-#include "medlarcroft/catalogue/platform_budget.h"
+#include "medlarcroft/catalogue/platform_rate_limiter.h"
 #include "medlarcroft/idempotency/durable_claims.h"
 #include "medlarcroft/telemetry/metrics.h"
 
@@ -45,7 +45,7 @@
 
 /// Claims spend most of it: one write for each durable order. Eleven hosts at
 /// their limit are 275 writes a second of the platform's several hundred.
-constexpr catalogue::PlatformBudget::Options kPlatformBudget = {
+constexpr catalogue::PlatformRateLimiter::Options kPlatformBudget = {
     .reads_per_second = 4.0,
     .read_burst = 40.0,
     .writes_per_second = 25.0,
@@ -88,7 +88,7 @@
 
 }  // namespace
 
-std::string_view NameOf(EntryStartFailure failure) {
+std::string_view NameOf(EntryStartError failure) {
   return kFailureNames.at(static_cast<std::size_t>(failure));
 }
 
@@ -110,10 +110,10 @@
                 spans_.Exporter(),
                 settings.telemetry.trace_sampling),
         telemetry_(metrics_, tracer_),
-        client_({.max_idle_connections = settings.upstream.max_idle_connections,
+        client_({.max_idle_connections = settings.outbound.max_idle_connections,
                  .max_connections_per_origin =
-                     settings.upstream.max_connections_per_target,
-                 .connect_timeout = settings.upstream.connect_timeout}),
+                     settings.outbound.max_connections_per_target,
+                 .connect_timeout = settings.outbound.connect_timeout}),
         platform_({.base_url = settings.platform_url,
                    .timeout = std::chrono::seconds(1)}),
         budget_(kPlatformBudget, clock),
@@ -194,20 +194,20 @@
   Parts(const Parts&) = delete;
   Parts& operator=(const Parts&) = delete;
 
-  std::optional<EntryStartFailure> Open() {
+  std::optional<EntryStartError> Open() {
     auto shares = ThriftServer::Start(
         {.address = settings_.share_listen, .threads = 1},
         std::make_shared<wire::SharesProcessor>(
             std::make_shared<ShareService>(host_, capacity_)));
     if (!IsOk(shares)) {
-      return EntryStartFailure::kCannotListenForShares;
+      return EntryStartError::kCannotListenForShares;
     }
     shares_ = TakeValue(std::move(shares));
 
     const auto certificate = ReadTextFile(settings_.tls.certificate);
     const auto key = ReadTextFile(settings_.tls.key);
     if (!certificate || !key) {
-      return EntryStartFailure::kBadTlsMaterial;
+      return EntryStartError::kBadTlsMaterial;
     }
     auto http = HttpServer::Start(
         {.address = settings_.listen,
@@ -220,8 +220,8 @@
         handler_);
     if (!IsOk(http)) {
       return ErrorOf(http) == ListenFailure::kBadTlsMaterial
-                 ? EntryStartFailure::kBadTlsMaterial
-                 : EntryStartFailure::kCannotListen;
+                 ? EntryStartError::kBadTlsMaterial
+                 : EntryStartError::kCannotListen;
     }
     http_ = TakeValue(std::move(http));
     gauges_.WatchListener(http_->Counters());
@@ -231,7 +231,7 @@
   }
 
   void Tick() {
-    capacity_.Beat();
+    capacity_.RecordHeartbeat();
     callers_.Check();
     stop_.Advance(http_->Counters().in_flight, clock_.Now());
     if (stop_.Phase() == process::StopPhase::kFinishing) {
@@ -268,7 +268,7 @@
     });
     seat_thread_ = std::make_unique<PeriodicThread>([this] {
       capacity_.StepSeats(/*are_targets_reachable=*/AreTargetsReachable());
-      const Duration period = capacity::SeatPeriodFor(
+      const Duration period = capacity::SeatPollInterval(
           {.declared_seats = DeclaredSeats(),
            .is_settled =
                capacity_.HasSeat() && !capacity_.IsWaitingForSplit()});
@@ -322,7 +322,7 @@
 
   void ReturnSeats() {
     if (!std::exchange(are_seats_returned_, true)) {
-      capacity_.GiveUpSeats();
+      capacity_.ReleaseSeats();
       capacity_.StepSeats(/*are_targets_reachable=*/false);
     }
   }
@@ -343,23 +343,23 @@
   EntryTelemetry telemetry_;
   HttpClient client_;
   HttpPlatform platform_;
-  catalogue::PlatformBudget budget_;
-  catalogue::BudgetedTableStore table_;
-  capacity::CapacityKeeper capacity_;
+  catalogue::PlatformRateLimiter budget_;
+  catalogue::RateLimitedTableStore table_;
+  capacity::CapacityManager capacity_;
   ShareBorrower borrower_;
   RequestEngine engine_;
-  KeyGuard keys_;
+  IdempotencyGuard keys_;
   idempotency::DurableClaims claims_;
   ClaimWorker claim_worker_;
   HostForwarder forwarder_;
   ShiftChooser shifts_;
-  CallerWatch callers_;
-  RoutingFollower follower_;
-  ServicePath path_;
+  CallerDisconnectMonitor callers_;
+  RoutingSynchronizer follower_;
+  ServiceRequestHandler path_;
   EntryGauges gauges_;
   ThriftListenerMetrics share_metrics_;
   TargetPoller poller_;
-  EntryPages pages_;
+  EntryOperatorEndpoints pages_;
   EntryHandler handler_;
   process::StopSequence stop_;
   bool are_seats_returned_ = false;
@@ -375,12 +375,12 @@
 
 EntryNode::~EntryNode() = default;
 
-Result<std::unique_ptr<EntryNode>, EntryStartFailure> EntryNode::Start(
+Result<std::unique_ptr<EntryNode>, EntryStartError> EntryNode::Start(
     const EntrydSettings& settings,
     const ports::Clock& clock) {
   const auto secrets = SecretsOf(settings.key_secrets);
   if (!secrets) {
-    return EntryStartFailure::kBadKeySecrets;
+    return EntryStartError::kBadKeySecrets;
   }
   auto parts = std::make_unique<Parts>(settings, *secrets, clock);
   if (const auto failure = parts->Open()) {
--- a/lib/libmedlarcroft/source/adapters/entry/entry_node.h
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_node.h
@@ -14,20 +14,20 @@
 namespace medlarcroft::adapters {
 
 /// @brief Why an entry node could not start.
-enum class EntryStartFailure {
+enum class EntryStartError {
   kCannotListen,
   kCannotListenForShares,
   kBadTlsMaterial,
   kBadKeySecrets,
 };
 
-[[nodiscard]] std::string_view NameOf(EntryStartFailure failure);
+[[nodiscard]] std::string_view NameOf(EntryStartError failure);
 
 /// @brief One medlar-entryd: all of its parts, wired. A program runs it by
 /// calling `Tick` from a loop; a test constructs it with a clock of its own.
 class EntryNode {
  public:
-  static Result<std::unique_ptr<EntryNode>, EntryStartFailure> Start(
+  static Result<std::unique_ptr<EntryNode>, EntryStartError> Start(
       const EntrydSettings& settings,
       const ports::Clock& clock);
 
--- a/lib/libmedlarcroft/source/adapters/entry/entry_pages.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_operator_endpoints.cc
@@ -1,4 +1,4 @@
-#include "adapters/entry/entry_pages.h"
+#include "adapters/entry/entry_operator_endpoints.h"
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "adapters/entry/problem.h"
-#include "adapters/http/json_answer.h"
+#include "adapters/http/json_response.h"
 
 namespace medlarcroft::adapters {
 
@@ -57,21 +57,25 @@
 
 }  // namespace
 
-const Page<EntryPages> EntryPages::kPages[] = {
-    {"/healthz", &EntryPages::Health},   {"/readyz", &EntryPages::Readiness},
-    {"/v1/status", &EntryPages::Status}, {"/v1/explain", &EntryPages::Explain},
-    {"/metrics", &EntryPages::Metrics},
+const Page<EntryOperatorEndpoints> EntryOperatorEndpoints::kPages[] = {
+    {"/healthz", &EntryOperatorEndpoints::Health},
+    {"/readyz", &EntryOperatorEndpoints::Readiness},
+    {"/v1/status", &EntryOperatorEndpoints::Status},
+    {"/v1/explain", &EntryOperatorEndpoints::Explain},
+    {"/metrics", &EntryOperatorEndpoints::Metrics},
 };
 
-std::optional<HttpResponse> EntryPages::Find(const HttpRequest& request) {
-  return FindPage<EntryPages>(*this, kPages, request);
+std::optional<HttpResponse> EntryOperatorEndpoints::Find(
+    const HttpRequest& request) {
+  return ServePage<EntryOperatorEndpoints>(*this, kPages, request);
 }
 
-HttpResponse EntryPages::Health(const HttpRequest& /*request*/) const {
-  return MakeJsonAnswer(200, {{"status", "alive"}});
+HttpResponse EntryOperatorEndpoints::Health(
+    const HttpRequest& /*request*/) const {
+  return MakeJsonResponse(200, {{"status", "alive"}});
 }
 
-std::vector<std::string> EntryPages::ReasonsNotReady() const {
+std::vector<std::string> EntryOperatorEndpoints::ReasonsNotReady() const {
   std::vector<std::string> reasons;
   const SharedRoutingTable routes = parts_.engine.Routes();
   if (!routes) {
@@ -84,14 +88,16 @@
   return reasons;
 }
 
-HttpResponse EntryPages::Readiness(const HttpRequest& /*request*/) const {
+HttpResponse EntryOperatorEndpoints::Readiness(
+    const HttpRequest& /*request*/) const {
   const std::vector<std::string> reasons = ReasonsNotReady();
-  return MakeJsonAnswer(
+  return MakeJsonResponse(
       reasons.empty() ? 200 : 503,
       {{"ready", reasons.empty()}, {"not_ready_because", reasons}});
 }
 
-HttpResponse EntryPages::Status(const HttpRequest& /*request*/) const {
+HttpResponse EntryOperatorEndpoints::Status(
+    const HttpRequest& /*request*/) const {
   const SharedRoutingTable routes = parts_.engine.Routes();
   const std::vector<std::string> reasons = ReasonsNotReady();
   Json body = {{"host", parts_.host.Value()},
@@ -107,18 +113,18 @@
                  {"bytes", parts_.keys.LedgerBytes()}}}};
   body["seats"] = Json::array();
   for (const capacity::SeatStatus& seat : parts_.capacity.Status()) {
-    Json item = {{"failure_domain", seat.failure_domain.Value()},
-                 {"standing",
-                  kStandingNames.at(static_cast<std::size_t>(seat.standing))}};
+    Json item = {
+        {"failure_domain", seat.failure_domain.Value()},
+        {"standing", kStandingNames.at(static_cast<std::size_t>(seat.state))}};
     if (seat.seat) {
       item["seat"] = *seat.seat;
     }
     body["seats"].push_back(item);
   }
-  return MakeJsonAnswer(200, body);
+  return MakeJsonResponse(200, body);
 }
 
-HttpResponse EntryPages::Explain(const HttpRequest& request) const {
+HttpResponse EntryOperatorEndpoints::Explain(const HttpRequest& request) const {
   const ServiceName service(request.FindQuery("service").value_or(""));
   const auto explanation = parts_.engine.Explain(service);
   if (!explanation) {
@@ -148,11 +154,12 @@
   for (const decision::BrandExplanation& brand : explanation->brands) {
     body["brands"].push_back(BrandToJson(brand));
   }
-  return MakeJsonAnswer(200, body);
+  return MakeJsonResponse(200, body);
 }
 
-HttpResponse EntryPages::Metrics(const HttpRequest& /*request*/) const {
-  return MakeMetricsAnswer(parts_.metrics());
+HttpResponse EntryOperatorEndpoints::Metrics(
+    const HttpRequest& /*request*/) const {
+  return MakeMetricsResponse(parts_.metrics());
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/entry/entry_pages.h
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_operator_endpoints.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ADAPTERS_ENTRY_ENTRY_PAGES_H_
-#define MEDLARCROFT_ADAPTERS_ENTRY_ENTRY_PAGES_H_
+#ifndef MEDLARCROFT_ADAPTERS_ENTRY_ENTRY_OPERATOR_ENDPOINTS_H_
+#define MEDLARCROFT_ADAPTERS_ENTRY_ENTRY_OPERATOR_ENDPOINTS_H_
 
 #include <functional>
 #include <optional>
@@ -8,32 +8,32 @@
 #include <vector>
 
 #include "adapters/entry/entry_handler.h"
-#include "adapters/entry/key_guard.h"
+#include "adapters/entry/idempotency_guard.h"
 #include "adapters/entry/request_engine.h"
-#include "adapters/entry/routing_follower.h"
+#include "adapters/entry/routing_synchronizer.h"
 #include "adapters/http/page_table.h"
-#include "medlarcroft/capacity/capacity_keeper.h"
+#include "medlarcroft/capacity/capacity_manager.h"
 
 namespace medlarcroft::adapters {
 
 /// @brief entryd's pages for operators: status, explain, health, metrics.
-class EntryPages final : public EntryHandler::Pages {
+class EntryOperatorEndpoints final : public EntryHandler::Pages {
  public:
   struct Parts {
     HostName host;
     const RequestEngine& engine;
-    const KeyGuard& keys;
-    const RoutingFollower& follower;
-    const capacity::CapacityKeeper& capacity;
+    const IdempotencyGuard& keys;
+    const RoutingSynchronizer& follower;
+    const capacity::CapacityManager& capacity;
     std::function<std::string()> metrics;  ///< Prometheus text.
   };
 
-  explicit EntryPages(Parts parts) : parts_(std::move(parts)) {}
+  explicit EntryOperatorEndpoints(Parts parts) : parts_(std::move(parts)) {}
 
   std::optional<HttpResponse> Find(const HttpRequest& request) override;
 
  private:
-  static const Page<EntryPages> kPages[];
+  static const Page<EntryOperatorEndpoints> kPages[];
 
   [[nodiscard]] HttpResponse Health(const HttpRequest& request) const;
   [[nodiscard]] HttpResponse Readiness(const HttpRequest& request) const;
@@ -48,4 +48,4 @@
 
 }  // namespace medlarcroft::adapters
 
-#endif  // MEDLARCROFT_ADAPTERS_ENTRY_ENTRY_PAGES_H_
+#endif  // MEDLARCROFT_ADAPTERS_ENTRY_ENTRY_OPERATOR_ENDPOINTS_H_
--- a/lib/libmedlarcroft/source/adapters/entry/entry_telemetry.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_telemetry.cc
@@ -57,7 +57,7 @@
 }
 
 void EntryTelemetry::EndRequest(const ServiceRequest& request,
-                                const EngineResult& result,
+                                const RequestResult& result,
                                 Duration latency) {
   const std::string_view outcome = OutcomeName(result.run_state);
   metrics_
--- a/lib/libmedlarcroft/source/adapters/entry/entry_telemetry.h
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_telemetry.h
@@ -25,7 +25,7 @@
 
   /// @brief Notes a request's final answer.
   void EndRequest(const ServiceRequest& request,
-                  const EngineResult& result,
+                  const RequestResult& result,
                   Duration latency);
 
   // RequestEvents
--- a/lib/libmedlarcroft/source/adapters/entry/host_forwarder.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/host_forwarder.cc
@@ -19,7 +19,7 @@
           .idempotency_key = request.key_text ? *request.key_text : kNoKey};
 }
 
-EngineResult ToResult(ClientResult result) {
+RequestResult ToResult(ClientResult result) {
   if (!IsOk(result)) {
     const TransportError& error = ErrorOf(result);
     const RunState run_state =
@@ -28,8 +28,8 @@
             .response = MakeProblem(ProblemCode::kAnswerLost, run_state)};
   }
 
-  ClientAnswer answer = TakeValue(std::move(result));
-  EngineResult passed;
+  ClientResponse answer = TakeValue(std::move(result));
+  RequestResult passed;
   passed.run_state =
       ParseRunState(answer.headers.Find(protocol::kOutcome).value_or(""));
   passed.response.status = answer.status;
@@ -37,7 +37,7 @@
     const bool is_ours = IsSameHeaderName(field.name, protocol::kOutcome) ||
                          IsSameHeaderName(field.name, protocol::kTarget) ||
                          IsSameHeaderName(field.name, protocol::kHost);
-    if (is_ours || !IsHopField(field.name)) {
+    if (is_ours || !IsStrippedHeader(field.name)) {
       passed.response.headers.Add(field.name, field.value);
     }
   }
@@ -50,7 +50,7 @@
 
 HostForwarder::HostForwarder(HostName self,
                              HttpClient& client,
-                             const KeyGuard& keys,
+                             const IdempotencyGuard& keys,
                              const ports::Clock& clock)
     : self_(std::move(self)),
       client_(client),
@@ -58,7 +58,7 @@
       clock_(clock),
       replays_(clock) {}
 
-void HostForwarder::Send(const Forwarding& forwarding, EngineCallback done) {
+void HostForwarder::Send(const Forwarding& forwarding, ResultCallback done) {
   client_.Send(MakeRequest(forwarding),
                [done = std::move(done)](ClientResult result) {
                  done(ToResult(std::move(result)));
@@ -83,8 +83,8 @@
   out.headers.Set(protocol::kForwardedBy,
                   forwarding::FormatForwardClaim(claim));
   out.headers.Set(protocol::kForwardProof,
-                  forwarding::ProveForward(claim, BoundParts(request),
-                                           keys_.IssuingSecret()));
+                  forwarding::SignForward(claim, BoundParts(request),
+                                          keys_.IssuingSecret()));
   if (request.span) {
     out.headers.Set(protocol::kTraceParent,
                     telemetry::FormatTraceparent(request.span->Context()));
@@ -103,9 +103,9 @@
     return std::nullopt;
   }
   for (const std::string& secret : keys_.AcceptedSecrets()) {
-    if (forwarding::IsForwardProved(*claim, BoundParts(request),
-                                    request.forward_proof, secret,
-                                    clock_.WallNow())) {
+    if (forwarding::IsForwardProofValid(*claim, BoundParts(request),
+                                        request.forward_proof, secret,
+                                        clock_.WallNow())) {
       return claim;
     }
   }
--- a/lib/libmedlarcroft/source/adapters/entry/host_forwarder.h
+++ b/lib/libmedlarcroft/source/adapters/entry/host_forwarder.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "adapters/entry/key_guard.h"
+#include "adapters/entry/idempotency_guard.h"
 #include "adapters/entry/request_engine.h"
 #include "adapters/entry/request_parser.h"
 #include "adapters/http/http_client.h"
@@ -31,12 +31,12 @@
  public:
   HostForwarder(HostName self,
                 HttpClient& client,
-                const KeyGuard& keys,
+                const IdempotencyGuard& keys,
                 const ports::Clock& clock);
 
   /// @brief `done` runs once, on the client's thread. `kNotRun` in its result
   /// is proved: the other host said so, or nothing was sent to it.
-  void Send(const Forwarding& forwarding, EngineCallback done);
+  void Send(const Forwarding& forwarding, ResultCallback done);
 
   /// @return how an arriving request was forwarded, or nullopt when its proof
   /// does not hold.
@@ -51,7 +51,7 @@
 
   const HostName self_;
   HttpClient& client_;
-  const KeyGuard& keys_;
+  const IdempotencyGuard& keys_;
   const ports::Clock& clock_;
   std::mutex mutex_;
   forwarding::ForwardReplayGuard replays_;
--- a/lib/libmedlarcroft/source/adapters/entry/key_guard.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/idempotency_guard.cc
@@ -1,4 +1,4 @@
-#include "adapters/entry/key_guard.h"
+#include "adapters/entry/idempotency_guard.h"
 
 #include <array>
 #include <utility>
@@ -50,14 +50,14 @@
   return RunState::kUnknown;
 }
 
-EngineResult MakeProblemResult(ProblemCode code,
-                               RunState run_state,
-                               Duration retry_after = Duration::zero()) {
+RequestResult MakeProblemResult(ProblemCode code,
+                                RunState run_state,
+                                Duration retry_after = Duration::zero()) {
   return {.run_state = run_state,
           .response = MakeProblem(code, run_state, retry_after)};
 }
 
-EngineResult ToResult(const idempotency::Refused& refused) {
+RequestResult ToResult(const idempotency::Refused& refused) {
   for (const RefusalRow& row : kRefusalRows) {
     if (row.reason == refused.reason) {
       return MakeProblemResult(row.code, ToRunState(refused.outcome),
@@ -77,8 +77,8 @@
   return answer;
 }
 
-EngineResult ToResult(const idempotency::Answer& answer) {
-  EngineResult result{.run_state = RunState::kRan, .is_target_answer = true};
+RequestResult ToResult(const idempotency::Answer& answer) {
+  RequestResult result{.run_state = RunState::kRan, .is_target_answer = true};
   result.response.status = answer.status;
   for (const idempotency::AnswerHeader& field : answer.headers) {
     result.response.headers.Add(field.name, field.value);
@@ -89,7 +89,7 @@
 
 }  // namespace
 
-KeyGuard::KeyGuard(Options options, const ports::Clock& clock)
+IdempotencyGuard::IdempotencyGuard(Options options, const ports::Clock& clock)
     : options_(std::move(options)),
       secrets_(options_.secrets),
       authority_({.host = options_.host,
@@ -100,12 +100,12 @@
       ledger_({.host = options_.host, .incarnation = options_.incarnation},
               clock) {}
 
-std::string KeyGuard::Issue(idempotency::Mode mode) {
+std::string IdempotencyGuard::Issue(idempotency::Mode mode) {
   const std::lock_guard lock(mutex_);
-  return idempotency::ToText(authority_.Issue(mode));
+  return idempotency::FormatKey(authority_.Issue(mode));
 }
 
-decision::RunState KeyGuard::OutcomeIfRefused(
+decision::RunState IdempotencyGuard::OutcomeIfRefused(
     std::optional<std::string_view> key_text) const {
   if (!key_text) {
     return RunState::kNotRun;
@@ -118,36 +118,36 @@
                : RunState::kNotRun;
   }
   const std::lock_guard lock(mutex_);
-  if (authority_.Refuse(ValueOf(key))) {
+  if (authority_.FindRefusal(ValueOf(key))) {
     return RunState::kUnknown;
   }
   return ToRunState(ledger_.OutcomeIfRefused(ValueOf(key)));
 }
 
-GuardVerdict KeyGuard::Begin(const ServiceRequest& request,
-                             std::size_t max_answer_bytes,
-                             EngineCallback waiter) {
+GuardDecision IdempotencyGuard::Begin(const ServiceRequest& request,
+                                      std::size_t max_answer_bytes,
+                                      ResultCallback waiter) {
   if (!request.key_text) {
-    return AnswerGuarded{
+    return AnswerDecision{
         MakeProblemResult(ProblemCode::kMissingKey, RunState::kNotRun)};
   }
   const auto parsed = idempotency::ParseKey(*request.key_text);
   if (!IsOk(parsed)) {
-    return AnswerGuarded{MakeProblemResult(ProblemCode::kBadKey,
-                                           OutcomeIfRefused(request.key_text))};
+    return AnswerDecision{MakeProblemResult(
+        ProblemCode::kBadKey, OutcomeIfRefused(request.key_text))};
   }
   const idempotency::Key& key = ValueOf(parsed);
-  const idempotency::Fingerprint fingerprint = idempotency::FingerprintOf(
+  const idempotency::Fingerprint fingerprint = idempotency::ComputeFingerprint(
       {.brand = request.brand.Value(),
        .method = request.method,
        .service_path = request.service.Value() + request.target_path,
        .body = request.body});
 
   const std::lock_guard lock(mutex_);
-  if (const auto refusal = authority_.Refuse(key)) {
+  if (const auto refusal = authority_.FindRefusal(key)) {
     // An expired key may have run, and so may one that was signed with a secret
     // no longer accepted, which cannot be told from a forged one.
-    return AnswerGuarded{MakeProblemResult(
+    return AnswerDecision{MakeProblemResult(
         *refusal == idempotency::KeyRefusal::kForged ? ProblemCode::kBadKey
                                                      : ProblemCode::kKeyExpired,
         RunState::kUnknown)};
@@ -155,31 +155,33 @@
   const idempotency::WaiterId id = ++last_waiter_;
   const idempotency::BeginResult begun =
       ledger_.Begin(key, fingerprint, max_answer_bytes, id);
-  if (std::holds_alternative<idempotency::WaitForIt>(begun)) {
+  if (std::holds_alternative<idempotency::AwaitFirstAttempt>(begun)) {
     waiters_[id] = std::move(waiter);
   }
   return Judge(key, begun);
 }
 
-GuardVerdict KeyGuard::Judge(const idempotency::Key& key,
-                             const idempotency::BeginResult& begun) const {
-  if (std::holds_alternative<idempotency::RunIt>(begun)) {
-    return RunGuarded{key};
+GuardDecision IdempotencyGuard::Judge(
+    const idempotency::Key& key,
+    const idempotency::BeginResult& begun) const {
+  if (std::holds_alternative<idempotency::DispatchRequest>(begun)) {
+    return ProceedDecision{key};
   }
-  if (std::holds_alternative<idempotency::WaitForIt>(begun)) {
-    return WaitGuarded{};
+  if (std::holds_alternative<idempotency::AwaitFirstAttempt>(begun)) {
+    return WaitDecision{};
   }
-  if (const auto* replay = std::get_if<idempotency::ReplayIt>(&begun)) {
-    return AnswerGuarded{ToResult(*replay->answer)};
+  if (const auto* replay = std::get_if<idempotency::ReplayAnswer>(&begun)) {
+    return AnswerDecision{ToResult(*replay->answer)};
   }
   const auto& refused = std::get<idempotency::Refused>(begun);
   if (refused.reason == LedgerRefusal::kForeignHost) {
-    return PassToIssuer{key.id.issuer};
+    return ForwardToIssuerDecision{key.id.issuer};
   }
-  return AnswerGuarded{ToResult(refused)};
+  return AnswerDecision{ToResult(refused)};
 }
 
-void KeyGuard::Settle(const idempotency::Key& key, const EngineResult& result) {
+void IdempotencyGuard::Settle(const idempotency::Key& key,
+                              const RequestResult& result) {
   std::vector<idempotency::WaiterId> ids;
   {
     const std::lock_guard lock(mutex_);
@@ -198,8 +200,8 @@
   AnswerWaiters(ids, result);
 }
 
-void KeyGuard::Release(const idempotency::Key& key,
-                       const EngineResult& result) {
+void IdempotencyGuard::Release(const idempotency::Key& key,
+                               const RequestResult& result) {
   std::vector<idempotency::WaiterId> ids;
   {
     const std::lock_guard lock(mutex_);
@@ -208,9 +210,10 @@
   AnswerWaiters(ids, result);
 }
 
-void KeyGuard::AnswerWaiters(const std::vector<idempotency::WaiterId>& ids,
-                             const EngineResult& result) {
-  std::vector<EngineCallback> to_answer;
+void IdempotencyGuard::AnswerWaiters(
+    const std::vector<idempotency::WaiterId>& ids,
+    const RequestResult& result) {
+  std::vector<ResultCallback> to_answer;
   {
     const std::lock_guard lock(mutex_);
     for (const idempotency::WaiterId id : ids) {
@@ -219,12 +222,12 @@
       }
     }
   }
-  for (const EngineCallback& callback : to_answer) {
+  for (const ResultCallback& callback : to_answer) {
     callback(result);
   }
 }
 
-Result<Success, idempotency::KeySecretsError> KeyGuard::Rotate(
+Result<Success, idempotency::KeySecretsError> IdempotencyGuard::Rotate(
     idempotency::KeySecrets secrets) {
   const std::lock_guard lock(mutex_);
   auto result = authority_.Rotate(secrets);
@@ -234,12 +237,12 @@
   return result;
 }
 
-std::string KeyGuard::IssuingSecret() const {
+std::string IdempotencyGuard::IssuingSecret() const {
   const std::lock_guard lock(mutex_);
   return secrets_.issuing;
 }
 
-std::vector<std::string> KeyGuard::AcceptedSecrets() const {
+std::vector<std::string> IdempotencyGuard::AcceptedSecrets() const {
   const std::lock_guard lock(mutex_);
   std::vector<std::string> secrets = {secrets_.issuing};
   if (secrets_.also_accepted) {
@@ -248,17 +251,17 @@
   return secrets;
 }
 
-std::size_t KeyGuard::LedgerEntries() const {
+std::size_t IdempotencyGuard::LedgerEntries() const {
   const std::lock_guard lock(mutex_);
   return ledger_.Entries();
 }
 
-std::size_t KeyGuard::LedgerBytes() const {
+std::size_t IdempotencyGuard::LedgerBytes() const {
   const std::lock_guard lock(mutex_);
   return ledger_.Bytes();
 }
 
-std::size_t KeyGuard::LedgerRunning() const {
+std::size_t IdempotencyGuard::LedgerRunning() const {
   const std::lock_guard lock(mutex_);
   return ledger_.Running();
 }
--- a/lib/libmedlarcroft/source/adapters/entry/key_guard.h
+++ b/lib/libmedlarcroft/source/adapters/entry/idempotency_guard.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ADAPTERS_ENTRY_KEY_GUARD_H_
-#define MEDLARCROFT_ADAPTERS_ENTRY_KEY_GUARD_H_
+#ifndef MEDLARCROFT_ADAPTERS_ENTRY_IDEMPOTENCY_GUARD_H_
+#define MEDLARCROFT_ADAPTERS_ENTRY_IDEMPOTENCY_GUARD_H_
 
 #include <cstdint>
 #include <functional>
@@ -21,28 +21,30 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Dispatch the request, then call `KeyGuard::Settle`.
-struct RunGuarded {
+/// @brief Dispatch the request, then call `IdempotencyGuard::Settle`.
+struct ProceedDecision {
   idempotency::Key key;
 };
 /// @brief The callback given to `Begin` is called with the first one's result.
-struct WaitGuarded {};
+struct WaitDecision {};
 /// @brief Answer with this at once.
-struct AnswerGuarded {
-  EngineResult result;
+struct AnswerDecision {
+  RequestResult result;
 };
 /// @brief Only this host may dispatch the key: pass the request on to it.
-struct PassToIssuer {
+struct ForwardToIssuerDecision {
   HostName issuer;
 };
 
-using GuardVerdict =
-    std::variant<RunGuarded, WaitGuarded, AnswerGuarded, PassToIssuer>;
+using GuardDecision = std::variant<ProceedDecision,
+                                   WaitDecision,
+                                   AnswerDecision,
+                                   ForwardToIssuerDecision>;
 
 /// @brief Stands before every non-idempotent request: issues keys, and decides
 /// by the ledger which attempts run, wait, are replayed or refused. Safe to
 /// share between threads; callbacks run without its lock.
-class KeyGuard {
+class IdempotencyGuard {
  public:
   struct Options {
     HostName host;
@@ -51,7 +53,7 @@
     Duration key_lifetime = std::chrono::minutes(10);
   };
 
-  KeyGuard(Options options, const ports::Clock& clock);
+  IdempotencyGuard(Options options, const ports::Clock& clock);
 
   /// @return the text form of a fresh key.
   [[nodiscard]] std::string Issue(idempotency::Mode mode);
@@ -69,18 +71,18 @@
 
   /// @param max_answer_bytes room kept for the answer, so that what ran can be
   /// replayed.
-  [[nodiscard]] GuardVerdict Begin(const ServiceRequest& request,
-                                   std::size_t max_answer_bytes,
-                                   EngineCallback waiter);
+  [[nodiscard]] GuardDecision Begin(const ServiceRequest& request,
+                                    std::size_t max_answer_bytes,
+                                    ResultCallback waiter);
 
   /// @brief Notes the end of the run that `Begin` asked for, and answers the
   /// duplicates that waited for it.
-  void Settle(const idempotency::Key& key, const EngineResult& result);
+  void Settle(const idempotency::Key& key, const RequestResult& result);
 
   /// @brief Notes that the run was not begun here after all, whatever is known
   /// of it elsewhere: a later attempt decides anew. Answers the duplicates that
   /// waited with `result`.
-  void Release(const idempotency::Key& key, const EngineResult& result);
+  void Release(const idempotency::Key& key, const RequestResult& result);
 
   [[nodiscard]] Result<Success, idempotency::KeySecretsError> Rotate(
       idempotency::KeySecrets secrets);
@@ -96,19 +98,20 @@
  private:
   /// @brief Answers parked duplicates, without the lock held.
   void AnswerWaiters(const std::vector<idempotency::WaiterId>& ids,
-                     const EngineResult& result);
-  [[nodiscard]] GuardVerdict Judge(const idempotency::Key& key,
-                                   const idempotency::BeginResult& begun) const;
+                     const RequestResult& result);
+  [[nodiscard]] GuardDecision Judge(
+      const idempotency::Key& key,
+      const idempotency::BeginResult& begun) const;
 
   const Options options_;
   mutable std::mutex mutex_;
   idempotency::KeySecrets secrets_;
   idempotency::KeyAuthority authority_;
   idempotency::Ledger ledger_;
-  std::map<idempotency::WaiterId, EngineCallback> waiters_;
+  std::map<idempotency::WaiterId, ResultCallback> waiters_;
   idempotency::WaiterId last_waiter_ = 0;
 };
 
 }  // namespace medlarcroft::adapters
 
-#endif  // MEDLARCROFT_ADAPTERS_ENTRY_KEY_GUARD_H_
+#endif  // MEDLARCROFT_ADAPTERS_ENTRY_IDEMPOTENCY_GUARD_H_
--- a/lib/libmedlarcroft/source/adapters/entry/request_engine.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/request_engine.cc
@@ -195,7 +195,7 @@
   events_.OnRefused(*in_flight.request, refusal);
   const bool is_bad_answer = in_flight.was_answer_unusable &&
                              refusal.run_state != decision::RunState::kNotRun;
-  EngineResult result{
+  RequestResult result{
       .run_state = refusal.run_state,
       .response = is_bad_answer ? MakeProblem(ProblemCode::kAnswerUnusable,
                                               refusal.run_state)
--- a/lib/libmedlarcroft/source/adapters/entry/request_engine.h
+++ b/lib/libmedlarcroft/source/adapters/entry/request_engine.h
@@ -26,21 +26,21 @@
 namespace medlarcroft::adapters {
 
 /// @brief What became of one request: its final answer.
-struct EngineResult {
+struct RequestResult {
   decision::RunState run_state = decision::RunState::kUnknown;
   HttpResponse response;
   /// The response is a target's whole answer, not a problem of ours.
   bool is_target_answer = false;
 };
 
-using EngineCallback = std::function<void(EngineResult)>;
+using ResultCallback = std::function<void(RequestResult)>;
 
 /// @brief One request given to the engine.
 struct Submission {
   std::shared_ptr<const ServiceRequest> request;
   Duration time_left{0};
   bool is_shifted_in = false;
-  EngineCallback done;  ///< Runs once, possibly before `Submit` returns.
+  ResultCallback done;  ///< Runs once, possibly before `Submit` returns.
 };
 
 /// @brief Carries out the scheduler's decisions: sends attempts to targets,
@@ -107,15 +107,15 @@
   struct InFlightRequest {
     std::shared_ptr<const ServiceRequest> request;
     /// Empty once the caller has its answer; a hedge may still be running.
-    EngineCallback done;
+    ResultCallback done;
     std::map<std::uint32_t, Attempt> attempts;
     bool was_answer_unusable = false;
   };
 
   /// A callback to run once the lock is released.
   struct Reply {
-    EngineCallback done;
-    EngineResult result;
+    ResultCallback done;
+    RequestResult result;
   };
   using Replies = std::vector<Reply>;
 
--- a/lib/libmedlarcroft/source/adapters/entry/request_engine_attempts.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/request_engine_attempts.cc
@@ -13,12 +13,12 @@
 /// A target whose deadline is this near gets no header of zero.
 constexpr std::int64_t kLeastDeadlineMs = 1;
 
-HttpResponse ToResponse(ClientAnswer answer,
+HttpResponse ToResponse(ClientResponse answer,
                         decision::RunState run_state,
                         const TargetName& target) {
   HttpResponse response{.status = answer.status};
   for (const HttpHeader& field : answer.headers.Fields()) {
-    if (!IsHopField(field.name)) {
+    if (!IsStrippedHeader(field.name)) {
       response.headers.Add(field.name, field.value);
     }
   }
@@ -86,7 +86,7 @@
       return;
     }
     AttemptResult result =
-        JudgeAttempt(std::move(client_result), AttemptName(id));
+        ClassifyAttempt(std::move(client_result), AttemptName(id));
     const auto node = found->second.attempts.extract(id.number);
     if (node.empty()) {
       return;
@@ -137,7 +137,7 @@
     CancelAttempts(finished->to_cancel);
     InFlightRequest& in_flight = in_flight_.at(ticket.id);
     const decision::RunState run_state =
-        decision::RulesOf(result.outcome).run_state;
+        decision::RulesFor(result.outcome).run_state;
     replies.push_back(
         {std::move(in_flight.done),
          {.run_state = run_state,
--- a/lib/libmedlarcroft/source/adapters/entry/request_parser.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/request_parser.cc
@@ -53,7 +53,7 @@
 HttpHeaders HeadersForTarget(const HttpHeaders& headers) {
   HttpHeaders kept;
   for (const HttpHeader& field : headers.Fields()) {
-    if (!IsHopField(field.name)) {
+    if (!IsStrippedHeader(field.name)) {
       kept.Add(field.name, field.value);
     }
   }
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-bool IsHopField(std::string_view name) {
+bool IsStrippedHeader(std::string_view name) {
   constexpr std::string_view kOwnPrefix = "medlar-";
   const bool is_own =
       name.size() >= kOwnPrefix.size() &&
@@ -73,7 +73,8 @@
                                });
 }
 
-std::optional<std::string_view> ServiceIn(std::string_view raw_target) {
+std::optional<std::string_view> ExtractServiceName(
+    std::string_view raw_target) {
   if (!raw_target.starts_with(protocol::kServicesPrefix)) {
     return std::nullopt;
   }
@@ -87,7 +88,7 @@
 }
 
 Result<ServiceRequest, ProblemCode> ParseServiceRequest(HttpRequest&& request) {
-  const auto service = ServiceIn(request.raw_target);
+  const auto service = ExtractServiceName(request.raw_target);
   if (!service) {
     return ProblemCode::kUnknownPath;
   }
--- a/lib/libmedlarcroft/source/adapters/entry/request_parser.h
+++ b/lib/libmedlarcroft/source/adapters/entry/request_parser.h
@@ -33,7 +33,7 @@
 
 /// @return the service that a raw request target names, if it is of the form
 /// /v1/services/{service}/...
-[[nodiscard]] std::optional<std::string_view> ServiceIn(
+[[nodiscard]] std::optional<std::string_view> ExtractServiceName(
     std::string_view raw_target);
 
 /// @brief Checks a request's head; consumes the request.
@@ -42,7 +42,7 @@
 
 /// @return whether a field concerns one connection only, or is ours to set, and
 /// so is not passed on.
-[[nodiscard]] bool IsHopField(std::string_view name);
+[[nodiscard]] bool IsStrippedHeader(std::string_view name);
 
 }  // namespace medlarcroft::adapters
 
--- a/lib/libmedlarcroft/source/adapters/entry/routing_follower.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/routing_synchronizer.cc
@@ -1,4 +1,4 @@
-#include "adapters/entry/routing_follower.h"
+#include "adapters/entry/routing_synchronizer.h"
 
 #include <memory>
 #include <utility>
@@ -24,12 +24,13 @@
 
 }  // namespace
 
-RoutingFollower::RoutingFollower(const Options& options, const Parts& parts)
+RoutingSynchronizer::RoutingSynchronizer(const Options& options,
+                                         const Parts& parts)
     : options_(options),
       parts_(parts),
       channel_(options.routing_address, kCallTimeout) {}
 
-void RoutingFollower::Exchange() {
+void RoutingSynchronizer::Exchange() {
   const wire::EntryReport report = MakeReport();
   const auto reported = channel_.Invoke([&report](wire::RoutingClient& client) {
     wire::ReportAnswer answer;
@@ -57,11 +58,11 @@
   const RoutingTable routes = ToRoutingTable(ValueOf(answer), requested_at);
   parts_.capacity.ApplyPlan(routes.capacity);
   parts_.shifts.ApplyRoutes(
-      routes, parts_.capacity.OwnPartOf(options_.failure_domain, 1.0));
+      routes, parts_.capacity.OwnRateShare(options_.failure_domain, 1.0));
   parts_.engine.ApplyRoutes(WithShares(routes));
 }
 
-void RoutingFollower::RefreshShares() {
+void RoutingSynchronizer::RefreshShares() {
   // Mostly nothing has changed, and copying all services ten times a second
   // was the larger part of what entryd spent at rest.
   const SharedRoutingTable routes = parts_.engine.Routes();
@@ -70,10 +71,10 @@
   }
 }
 
-bool RoutingFollower::HaveSharesChanged(const RoutingTable& routes) const {
+bool RoutingSynchronizer::HaveSharesChanged(const RoutingTable& routes) const {
   for (const auto& [name, service] : routes.services) {
     for (const decision::TargetConfig& target : service.config.targets) {
-      if (target.share != parts_.capacity.UsableOf(target.name).Total()) {
+      if (target.share != parts_.capacity.UsableSlotsOf(target.name).Total()) {
         return true;
       }
     }
@@ -81,18 +82,18 @@
   return false;
 }
 
-SharedRoutingTable RoutingFollower::WithShares(
+SharedRoutingTable RoutingSynchronizer::WithShares(
     const RoutingTable& routes) const {
   auto shared = std::make_shared<RoutingTable>(routes);
   for (auto& [name, service] : shared->services) {
     for (decision::TargetConfig& target : service.config.targets) {
-      target.share = parts_.capacity.UsableOf(target.name).Total();
+      target.share = parts_.capacity.UsableSlotsOf(target.name).Total();
     }
   }
   return shared;
 }
 
-std::vector<TargetName> RoutingFollower::PressedTargets() const {
+std::vector<TargetName> RoutingSynchronizer::PressedTargets() const {
   std::vector<TargetName> pressed;
   const SharedRoutingTable routes = parts_.engine.Routes();
   if (!routes) {
@@ -114,7 +115,7 @@
   return pressed;
 }
 
-wire::EntryReport RoutingFollower::MakeReport() {
+wire::EntryReport RoutingSynchronizer::MakeReport() {
   wire::EntryReport report;
   report.incarnation = static_cast<std::int64_t>(options_.incarnation);
   report.entry_address = options_.entry_address;
@@ -130,7 +131,7 @@
   for (const auto& [domain, seat] : parts_.capacity.Seats()) {
     report.seats[domain.Value()] = static_cast<std::int32_t>(seat);
   }
-  for (const HostName& host : parts_.capacity.WantsCalled()) {
+  for (const HostName& host : parts_.capacity.HostsToProbe()) {
     report.wants_called.push_back(host.Value());
   }
   const auto issue = [this](std::int32_t& wanted, idempotency::Mode mode,
--- a/lib/libmedlarcroft/source/adapters/entry/routing_follower.h
+++ b/lib/libmedlarcroft/source/adapters/entry/routing_synchronizer.h
@@ -1,17 +1,17 @@
-#ifndef MEDLARCROFT_ADAPTERS_ENTRY_ROUTING_FOLLOWER_H_
-#define MEDLARCROFT_ADAPTERS_ENTRY_ROUTING_FOLLOWER_H_
+#ifndef MEDLARCROFT_ADAPTERS_ENTRY_ROUTING_SYNCHRONIZER_H_
+#define MEDLARCROFT_ADAPTERS_ENTRY_ROUTING_SYNCHRONIZER_H_
 
 #include <atomic>
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "adapters/entry/key_guard.h"
+#include "adapters/entry/idempotency_guard.h"
 #include "adapters/entry/request_engine.h"
 #include "adapters/entry/shift_chooser.h"
 #include "adapters/peer/thrift_channel.h"
 #include "gen-cpp/Routing.h"
-#include "medlarcroft/capacity/capacity_keeper.h"
+#include "medlarcroft/capacity/capacity_manager.h"
 #include "medlarcroft/ports/clock.h"
 
 namespace medlarcroft::adapters {
@@ -19,7 +19,7 @@
 /// @brief Keeps entryd's routes as steerd has them, and tells steerd what this
 /// host's requests show. While steerd is down the last routes stay in force;
 /// shares in them end by their own leases.
-class RoutingFollower {
+class RoutingSynchronizer {
  public:
   struct Options {
     std::string routing_address;  ///< steerd's loopback listener, IP:port.
@@ -32,12 +32,12 @@
   struct Parts {
     RequestEngine& engine;
     ShiftChooser& shifts;
-    KeyGuard& keys;
-    capacity::CapacityKeeper& capacity;
+    IdempotencyGuard& keys;
+    capacity::CapacityManager& capacity;
     const ports::Clock& clock;
   };
 
-  RoutingFollower(const Options& options, const Parts& parts);
+  RoutingSynchronizer(const Options& options, const Parts& parts);
 
   /// @brief Reports, then asks for routes; blocks for at most two timeouts.
   /// Call it a few times a second.
@@ -73,4 +73,4 @@
 
 }  // namespace medlarcroft::adapters
 
-#endif  // MEDLARCROFT_ADAPTERS_ENTRY_ROUTING_FOLLOWER_H_
+#endif  // MEDLARCROFT_ADAPTERS_ENTRY_ROUTING_SYNCHRONIZER_H_
--- a/lib/libmedlarcroft/source/adapters/entry/service_path.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/service_request_handler.cc
@@ -1,4 +1,4 @@
-#include "adapters/entry/service_path.h"
+#include "adapters/entry/service_request_handler.h"
 
 #include <algorithm>
 #include <charconv>
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-std::optional<HttpResponse> ServicePath::Serve(
+std::optional<HttpResponse> ServiceRequestHandler::Serve(
     HttpRequest request,
     const std::shared_ptr<Responder>& responder) {
   const std::string trace_parent(
@@ -83,7 +83,8 @@
   return std::nullopt;
 }
 
-std::optional<ProblemCode> ServicePath::Admit(Passage& passage) const {
+std::optional<ProblemCode> ServiceRequestHandler::Admit(
+    Passage& passage) const {
   passage.routes = parts_.engine.Routes();
   if (!passage.routes) {
     return ProblemCode::kNotReady;
@@ -104,19 +105,19 @@
   return std::nullopt;
 }
 
-void ServicePath::RunGuardedRequest(Passage passage) {
-  GuardVerdict verdict = parts_.keys.Begin(
+void ServiceRequestHandler::RunGuardedRequest(Passage passage) {
+  GuardDecision verdict = parts_.keys.Begin(
       *passage.request, passage.service->config.request_class.max_answer_bytes,
       passage.done);
-  if (auto* answer = std::get_if<AnswerGuarded>(&verdict)) {
+  if (auto* answer = std::get_if<AnswerDecision>(&verdict)) {
     passage.done(std::move(answer->result));
     return;
   }
-  if (const auto* elsewhere = std::get_if<PassToIssuer>(&verdict)) {
+  if (const auto* elsewhere = std::get_if<ForwardToIssuerDecision>(&verdict)) {
     PassOn(passage, *elsewhere);
     return;
   }
-  const auto* run = std::get_if<RunGuarded>(&verdict);
+  const auto* run = std::get_if<ProceedDecision>(&verdict);
   if (run == nullptr) {
     return;
   }
@@ -130,9 +131,9 @@
   Place(std::move(passage));
 }
 
-EngineCallback ServicePath::SettleThen(const idempotency::Key& key,
-                                       EngineCallback done) {
-  return [this, key, done = std::move(done)](EngineResult result) {
+ResultCallback ServiceRequestHandler::SettleThen(const idempotency::Key& key,
+                                                 ResultCallback done) {
+  return [this, key, done = std::move(done)](RequestResult result) {
     // The ledger first: a retry that follows the answer must find it there.
     if (key.mode == idempotency::Mode::kDurable &&
         result.run_state != RunState::kNotRun) {
@@ -143,15 +144,16 @@
   };
 }
 
-EngineCallback ServicePath::ReleaseThen(const idempotency::Key& key,
-                                        EngineCallback done) {
-  return [this, key, done = std::move(done)](EngineResult result) {
+ResultCallback ServiceRequestHandler::ReleaseThen(const idempotency::Key& key,
+                                                  ResultCallback done) {
+  return [this, key, done = std::move(done)](RequestResult result) {
     parts_.keys.Release(key, result);
     done(std::move(result));
   };
 }
 
-void ServicePath::RunClaimed(Passage passage, const idempotency::Key& key) {
+void ServiceRequestHandler::RunClaimed(Passage passage,
+                                       const idempotency::Key& key) {
   const auto shared = std::make_shared<Passage>(std::move(passage));
   const auto on_claim = [this, shared, key](idempotency::ClaimResult result) {
     if (std::holds_alternative<idempotency::Claimed>(result)) {
@@ -164,7 +166,7 @@
     const auto* rival = std::get_if<idempotency::ClaimedElsewhere>(&result);
     if (rival != nullptr && rival->claimant) {
       // A duplicate reached this host; the claimant knows what became of it.
-      PassOn(*shared, PassToIssuer{rival->claimant->host});
+      PassOn(*shared, ForwardToIssuerDecision{rival->claimant->host});
     } else if (std::holds_alternative<idempotency::Fenced>(result)) {
       Fail(*shared, ProblemCode::kClaimUnsettled, RunState::kNotRun);
     } else {
@@ -179,7 +181,8 @@
   }
 }
 
-void ServicePath::PassOn(const Passage& passage, const PassToIssuer& verdict) {
+void ServiceRequestHandler::PassOn(const Passage& passage,
+                                   const ForwardToIssuerDecision& verdict) {
   // Whether it is still the process that issued the key, the host itself says.
   const auto host = passage.routes->hosts.find(verdict.issuer);
   const bool is_known = host != passage.routes->hosts.end() &&
@@ -199,7 +202,7 @@
        .time_left = passage.deadline - parts_.clock.Now(),
        .max_answer_bytes = request_class.max_answer_bytes,
        .is_idempotent = false},
-      [done = passage.done](EngineResult result) {
+      [done = passage.done](RequestResult result) {
         if (result.run_state == RunState::kNotRun && !result.is_target_answer) {
           // An earlier attempt with this key may have run at the issuer, so a
           // failed connection proves nothing here.
@@ -215,7 +218,7 @@
       });
 }
 
-void ServicePath::Place(Passage passage) {
+void ServiceRequestHandler::Place(Passage passage) {
   const auto shift =
       passage.forward ? std::nullopt : parts_.shifts.Choose(*passage.service);
   if (!shift) {
@@ -233,7 +236,7 @@
        .time_left = shared->deadline - parts_.clock.Now(),
        .max_answer_bytes = request_class.max_answer_bytes,
        .is_idempotent = request_class.IsIdempotent()},
-      [this, shared, to = shift->failure_domain](EngineResult result) {
+      [this, shared, to = shift->failure_domain](RequestResult result) {
         const bool may_run_here =
             result.run_state == RunState::kNotRun ||
             (result.run_state == RunState::kUnknown &&
@@ -248,7 +251,7 @@
       });
 }
 
-void ServicePath::PlaceHere(Passage passage) {
+void ServiceRequestHandler::PlaceHere(Passage passage) {
   const Duration time_left = passage.deadline - parts_.clock.Now();
   const bool is_shifted_in =
       passage.forward &&
@@ -265,11 +268,11 @@
   }
 }
 
-EngineCallback ServicePath::AnswerTo(
+ResultCallback ServiceRequestHandler::AnswerTo(
     const SharedRequest& request,
     const std::shared_ptr<Responder>& responder) const {
   return [this, request, responder,
-          arrived = parts_.clock.Now()](EngineResult result) {
+          arrived = parts_.clock.Now()](RequestResult result) {
     parts_.telemetry.EndRequest(*request, result, parts_.clock.Now() - arrived);
     if (!result.response.headers.Find(protocol::kHost)) {
       result.response.headers.Add(protocol::kHost, parts_.host.Value());
@@ -278,9 +281,9 @@
   };
 }
 
-void ServicePath::Fail(const Passage& passage,
-                       ProblemCode code,
-                       RunState run_state) {
+void ServiceRequestHandler::Fail(const Passage& passage,
+                                 ProblemCode code,
+                                 RunState run_state) {
   passage.done({.run_state = run_state,
                 .response = MakeProblem(code, run_state,
                                         code == ProblemCode::kClaimUnsettled
@@ -288,14 +291,15 @@
                                             : Duration::zero())});
 }
 
-HttpResponse ServicePath::RefuseStopping(const HttpRequest& request) const {
+HttpResponse ServiceRequestHandler::RefuseStopping(
+    const HttpRequest& request) const {
   return MakeProblem(ProblemCode::kStopping,
                      parts_.keys.OutcomeIfRefused(
                          request.headers.Find(protocol::kIdempotencyKey)),
                      kStoppingRetryAfter);
 }
 
-HttpResponse ServicePath::IssueKeys(const HttpRequest& request) {
+HttpResponse ServiceRequestHandler::IssueKeys(const HttpRequest& request) {
   const SharedRoutingTable routes = parts_.engine.Routes();
   if (!routes) {
     return MakeProblem(ProblemCode::kNotReady, RunState::kNotRun,
