--- a/lib/libmedlarcroft/source/adapters/entry/service_path.h
+++ b/lib/libmedlarcroft/source/adapters/entry/service_request_handler.h
@@ -1,15 +1,15 @@
-#ifndef MEDLARCROFT_ADAPTERS_ENTRY_SERVICE_PATH_H_
-#define MEDLARCROFT_ADAPTERS_ENTRY_SERVICE_PATH_H_
+#ifndef MEDLARCROFT_ADAPTERS_ENTRY_SERVICE_REQUEST_HANDLER_H_
+#define MEDLARCROFT_ADAPTERS_ENTRY_SERVICE_REQUEST_HANDLER_H_
 
 #include <memory>
 #include <optional>
 #include <string>
 
-#include "adapters/entry/caller_watch.h"
+#include "adapters/entry/caller_disconnect_monitor.h"
 #include "adapters/entry/claim_worker.h"
 #include "adapters/entry/entry_telemetry.h"
 #include "adapters/entry/host_forwarder.h"
-#include "adapters/entry/key_guard.h"
+#include "adapters/entry/idempotency_guard.h"
 #include "adapters/entry/request_engine.h"
 #include "adapters/entry/shift_chooser.h"
 #include "adapters/http/http_server.h"
@@ -17,7 +17,7 @@
 namespace medlarcroft::adapters {
 
 /// @brief The request path: from a caller's bytes to its final answer.
-class ServicePath {
+class ServiceRequestHandler {
  public:
   struct Parts {
     HostName host;
@@ -25,15 +25,15 @@
     /// Longest time that work may use a slot: leases of slots count on its end.
     Duration max_work{0};
     RequestEngine& engine;
-    KeyGuard& keys;
+    IdempotencyGuard& keys;
     HostForwarder& forwarder;
     ShiftChooser& shifts;
-    CallerWatch& callers;
+    CallerDisconnectMonitor& callers;
     EntryTelemetry& telemetry;
     ClaimWorker* claims = nullptr;  ///< None: durable keys are refused.
   };
 
-  explicit ServicePath(const Parts& parts) : parts_(parts) {}
+  explicit ServiceRequestHandler(const Parts& parts) : parts_(parts) {}
 
   [[nodiscard]] std::optional<HttpResponse> Serve(
       HttpRequest request,
@@ -53,7 +53,7 @@
     SharedRequest request;
     SharedRoutingTable routes;
     const ServiceRoute* service = nullptr;
-    EngineCallback done;
+    ResultCallback done;
     std::shared_ptr<Responder> responder;
     std::optional<forwarding::ForwardClaim> forward;
     MonotonicTime deadline;
@@ -63,15 +63,15 @@
   void RunGuardedRequest(Passage passage);
   void RunClaimed(Passage passage, const idempotency::Key& key);
   /// @return a callback that notes the result of a run in the ledger first.
-  [[nodiscard]] EngineCallback SettleThen(const idempotency::Key& key,
-                                          EngineCallback done);
+  [[nodiscard]] ResultCallback SettleThen(const idempotency::Key& key,
+                                          ResultCallback done);
   /// @return a callback that lets a later attempt decide anew.
-  [[nodiscard]] EngineCallback ReleaseThen(const idempotency::Key& key,
-                                           EngineCallback done);
-  void PassOn(const Passage& passage, const PassToIssuer& verdict);
+  [[nodiscard]] ResultCallback ReleaseThen(const idempotency::Key& key,
+                                           ResultCallback done);
+  void PassOn(const Passage& passage, const ForwardToIssuerDecision& verdict);
   void Place(Passage passage);
   void PlaceHere(Passage passage);
-  [[nodiscard]] EngineCallback AnswerTo(
+  [[nodiscard]] ResultCallback AnswerTo(
       const SharedRequest& request,
       const std::shared_ptr<Responder>& responder) const;
   static void Fail(const Passage& passage,
@@ -83,4 +83,4 @@
 
 }  // namespace medlarcroft::adapters
 
-#endif  // MEDLARCROFT_ADAPTERS_ENTRY_SERVICE_PATH_H_
+#endif  // MEDLARCROFT_ADAPTERS_ENTRY_SERVICE_REQUEST_HANDLER_H_
--- a/lib/libmedlarcroft/source/adapters/entry/share_agent.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/share_lending.cc
@@ -1,4 +1,4 @@
-#include "adapters/entry/share_agent.h"
+#include "adapters/entry/share_lending.h"
 
 #include <algorithm>
 
@@ -38,13 +38,14 @@
 }
 
 void ShareService::return_share(const wire::ShareRequest& request) {
-  keeper_.TakeBack(FromWire(request));
+  keeper_.AcceptReturn(FromWire(request));
 }
 
 void ShareBorrower::Round(const RoutingTable& routes,
                           const std::vector<TargetName>& pressed) {
-  const capacity::CapacityKeeper::DueMessages due = keeper_.Due(pressed);
-  for (const capacity::Ask& ask : due.asks) {
+  const capacity::CapacityManager::DueRequests due =
+      keeper_.CollectDueRequests(pressed);
+  for (const capacity::OutgoingShareRequest& ask : due.requests) {
     Channel* channel = ChannelTo(routes, ask.lender);
     if (channel == nullptr) {
       continue;
@@ -63,7 +64,7 @@
            .lease = std::chrono::milliseconds(std::max(0, grant.lease_ms))});
     }
   }
-  for (const capacity::Ask& ask : due.returns) {
+  for (const capacity::OutgoingShareRequest& ask : due.returns) {
     if (Channel* channel = ChannelTo(routes, ask.lender)) {
       // A lost return costs the lender one lease, no more.
       static_cast<void>(channel->Invoke([&ask](wire::SharesClient& client) {
--- a/lib/libmedlarcroft/source/adapters/entry/share_agent.h
+++ b/lib/libmedlarcroft/source/adapters/entry/share_lending.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ADAPTERS_ENTRY_SHARE_AGENT_H_
-#define MEDLARCROFT_ADAPTERS_ENTRY_SHARE_AGENT_H_
+#ifndef MEDLARCROFT_ADAPTERS_ENTRY_SHARE_LENDING_H_
+#define MEDLARCROFT_ADAPTERS_ENTRY_SHARE_LENDING_H_
 
 #include <map>
 #include <memory>
@@ -10,14 +10,14 @@
 #include "adapters/entry/routing_table.h"
 #include "adapters/peer/thrift_channel.h"
 #include "gen-cpp/Shares.h"
-#include "medlarcroft/capacity/capacity_keeper.h"
+#include "medlarcroft/capacity/capacity_manager.h"
 
 namespace medlarcroft::adapters {
 
 /// @brief Lends this host's free slots to other entryds.
 class ShareService final : public wire::SharesIf {
  public:
-  ShareService(HostName self, capacity::CapacityKeeper& keeper)
+  ShareService(HostName self, capacity::CapacityManager& keeper)
       : self_(std::move(self)), keeper_(keeper) {}
 
   void borrow_share(wire::ShareGrant& answer,
@@ -27,14 +27,14 @@
 
  private:
   const HostName self_;
-  capacity::CapacityKeeper& keeper_;
+  capacity::CapacityManager& keeper_;
 };
 
 /// @brief Carries this host's requests for loans to their lenders. Calls block,
 /// so it runs on a thread of its own.
 class ShareBorrower {
  public:
-  explicit ShareBorrower(capacity::CapacityKeeper& keeper) : keeper_(keeper) {}
+  explicit ShareBorrower(capacity::CapacityManager& keeper) : keeper_(keeper) {}
 
   /// @brief Sends what is due: asks, renewals and returns.
   void Round(const RoutingTable& routes,
@@ -46,10 +46,10 @@
   [[nodiscard]] Channel* ChannelTo(const RoutingTable& routes,
                                    const HostName& host);
 
-  capacity::CapacityKeeper& keeper_;
+  capacity::CapacityManager& keeper_;
   std::map<std::string, std::unique_ptr<Channel>> channels_;
 };
 
 }  // namespace medlarcroft::adapters
 
-#endif  // MEDLARCROFT_ADAPTERS_ENTRY_SHARE_AGENT_H_
+#endif  // MEDLARCROFT_ADAPTERS_ENTRY_SHARE_LENDING_H_
--- a/lib/libmedlarcroft/source/adapters/entry/target_poller.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/target_poller.cc
@@ -76,7 +76,7 @@
   return report;
 }
 
-bool SaysDraining(const ClientAnswer& health) {
+bool IsDrainingResponse(const ClientResponse& health) {
   if (health.status != kDrainingStatus) {
     return false;
   }
@@ -165,14 +165,15 @@
 
 void TargetPoller::AskHealth(const TargetName& target,
                              const std::string& address) {
-  parts_.client.Send({.url = "http://" + address + "/health",
-                      .timeout = kPollTimeout,
-                      .max_answer_bytes = kMaxReportBytes},
-                     [this, target](const ClientResult& result) {
-                       if (IsOk(result) && SaysDraining(ValueOf(result))) {
-                         parts_.engine.MarkLeaving(target);
-                       }
-                     });
+  parts_.client.Send(
+      {.url = "http://" + address + "/health",
+       .timeout = kPollTimeout,
+       .max_answer_bytes = kMaxReportBytes},
+      [this, target](const ClientResult& result) {
+        if (IsOk(result) && IsDrainingResponse(ValueOf(result))) {
+          parts_.engine.MarkLeaving(target);
+        }
+      });
 }
 
 void TargetPoller::OnLoad(const TargetName& target,
@@ -182,7 +183,7 @@
   if (!IsOk(result)) {
     return;
   }
-  const ClientAnswer& answer = ValueOf(result);
+  const ClientResponse& answer = ValueOf(result);
   const auto report = answer.status == 200 ? ParseTargetReport(answer.body)
                                            : std::optional<TargetReport>();
   if (report) {
--- a/lib/libmedlarcroft/source/adapters/entry/target_poller.h
+++ b/lib/libmedlarcroft/source/adapters/entry/target_poller.h
@@ -12,7 +12,7 @@
 #include "adapters/entry/request_engine.h"
 #include "adapters/entry/routing_table.h"
 #include "adapters/http/http_client.h"
-#include "medlarcroft/capacity/capacity_keeper.h"
+#include "medlarcroft/capacity/capacity_manager.h"
 #include "medlarcroft/core/identifiers.h"
 #include "medlarcroft/core/time.h"
 #include "medlarcroft/ports/clock.h"
@@ -33,7 +33,7 @@
 
 /// @return whether an answer to GET /health says that the target drains. A 503
 /// alone could come from anything in between, so the state must be named too.
-[[nodiscard]] bool SaysDraining(const ClientAnswer& health);
+[[nodiscard]] bool IsDrainingResponse(const ClientResponse& health);
 
 /// @return how long one host waits between two polls of one target.
 /// @param hosts how many hosts of the domain hold a seat, this one included.
@@ -56,7 +56,7 @@
     FailureDomainName failure_domain;
     RequestEngine& engine;
     HttpClient& client;
-    const capacity::CapacityKeeper& capacity;
+    const capacity::CapacityManager& capacity;
     ports::RandomSource& random;  ///< Used by `Round` only.
     const ports::Clock& clock;
   };
--- a/lib/libmedlarcroft/source/adapters/event/http_caller.cc
+++ b/lib/libmedlarcroft/source/adapters/event/event_http_client.cc
@@ -1,4 +1,4 @@
-#include "adapters/event/http_caller.h"
+#include "adapters/event/event_http_client.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,18 +7,18 @@
 
 namespace medlarcroft::adapters {
 
-HttpCaller::HttpCaller(EventLoop& loop, const Options& options)
+EventHttpClient::EventHttpClient(EventLoop& loop, const Options& options)
     : loop_(loop), options_(options) {}
 
-HttpCaller::~HttpCaller() {
+EventHttpClient::~EventHttpClient() {
   const auto busy = std::exchange(busy_, {});
   for (const auto& [exchange, connection] : busy) {
     connection->Close();
   }
 }
 
-ExchangeId HttpCaller::Send(OutboundRequest request,
-                            ExchangeCallback callback) {
+ExchangeId EventHttpClient::Send(OutboundRequest request,
+                                 ExchangeCallback callback) {
   const ExchangeId exchange = ++last_exchange_;
   std::shared_ptr<HttpClientConnection> connection =
       TakeIdle(request.address, request.max_idle);
@@ -39,7 +39,7 @@
   return exchange;
 }
 
-void HttpCaller::Cancel(ExchangeId exchange) {
+void EventHttpClient::Cancel(ExchangeId exchange) {
   const auto found = busy_.find(exchange);
   if (found == busy_.end()) {
     return;
@@ -49,7 +49,7 @@
   connection->Close();
 }
 
-void HttpCaller::RetireIdle(const std::string& address) {
+void EventHttpClient::CloseIdleConnections(const std::string& address) {
   const auto found = idle_.find(address);
   if (found == idle_.end()) {
     return;
@@ -61,7 +61,7 @@
   }
 }
 
-std::size_t HttpCaller::IdleConnections() const {
+std::size_t EventHttpClient::IdleConnections() const {
   std::size_t count = 0;
   for (const auto& [address, connections] : idle_) {
     count += connections.size();
@@ -69,7 +69,7 @@
   return count;
 }
 
-std::shared_ptr<HttpClientConnection> HttpCaller::TakeIdle(
+std::shared_ptr<HttpClientConnection> EventHttpClient::TakeIdle(
     const std::string& address,
     Duration max_idle) {
   const auto found = idle_.find(address);
@@ -88,13 +88,13 @@
   }
   if (now >= connection->IdleUntil()) {
     connection->Close();
-    RetireIdle(address);
+    CloseIdleConnections(address);
     return nullptr;
   }
   return connection;
 }
 
-void HttpCaller::KeepIdle(
+void EventHttpClient::KeepIdle(
     const std::shared_ptr<HttpClientConnection>& connection) {
   auto& connections = idle_[connection->Address()];
   if (connections.size() >= options_.max_idle_per_address) {
@@ -105,7 +105,7 @@
   connections.push_back(connection);
 }
 
-void HttpCaller::Forget(HttpClientConnection& connection) {
+void EventHttpClient::Forget(HttpClientConnection& connection) {
   const auto found = idle_.find(connection.Address());
   if (found != idle_.end()) {
     std::erase_if(found->second,
--- a/lib/libmedlarcroft/source/adapters/event/http_caller.h
+++ b/lib/libmedlarcroft/source/adapters/event/event_http_client.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ADAPTERS_EVENT_HTTP_CALLER_H_
-#define MEDLARCROFT_ADAPTERS_EVENT_HTTP_CALLER_H_
+#ifndef MEDLARCROFT_ADAPTERS_EVENT_EVENT_HTTP_CLIENT_H_
+#define MEDLARCROFT_ADAPTERS_EVENT_EVENT_HTTP_CLIENT_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -53,13 +53,13 @@
   std::size_t max_answer_bytes = std::size_t{64} * 1024 * 1024;
   /// Tells whether an answer belongs to this request; one that does not is
   /// skipped, and its connection is used no more.
-  std::function<bool(const HttpResponse&)> is_own_answer;
+  std::function<bool(const HttpResponse&)> is_matching_response;
   /// Hears how long a new connection took: about one round trip.
   std::function<void(Duration)> on_connected;
 };
 
 /// @brief What a caller has done.
-struct HttpCallerCounters {
+struct EventHttpClientCounters {
   std::uint64_t connections_opened = 0;
   std::uint64_t connections_reused = 0;
   std::uint64_t connect_failures = 0;
@@ -74,7 +74,7 @@
 /// It stands beside the client on libcurl since that one sends a request again
 /// by itself when a reused connection ends before the first byte of an answer,
 /// which would be a second run beside every budget. Here one call is one send.
-class HttpCaller {
+class EventHttpClient {
  public:
   struct Options {
     std::size_t max_idle_per_address = 6;
@@ -82,19 +82,21 @@
     Duration silence_limit = std::chrono::seconds(3);
   };
 
-  HttpCaller(EventLoop& loop, const Options& options);
-  ~HttpCaller();
-  HttpCaller(const HttpCaller&) = delete;
-  HttpCaller& operator=(const HttpCaller&) = delete;
+  EventHttpClient(EventLoop& loop, const Options& options);
+  ~EventHttpClient();
+  EventHttpClient(const EventHttpClient&) = delete;
+  EventHttpClient& operator=(const EventHttpClient&) = delete;
 
   /// @brief Starts an exchange; `callback` runs once, never within this call.
   ExchangeId Send(OutboundRequest request, ExchangeCallback callback);
   /// @brief Ends an exchange and closes its connection, without a callback.
   void Cancel(ExchangeId exchange);
   /// @brief No idle connection to `address` is used again.
-  void RetireIdle(const std::string& address);
+  void CloseIdleConnections(const std::string& address);
 
-  [[nodiscard]] const HttpCallerCounters& Counters() const { return counters_; }
+  [[nodiscard]] const EventHttpClientCounters& Counters() const {
+    return counters_;
+  }
   [[nodiscard]] std::size_t IdleConnections() const;
 
  private:
@@ -107,7 +109,7 @@
 
   EventLoop& loop_;
   const Options options_;
-  HttpCallerCounters counters_;
+  EventHttpClientCounters counters_;
   ExchangeId last_exchange_ = 0;
   std::unordered_map<ExchangeId, std::shared_ptr<HttpClientConnection>> busy_;
   std::unordered_map<std::string,
@@ -117,4 +119,4 @@
 
 }  // namespace medlarcroft::adapters
 
-#endif  // MEDLARCROFT_ADAPTERS_EVENT_HTTP_CALLER_H_
+#endif  // MEDLARCROFT_ADAPTERS_EVENT_EVENT_HTTP_CLIENT_H_
--- a/lib/libmedlarcroft/source/adapters/event/event_loop.cc
+++ b/lib/libmedlarcroft/source/adapters/event/event_loop.cc
@@ -111,7 +111,7 @@
     while (!is_finished_) {
       ACE_Time_Value wait = ToWait(NextWait());
       reactor_.handle_events(wait);
-      signals.Serve();
+      signals.DispatchPending();
       RunDueTimers();
     }
     return exit_code_;
--- a/lib/libmedlarcroft/source/adapters/event/http_client_connection.cc
+++ b/lib/libmedlarcroft/source/adapters/event/http_client_connection.cc
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <utility>
 
-#include "adapters/event/http_text.h"
+#include "adapters/event/http_serialization.h"
 
 namespace medlarcroft::adapters {
 
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-HttpClientConnection::HttpClientConnection(HttpCaller& caller,
+HttpClientConnection::HttpClientConnection(EventHttpClient& caller,
                                            std::string address,
                                            const SocketAddress& socket_address)
     : caller_(caller),
@@ -138,7 +138,8 @@
   response.status = static_cast<int>(message.result_int());
   response.headers = CopyFields(message);
   response.body = std::move(message.body());
-  if (request_.is_own_answer && !request_.is_own_answer(response)) {
+  if (request_.is_matching_response &&
+      !request_.is_matching_response(response)) {
     ++caller_.counters_.foreign_answers;
     may_be_kept_ = false;
     if (!keeps_alive) {
--- a/lib/libmedlarcroft/source/adapters/event/http_client_connection.h
+++ b/lib/libmedlarcroft/source/adapters/event/http_client_connection.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "adapters/event/http_caller.h"
+#include "adapters/event/event_http_client.h"
 #include "adapters/event/tcp_stream.h"
 
 namespace medlarcroft::adapters {
@@ -18,7 +18,7 @@
     : public StreamHandler,
       public std::enable_shared_from_this<HttpClientConnection> {
  public:
-  HttpClientConnection(HttpCaller& caller,
+  HttpClientConnection(EventHttpClient& caller,
                        std::string address,
                        const SocketAddress& socket_address);
   ~HttpClientConnection() override;
@@ -51,7 +51,7 @@
   void Fail(ExchangeFailure failure);
   void StopTimer();
 
-  HttpCaller& caller_;
+  EventHttpClient& caller_;
   const std::string address_;
   ExchangeId exchange_ = 0;
   OutboundRequest request_;
--- a/lib/libmedlarcroft/source/adapters/event/http_listener.cc
+++ b/lib/libmedlarcroft/source/adapters/event/http_listener.cc
@@ -18,7 +18,7 @@
 Result<std::unique_ptr<HttpListener>, HttpListener::Failure> HttpListener::Open(
     EventLoop& loop,
     const std::string& address,
-    HttpCallHandler& handler) {
+    HttpRequestHandler& handler) {
   const auto parsed = ParseSocketAddress(address);
   if (!parsed) {
     return Failure::kBadAddress;
@@ -42,7 +42,7 @@
 
 HttpListener::HttpListener(EventLoop& loop,
                            int descriptor,
-                           HttpCallHandler& handler)
+                           HttpRequestHandler& handler)
     : loop_(loop), handler_(handler), descriptor_(descriptor) {
   sockaddr_storage bound{};
   socklen_t length = sizeof(bound);
--- a/lib/libmedlarcroft/source/adapters/event/http_listener.h
+++ b/lib/libmedlarcroft/source/adapters/event/http_listener.h
@@ -31,21 +31,21 @@
   virtual ~HttpExchange() = default;
 
   /// Only the first answer counts; none is sent once the caller is gone.
-  virtual void Answer(HttpResponse response) = 0;
+  virtual void Respond(HttpResponse response) = 0;
   /// @brief Runs `task` when the caller closes its connection before the
   /// answer.
   virtual void OnCallerGone(std::function<void()> task) = 0;
 };
 
 /// @brief Takes the requests of a listener.
-class HttpCallHandler {
+class HttpRequestHandler {
  public:
-  virtual ~HttpCallHandler() = default;
+  virtual ~HttpRequestHandler() = default;
 
   /// `request.path` and `request.query` are left empty: `raw_target` holds
   /// what the caller sent, unchanged.
-  virtual void OnCall(HttpRequest request,
-                      const std::shared_ptr<HttpExchange>& exchange) = 0;
+  virtual void OnRequest(HttpRequest request,
+                         const std::shared_ptr<HttpExchange>& exchange) = 0;
 };
 
 /// @brief What a listener has seen.
@@ -68,8 +68,10 @@
  public:
   enum class Failure { kBadAddress, kCannotBind };
 
-  static Result<std::unique_ptr<HttpListener>, Failure>
-  Open(EventLoop& loop, const std::string& address, HttpCallHandler& handler);
+  static Result<std::unique_ptr<HttpListener>, Failure> Open(
+      EventLoop& loop,
+      const std::string& address,
+      HttpRequestHandler& handler);
   ~HttpListener() override;
 
   /// @brief In force for what begins from now on.
@@ -93,10 +95,10 @@
  private:
   friend class HttpServerConnection;
 
-  HttpListener(EventLoop& loop, int descriptor, HttpCallHandler& handler);
+  HttpListener(EventLoop& loop, int descriptor, HttpRequestHandler& handler);
 
   EventLoop& loop_;
-  HttpCallHandler& handler_;
+  HttpRequestHandler& handler_;
   int descriptor_;
   std::uint16_t port_ = 0;
   HttpLimits limits_;
--- a/lib/libmedlarcroft/source/adapters/event/http_text.cc
+++ b/lib/libmedlarcroft/source/adapters/event/http_serialization.cc
@@ -1,4 +1,4 @@
-#include "adapters/event/http_text.h"
+#include "adapters/event/http_serialization.h"
 
 #include <algorithm>
 #include <array>
@@ -66,7 +66,7 @@
   return headers;
 }
 
-HttpHeaders WithoutConnectionFields(const HttpHeaders& headers) {
+HttpHeaders WithoutHopByHopHeaders(const HttpHeaders& headers) {
   const std::vector<std::string> named = NamedByConnection(headers);
   HttpHeaders kept;
   for (const HttpHeader& field : headers.Fields()) {
--- a/lib/libmedlarcroft/source/adapters/event/http_text.h
+++ b/lib/libmedlarcroft/source/adapters/event/http_serialization.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ADAPTERS_EVENT_HTTP_TEXT_H_
-#define MEDLARCROFT_ADAPTERS_EVENT_HTTP_TEXT_H_
+#ifndef MEDLARCROFT_ADAPTERS_EVENT_HTTP_SERIALIZATION_H_
+#define MEDLARCROFT_ADAPTERS_EVENT_HTTP_SERIALIZATION_H_
 
 #include <boost/beast/http/fields.hpp>
 #include <string>
@@ -16,7 +16,7 @@
 /// @return the headers that may be passed on: without those that concern one
 /// connection only (RFC 9110, 7.6.1), those that `Connection` names, and the
 /// framing, which each sender sets itself.
-[[nodiscard]] HttpHeaders WithoutConnectionFields(const HttpHeaders& headers);
+[[nodiscard]] HttpHeaders WithoutHopByHopHeaders(const HttpHeaders& headers);
 
 /// @return whether a message of that status never has a body.
 [[nodiscard]] bool IsBodyless(int status);
@@ -44,4 +44,4 @@
 
 }  // namespace medlarcroft::adapters
 
-#endif  // MEDLARCROFT_ADAPTERS_EVENT_HTTP_TEXT_H_
+#endif  // MEDLARCROFT_ADAPTERS_EVENT_HTTP_SERIALIZATION_H_
--- a/lib/libmedlarcroft/source/adapters/event/http_server_connection.cc
+++ b/lib/libmedlarcroft/source/adapters/event/http_server_connection.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "adapters/event/http_text.h"
+#include "adapters/event/http_serialization.h"
 
 namespace medlarcroft::adapters {
 
@@ -114,10 +114,10 @@
   request.headers = CopyFields(message);
   request.body = std::move(message.body());
   is_head_request_ = request.method == "HEAD";
-  listener_->handler_.OnCall(std::move(request), shared_from_this());
+  listener_->handler_.OnRequest(std::move(request), shared_from_this());
 }
 
-void HttpServerConnection::Answer(HttpResponse response) {
+void HttpServerConnection::Respond(HttpResponse response) {
   if (phase_ != Phase::kServing || listener_ == nullptr) {
     return;
   }
@@ -147,7 +147,7 @@
   phase_ = Phase::kServing;
   keeps_alive_ = false;
   is_head_request_ = false;
-  Answer({.status = status});
+  Respond({.status = status});
 }
 
 void HttpServerConnection::WaitForRequest() {
--- a/lib/libmedlarcroft/source/adapters/event/http_server_connection.h
+++ b/lib/libmedlarcroft/source/adapters/event/http_server_connection.h
@@ -27,7 +27,7 @@
 
   void Begin();
 
-  void Answer(HttpResponse response) override;
+  void Respond(HttpResponse response) override;
   void OnCallerGone(std::function<void()> task) override {
     on_caller_gone_ = std::move(task);
   }
--- a/lib/libmedlarcroft/source/adapters/forward/crash_probe.cc
+++ b/lib/libmedlarcroft/source/adapters/forward/crash_probe.cc
@@ -41,7 +41,7 @@
     owner_.Finish(address_, end == StreamEnd::kCannotConnect);
   }
 
-  std::vector<BrokenSend> broken;
+  std::vector<InterruptedSend> broken;
 
  private:
   CrashProbe& owner_;
@@ -55,7 +55,7 @@
 
 CrashProbe::~CrashProbe() = default;
 
-void CrashProbe::Check(const std::string& address, BrokenSend broken) {
+void CrashProbe::Check(const std::string& address, InterruptedSend broken) {
   const auto known = probes_.find(address);
   if (known != probes_.end()) {
     known->second->broken.push_back(std::move(broken));
@@ -80,7 +80,7 @@
   if (!is_refused) {
     return;
   }
-  for (const BrokenSend& broken : probe->broken) {
+  for (const InterruptedSend& broken : probe->broken) {
     on_crash_(broken);
   }
 }
--- a/lib/libmedlarcroft/source/adapters/forward/crash_probe.h
+++ b/lib/libmedlarcroft/source/adapters/forward/crash_probe.h
@@ -14,7 +14,7 @@
 namespace medlarcroft::adapters {
 
 /// @brief A send whose connection closed before the complete answer arrived.
-struct BrokenSend {
+struct InterruptedSend {
   std::string id;
   request_path::RequestFingerprint fingerprint;
   request_path::TargetIdentity target;
@@ -24,7 +24,7 @@
 /// the target: the port of a terminated process refuses the connection.
 class CrashProbe {
  public:
-  using OnCrash = std::function<void(const BrokenSend&)>;
+  using OnCrash = std::function<void(const InterruptedSend&)>;
 
   CrashProbe(EventLoop& loop, OnCrash on_crash);
   ~CrashProbe();
@@ -33,7 +33,7 @@
 
   /// @brief Probes the target and reports the send if the target has crashed.
   /// Sends to the same address share a pending probe.
-  void Check(const std::string& address, BrokenSend broken);
+  void Check(const std::string& address, InterruptedSend broken);
 
  private:
   class Probe;
--- a/lib/libmedlarcroft/source/adapters/forward/request_codec.h
+++ b/lib/libmedlarcroft/source/adapters/forward/request_codec.h
@@ -10,13 +10,13 @@
 namespace medlarcroft::adapters {
 
 /// @brief A caller's request as one protocol tells it.
-struct DecodedCall {
+struct DecodedRequest {
   std::string id;  ///< The caller's own name for this request.
   request_path::CallerRequest request;
 };
 
 /// @brief What a target's whole answer says of its request.
-struct JudgedAnswer {
+struct ClassifiedResponse {
   request_path::AttemptEnd end = request_path::AttemptEnd::kLost;
   std::optional<request_path::LoadReport> load;
   /// Requests per second that the target accepts from all hosts together;
@@ -30,7 +30,8 @@
  public:
   virtual ~RequestCodec() = default;
 
-  [[nodiscard]] virtual DecodedCall Decode(const HttpRequest& call) const = 0;
+  [[nodiscard]] virtual DecodedRequest Decode(
+      const HttpRequest& call) const = 0;
   /// @return the request as sent to a target, head and body.
   [[nodiscard]] virtual std::string EncodeAttempt(
       const HttpRequest& call,
@@ -38,13 +39,13 @@
   /// @return whether an answer belongs to the request of that id.
   [[nodiscard]] virtual bool IsOwnAnswer(const HttpResponse& answer,
                                          const std::string& id) const = 0;
-  [[nodiscard]] virtual JudgedAnswer Judge(
+  [[nodiscard]] virtual ClassifiedResponse Judge(
       const HttpResponse& answer) const = 0;
   /// @return a target's answer as passed on to the caller.
   [[nodiscard]] virtual HttpResponse PassOn(HttpResponse answer) const = 0;
   /// @return this host's own answer.
   [[nodiscard]] virtual HttpResponse EncodeEnding(
-      const request_path::Ending& ending,
+      const request_path::RequestFailure& ending,
       const std::string& id) const = 0;
 };
 
--- a/lib/libmedlarcroft/source/adapters/forward/request_runner.cc
+++ b/lib/libmedlarcroft/source/adapters/forward/request_forwarder.cc
@@ -1,4 +1,4 @@
-#include "adapters/forward/request_runner.h"
+#include "adapters/forward/request_forwarder.h"
 
 #include <algorithm>
 #include <utility>
@@ -9,8 +9,8 @@
 namespace {
 
 using request_path::AttemptEnd;
-using request_path::Ending;
 using request_path::PassOn;
+using request_path::RequestFailure;
 using request_path::RequestTicket;
 using request_path::SendAttempt;
 using request_path::Step;
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-RequestRunner::~RequestRunner() {
+RequestForwarder::~RequestForwarder() {
   for (auto& [ticket, running] : running_) {
     parts_.loop.Cancel(running->timeout);
     parts_.loop.Cancel(running->slow);
@@ -47,8 +47,9 @@
   }
 }
 
-void RequestRunner::OnCall(HttpRequest call,
-                           const std::shared_ptr<HttpExchange>& exchange) {
+void RequestForwarder::OnRequest(
+    HttpRequest call,
+    const std::shared_ptr<HttpExchange>& exchange) {
   const MonotonicTime now = parts_.loop.Now();
   auto running = std::make_unique<Running>();
   running->decoded = parts_.codec.Decode(call);
@@ -57,14 +58,14 @@
   running->exchange = exchange;
   running->started_at = now;
   if (!is_taking_) {
-    End(*running, {.reason = request_path::EndReason::kHostLeaving,
+    End(*running, {.reason = request_path::FailureReason::kHostDraining,
                    .retry_after = kReturnElsewhere});
     return;
   }
   running->begun = parts_.path.Begin(running->decoded.request, now);
   const RequestTicket ticket = running->begun.ticket;
   if (ticket == 0) {
-    End(*running, std::get<Ending>(running->begun.step));
+    End(*running, std::get<RequestFailure>(running->begun.step));
     return;
   }
 
@@ -76,7 +77,7 @@
   Carry(ticket, kept.begun.step);
 }
 
-void RequestRunner::Carry(RequestTicket ticket, const Step& step) {
+void RequestForwarder::Carry(RequestTicket ticket, const Step& step) {
   const auto found = running_.find(ticket);
   if (found == running_.end()) {
     return;
@@ -91,18 +92,18 @@
     Forget(ticket);
     return;
   }
-  if (const auto* const ending = std::get_if<Ending>(&step)) {
+  if (const auto* const ending = std::get_if<RequestFailure>(&step)) {
     End(running, *ending);
     Forget(ticket);
   }
 }
 
-void RequestRunner::Send(RequestTicket ticket,
-                         Running& running,
-                         const SendAttempt& attempt) {
+void RequestForwarder::Send(RequestTicket ticket,
+                            Running& running,
+                            const SendAttempt& attempt) {
   parts_.telemetry.OnSend(running.lines, running.decoded.id,
                           *running.begun.route, attempt);
-  if (attempt.is_news && parts_.on_placed) {
+  if (attempt.should_announce && parts_.on_placed) {
     parts_.on_placed(attempt.target, running.decoded.request.object);
   }
   running.trace->OnSend(attempt, running.call);
@@ -115,7 +116,7 @@
   // The request's own timeout ends it.
   request.timeout = Duration(std::chrono::hours(1));
   request.max_idle = attempt.may_repeat ? kAnyIdle : kFreshIdle;
-  request.is_own_answer =
+  request.is_matching_response =
       [this, id = running.decoded.id](const HttpResponse& answer) {
         return parts_.codec.IsOwnAnswer(answer, id);
       };
@@ -126,15 +127,15 @@
       std::move(request), [this, ticket, attempt](ExchangeResult result) {
         OnResult(ticket, attempt, std::move(result));
       });
-  if (attempt.slow_after && running.slow == 0) {
-    running.slow = parts_.loop.After(*attempt.slow_after,
+  if (attempt.hedge_after && running.slow == 0) {
+    running.slow = parts_.loop.After(*attempt.hedge_after,
                                      [this, ticket] { OnSlow(ticket); });
   }
 }
 
-void RequestRunner::OnResult(RequestTicket ticket,
-                             const SendAttempt& attempt,
-                             ExchangeResult result) {
+void RequestForwarder::OnResult(RequestTicket ticket,
+                                const SendAttempt& attempt,
+                                ExchangeResult result) {
   const auto found = running_.find(ticket);
   if (found == running_.end()) {
     return;
@@ -144,7 +145,7 @@
   const MonotonicTime now = parts_.loop.Now();
   AttemptEnd end = AttemptEnd::kLost;
   if (IsOk(result)) {
-    const JudgedAnswer judged = parts_.codec.Judge(ValueOf(result));
+    const ClassifiedResponse judged = parts_.codec.Judge(ValueOf(result));
     end = judged.end;
     if (judged.load) {
       parts_.path.OnReport(attempt.target, *judged.load, now);
@@ -152,7 +153,7 @@
         parts_.on_report(attempt.target, *judged.load);
       }
     }
-    if (end != AttemptEnd::kOtherTarget) {
+    if (end != AttemptEnd::kWrongTarget) {
       parts_.path.OnRateLimit(ticket, attempt.attempt, judged.rate_limit, now);
     }
     running.answers[attempt.attempt] = TakeValue(std::move(result));
@@ -166,11 +167,11 @@
   Carry(ticket, parts_.path.OnAttemptEnd(ticket, attempt.attempt, end, now));
 }
 
-void RequestRunner::OnExchangeFailed(const Running& running,
-                                     const SendAttempt& attempt,
-                                     const ExchangeError& error) {
+void RequestForwarder::OnExchangeFailed(const Running& running,
+                                        const SendAttempt& attempt,
+                                        const ExchangeError& error) {
   // What broke one connection may have broken those that idle beside it.
-  parts_.caller.RetireIdle(attempt.address);
+  parts_.caller.CloseIdleConnections(attempt.address);
   const bool is_connection_closed =
       error.failure == ExchangeFailure::kClosed ||
       error.failure == ExchangeFailure::kTruncated;
@@ -182,7 +183,7 @@
   }
 }
 
-void RequestRunner::OnSlow(RequestTicket ticket) {
+void RequestForwarder::OnSlow(RequestTicket ticket) {
   const auto found = running_.find(ticket);
   if (found == running_.end()) {
     return;
@@ -191,7 +192,7 @@
   Carry(ticket, parts_.path.OnSlow(ticket, parts_.loop.Now()));
 }
 
-void RequestRunner::OnTimeout(RequestTicket ticket) {
+void RequestForwarder::OnTimeout(RequestTicket ticket) {
   const auto found = running_.find(ticket);
   if (found == running_.end()) {
     return;
@@ -201,7 +202,7 @@
   Forget(ticket);
 }
 
-void RequestRunner::OnCallerGone(RequestTicket ticket) {
+void RequestForwarder::OnCallerGone(RequestTicket ticket) {
   const auto found = running_.find(ticket);
   if (found == running_.end()) {
     return;
@@ -214,27 +215,27 @@
   Forget(ticket);
 }
 
-void RequestRunner::PassOn(Running& running,
-                           const request_path::PassOn& pass_on) {
+void RequestForwarder::PassOn(Running& running,
+                              const request_path::PassOn& pass_on) {
   HttpResponse& answer = running.answers.at(pass_on.attempt);
   running.trace->OnAnswer(answer.status);
   parts_.telemetry.OnAnswer(running.lines, running.decoded.id,
                             *running.begun.route, answer.status,
                             parts_.loop.Now() - running.started_at);
-  running.exchange->Answer(parts_.codec.PassOn(std::move(answer)));
+  running.exchange->Respond(parts_.codec.PassOn(std::move(answer)));
 }
 
-void RequestRunner::End(Running& running, const Ending& ending) {
+void RequestForwarder::End(Running& running, const RequestFailure& ending) {
   running.trace->OnEnding(ending);
   parts_.telemetry.OnEnding(running.lines, running.decoded,
                             running.begun.route.get(), ending,
                             parts_.path.ConfigurationVersion(),
                             parts_.loop.Now() - running.started_at);
-  running.exchange->Answer(
+  running.exchange->Respond(
       parts_.codec.EncodeEnding(ending, running.decoded.id));
 }
 
-void RequestRunner::Forget(RequestTicket ticket) {
+void RequestForwarder::Forget(RequestTicket ticket) {
   const auto found = running_.find(ticket);
   if (found == running_.end()) {
     return;
--- a/lib/libmedlarcroft/source/adapters/forward/request_runner.h
+++ b/lib/libmedlarcroft/source/adapters/forward/request_forwarder.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ADAPTERS_FORWARD_REQUEST_RUNNER_H_
-#define MEDLARCROFT_ADAPTERS_FORWARD_REQUEST_RUNNER_H_
+#ifndef MEDLARCROFT_ADAPTERS_FORWARD_REQUEST_FORWARDER_H_
+#define MEDLARCROFT_ADAPTERS_FORWARD_REQUEST_FORWARDER_H_
 
 #include <cstdint>
 #include <functional>
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "adapters/event/http_caller.h"
+#include "adapters/event/event_http_client.h"
 #include "adapters/event/http_listener.h"
 #include "adapters/forward/crash_probe.h"
 #include "adapters/forward/request_codec.h"
@@ -22,11 +22,11 @@
 
 /// @brief Carries out what RequestPath decides: takes callers' requests, sends
 /// them to targets, and gives each its answer.
-class RequestRunner final : public HttpCallHandler {
+class RequestForwarder final : public HttpRequestHandler {
  public:
   struct Parts {
     EventLoop& loop;
-    HttpCaller& caller;
+    EventHttpClient& caller;
     request_path::RequestPath& path;
     const RequestCodec& codec;
     RequestTelemetry& telemetry;
@@ -43,17 +43,17 @@
     CrashProbe::OnCrash on_crash;
   };
 
-  explicit RequestRunner(Parts parts)
+  explicit RequestForwarder(Parts parts)
       : parts_(std::move(parts)),
-        crash_probe_(parts_.loop, [this](const BrokenSend& broken) {
+        crash_probe_(parts_.loop, [this](const InterruptedSend& broken) {
           if (parts_.on_crash) {
             parts_.on_crash(broken);
           }
         }) {}
-  ~RequestRunner() override;
+  ~RequestForwarder() override;
 
-  void OnCall(HttpRequest call,
-              const std::shared_ptr<HttpExchange>& exchange) override;
+  void OnRequest(HttpRequest call,
+                 const std::shared_ptr<HttpExchange>& exchange) override;
 
   /// @brief From now on every new request is refused: this host leaves.
   void StopTaking() { is_taking_ = false; }
@@ -62,12 +62,12 @@
 
  private:
   struct Running {
-    DecodedCall decoded;
+    DecodedRequest decoded;
     HttpRequest call;
     std::optional<RequestTrace> trace;
-    RequestLines lines;
+    RequestLogBuffer lines;
     std::shared_ptr<HttpExchange> exchange;
-    request_path::Begun begun;
+    request_path::RequestStart begun;
     MonotonicTime started_at;
     TimerId timeout = 0;
     TimerId slow = 0;
@@ -93,7 +93,7 @@
   void OnTimeout(request_path::RequestTicket ticket);
   void OnCallerGone(request_path::RequestTicket ticket);
   void PassOn(Running& running, const request_path::PassOn& pass_on);
-  void End(Running& running, const request_path::Ending& ending);
+  void End(Running& running, const request_path::RequestFailure& ending);
   /// @brief Forgets a request and ends what is still under way for it.
   void Forget(request_path::RequestTicket ticket);
 
@@ -105,4 +105,4 @@
 
 }  // namespace medlarcroft::adapters
 
-#endif  // MEDLARCROFT_ADAPTERS_FORWARD_REQUEST_RUNNER_H_
+#endif  // MEDLARCROFT_ADAPTERS_FORWARD_REQUEST_FORWARDER_H_
--- a/lib/libmedlarcroft/source/adapters/forward/request_telemetry.cc
+++ b/lib/libmedlarcroft/source/adapters/forward/request_telemetry.cc
@@ -8,7 +8,7 @@
 namespace {
 
 using request_path::AttemptEnd;
-using request_path::EndReason;
+using request_path::FailureReason;
 using telemetry::Label;
 using telemetry::MetricDescription;
 using telemetry::RequestOutcome;
@@ -41,7 +41,8 @@
 RequestOutcome OutcomeOfEnding(const routing::Route* route) {
   const bool is_order =
       route != nullptr && route->kind == routing::RequestKind::kNonIdempotent;
-  return is_order ? RequestOutcome::kOrderFailed : RequestOutcome::kFailed;
+  return is_order ? RequestOutcome::kNonIdempotentFailed
+                  : RequestOutcome::kFailed;
 }
 
 void WriteSend(WallTime at,
@@ -49,7 +50,7 @@
                const routing::Route& route,
                const request_path::SendAttempt& attempt) {
   const request_path::Placement& placement = attempt.placement;
-  LogChosen(
+  LogUnthrottled(
       {.time = at,
        .level = LogLevel::kInfo,
        .event = attempt.attempt == 1 ? "request-placed" : "request-sent-again"},
@@ -74,7 +75,7 @@
                      const request_path::SendAttempt& attempt,
                      AttemptEnd end,
                      Duration since_arrival) {
-  LogChosen(
+  LogUnthrottled(
       {.time = at, .level = LogLevel::kWarning, .event = "attempt-failed"},
       {{"request", id},
        {"attempt", attempt.attempt},
@@ -87,7 +88,7 @@
 
 }  // namespace
 
-std::string_view NameOf(EndReason reason) {
+std::string_view NameOf(FailureReason reason) {
   return kReasonNames.at(static_cast<std::size_t>(reason));
 }
 
@@ -107,27 +108,28 @@
           metrics.CounterOf(kSends, {Label::OfConstant("attempt", "further")})),
       answer_time_(metrics.HistogramOf(kAnswerTime)) {}
 
-bool RequestTelemetry::IsChosenById(RequestLines& lines, std::string_view id) {
+bool RequestTelemetry::IsChosenById(RequestLogBuffer& lines,
+                                    std::string_view id) {
   if (!lines.is_chosen) {
-    lines.is_chosen = budget_.ChooseById(id, clock_.Now());
+    lines.is_chosen = budget_.SampleById(id, clock_.Now());
   }
   return *lines.is_chosen;
 }
 
-bool RequestTelemetry::ChooseAtEnd(RequestLines& lines,
+bool RequestTelemetry::SampleAtEnd(RequestLogBuffer& lines,
                                    std::string_view id,
                                    const routing::Route* route,
                                    RequestOutcome outcome) {
   if (IsChosenById(lines, id)) {
     return true;
   }
-  if (!budget_.ChooseAtEnd(outcome, clock_.Now())) {
+  if (!budget_.SampleAtEnd(outcome, clock_.Now())) {
     metrics_
         .CounterOf(kLeftOut, {Label::OfConstant("outcome", NameOf(outcome))})
         .Add();
     return false;
   }
-  for (const KeptAttempt& kept : lines.kept) {
+  for (const BufferedAttempt& kept : lines.kept) {
     if (kept.end) {
       WriteAttemptEnd(kept.at, id, kept.attempt, *kept.end, kept.since_arrival);
     } else {
@@ -141,10 +143,10 @@
   return {.time = clock_.WallNow(),
           .level = level,
           .event = event,
-          .held_back = budget_.TakeLeftOut()};
+          .suppressed_count = budget_.TakeUnsampledCount()};
 }
 
-void RequestTelemetry::OnSend(RequestLines& lines,
+void RequestTelemetry::OnSend(RequestLogBuffer& lines,
                               std::string_view id,
                               const routing::Route& route,
                               const request_path::SendAttempt& attempt) {
@@ -156,7 +158,7 @@
   }
 }
 
-void RequestTelemetry::OnAttemptEnd(RequestLines& lines,
+void RequestTelemetry::OnAttemptEnd(RequestLogBuffer& lines,
                                     std::string_view id,
                                     const request_path::SendAttempt& attempt,
                                     AttemptEnd end,
@@ -175,7 +177,7 @@
   }
 }
 
-void RequestTelemetry::OnAnswer(RequestLines& lines,
+void RequestTelemetry::OnAnswer(RequestLogBuffer& lines,
                                 std::string_view id,
                                 const routing::Route& route,
                                 int status,
@@ -183,32 +185,32 @@
   answered_.Add();
   answer_time_.Record(since_arrival);
   const bool is_late = since_arrival > route.latency_objective;
-  if (!ChooseAtEnd(lines, id, &route,
+  if (!SampleAtEnd(lines, id, &route,
                    is_late ? RequestOutcome::kLate : RequestOutcome::kServed)) {
     return;
   }
-  LogChosen(LastLine(LogLevel::kInfo,
-                     is_late ? "request-answered-late" : "request-answered"),
-            {{"request", id},
-             {"route", route.name},
-             {"status", status},
-             {"since_arrival_ms", ToMilliseconds(since_arrival)},
-             {"objective_ms", ToMilliseconds(route.latency_objective)}});
+  LogUnthrottled(LastLine(LogLevel::kInfo, is_late ? "request-answered-late"
+                                                   : "request-answered"),
+                 {{"request", id},
+                  {"route", route.name},
+                  {"status", status},
+                  {"since_arrival_ms", ToMilliseconds(since_arrival)},
+                  {"objective_ms", ToMilliseconds(route.latency_objective)}});
 }
 
-void RequestTelemetry::OnEnding(RequestLines& lines,
-                                const DecodedCall& call,
+void RequestTelemetry::OnEnding(RequestLogBuffer& lines,
+                                const DecodedRequest& call,
                                 const routing::Route* route,
-                                const request_path::Ending& ending,
+                                const request_path::RequestFailure& ending,
                                 std::uint64_t configuration_version,
                                 Duration since_arrival) {
   const std::string_view name = NameOf(ending.reason);
   const auto& best = ending.best;
   metrics_.CounterOf(kEndings, {Label::OfConstant("reason", name)}).Add();
-  if (!ChooseAtEnd(lines, call.id, route, OutcomeOfEnding(route))) {
+  if (!SampleAtEnd(lines, call.id, route, OutcomeOfEnding(route))) {
     return;
   }
-  LogChosen(
+  LogUnthrottled(
       LastLine(LogLevel::kWarning,
                ending.is_not_run ? "request-refused" : "request-failed"),
       {{"request", call.id},
@@ -227,18 +229,18 @@
        {"since_arrival_ms", ToMilliseconds(since_arrival)}});
 }
 
-void RequestTelemetry::OnCallerGone(RequestLines& lines,
+void RequestTelemetry::OnCallerGone(RequestLogBuffer& lines,
                                     std::string_view id,
                                     const routing::Route& route,
                                     Duration since_arrival) {
   caller_gone_.Add();
-  if (!ChooseAtEnd(lines, id, &route, RequestOutcome::kLate)) {
+  if (!SampleAtEnd(lines, id, &route, RequestOutcome::kLate)) {
     return;
   }
-  LogChosen(LastLine(LogLevel::kInfo, "request-cancelled"),
-            {{"request", id},
-             {"reason", "caller-gone"},
-             {"since_arrival_ms", ToMilliseconds(since_arrival)}});
+  LogUnthrottled(LastLine(LogLevel::kInfo, "request-cancelled"),
+                 {{"request", id},
+                  {"reason", "caller-gone"},
+                  {"since_arrival_ms", ToMilliseconds(since_arrival)}});
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/forward/request_telemetry.h
+++ b/lib/libmedlarcroft/source/adapters/forward/request_telemetry.h
@@ -13,16 +13,16 @@
 #include "medlarcroft/request_path/request_path.h"
 #include "medlarcroft/routing/routing_configuration.h"
 #include "medlarcroft/telemetry/metrics.h"
-#include "medlarcroft/telemetry/request_line_budget.h"
+#include "medlarcroft/telemetry/request_log_sampler.h"
 
 namespace medlarcroft::adapters {
 
-[[nodiscard]] std::string_view NameOf(request_path::EndReason reason);
+[[nodiscard]] std::string_view NameOf(request_path::FailureReason reason);
 [[nodiscard]] std::string_view NameOf(request_path::AttemptEnd end);
 
 /// @brief A send or its end, kept until it is known whether the request is
 /// logged.
-struct KeptAttempt {
+struct BufferedAttempt {
   WallTime at;
   request_path::SendAttempt attempt;
   std::optional<request_path::AttemptEnd> end;  ///< None: it was sent.
@@ -30,52 +30,52 @@
 };
 
 /// @brief What is known of one request's lines.
-struct RequestLines {
+struct RequestLogBuffer {
   /// Whether it is logged for its id; nothing before its first line.
   std::optional<bool> is_chosen;
-  std::vector<KeptAttempt> kept;
+  std::vector<BufferedAttempt> kept;
 };
 
 /// @brief Counts what is decided on requests, and logs all lines of some of
-/// them: see `RequestLineBudget`. The last line says how many requests were
+/// them: see `RequestLogSampler`. The last line says how many requests were
 /// left out since.
 class RequestTelemetry {
  public:
   RequestTelemetry(telemetry::MetricsRegistry& metrics,
                    const ports::Clock& clock);
 
-  void OnSend(RequestLines& lines,
+  void OnSend(RequestLogBuffer& lines,
               std::string_view id,
               const routing::Route& route,
               const request_path::SendAttempt& attempt);
-  void OnAttemptEnd(RequestLines& lines,
+  void OnAttemptEnd(RequestLogBuffer& lines,
                     std::string_view id,
                     const request_path::SendAttempt& attempt,
                     request_path::AttemptEnd end,
                     Duration since_arrival);
-  void OnAnswer(RequestLines& lines,
+  void OnAnswer(RequestLogBuffer& lines,
                 std::string_view id,
                 const routing::Route& route,
                 int status,
                 Duration since_arrival);
   /// @param route null when none was found.
-  void OnEnding(RequestLines& lines,
-                const DecodedCall& call,
+  void OnEnding(RequestLogBuffer& lines,
+                const DecodedRequest& call,
                 const routing::Route* route,
-                const request_path::Ending& ending,
+                const request_path::RequestFailure& ending,
                 std::uint64_t configuration_version,
                 Duration since_arrival);
-  void OnCallerGone(RequestLines& lines,
+  void OnCallerGone(RequestLogBuffer& lines,
                     std::string_view id,
                     const routing::Route& route,
                     Duration since_arrival);
 
  private:
-  [[nodiscard]] bool IsChosenById(RequestLines& lines, std::string_view id);
+  [[nodiscard]] bool IsChosenById(RequestLogBuffer& lines, std::string_view id);
   /// @brief Writes what was kept of a request that is logged after all.
   /// @param route null when none was found.
   /// @return whether its last line is to be written.
-  [[nodiscard]] bool ChooseAtEnd(RequestLines& lines,
+  [[nodiscard]] bool SampleAtEnd(RequestLogBuffer& lines,
                                  std::string_view id,
                                  const routing::Route* route,
                                  telemetry::RequestOutcome outcome);
@@ -83,7 +83,7 @@
 
   telemetry::MetricsRegistry& metrics_;
   const ports::Clock& clock_;
-  telemetry::RequestLineBudget budget_;
+  telemetry::RequestLogSampler budget_;
   telemetry::Counter& answered_;
   telemetry::Counter& caller_gone_;
   telemetry::Counter& first_sends_;
--- a/lib/libmedlarcroft/source/adapters/forward/request_trace.cc
+++ b/lib/libmedlarcroft/source/adapters/forward/request_trace.cc
@@ -73,7 +73,7 @@
   request_.reset();
 }
 
-void RequestTrace::OnEnding(const request_path::Ending& ending) {
+void RequestTrace::OnEnding(const request_path::RequestFailure& ending) {
   attempts_.clear();
   if (!request_) {
     return;
--- a/lib/libmedlarcroft/source/adapters/forward/request_trace.h
+++ b/lib/libmedlarcroft/source/adapters/forward/request_trace.h
@@ -27,7 +27,7 @@
                     request_path::AttemptEnd end);
   /// @brief Ends this host's span, and those of sends that are given up.
   void OnAnswer(int status);
-  void OnEnding(const request_path::Ending& ending);
+  void OnEnding(const request_path::RequestFailure& ending);
 
  private:
   telemetry::Tracer& tracer_;
--- a/lib/libmedlarcroft/source/adapters/http/http_client.cc
+++ b/lib/libmedlarcroft/source/adapters/http/http_client.cc
@@ -27,7 +27,7 @@
   ClientCallback callback;
   CURL* easy = nullptr;
   curl_slist* header_list = nullptr;
-  ClientAnswer answer;
+  ClientResponse answer;
   bool is_framed = false;
   bool is_too_large = false;
 
--- a/lib/libmedlarcroft/source/adapters/http/http_client.h
+++ b/lib/libmedlarcroft/source/adapters/http/http_client.h
@@ -29,7 +29,7 @@
 };
 
 /// @brief A whole answer.
-struct ClientAnswer {
+struct ClientResponse {
   int status = 0;
   HttpHeaders headers;
   std::string body;
@@ -54,7 +54,7 @@
   bool was_connection_reused = false;
 };
 
-using ClientResult = Result<ClientAnswer, TransportError>;
+using ClientResult = Result<ClientResponse, TransportError>;
 using ClientCallback = std::function<void(ClientResult)>;
 
 /// @brief Sends requests from one thread on a libcurl multi handle, with pooled
--- a/lib/libmedlarcroft/source/adapters/http/http_server.cc
+++ b/lib/libmedlarcroft/source/adapters/http/http_server.cc
@@ -56,7 +56,7 @@
 std::string PeerAddressOf(MHD_Connection* connection) {
   const MHD_ConnectionInfo* info =
       MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CLIENT_ADDRESS);
-  return info ? FormatIpNumber(*info->client_addr) : std::string();
+  return info ? FormatIpAddress(*info->client_addr) : std::string();
 }
 
 std::uint64_t ConnectionIdOf(MHD_Connection* connection) {
@@ -120,7 +120,7 @@
     }
   }
 
-  [[nodiscard]] bool IsCallerGone() const override {
+  [[nodiscard]] bool IsClientDisconnected() const override {
     const std::lock_guard lock(mutex_);
     if (connection_ == nullptr) {
       return true;
--- a/lib/libmedlarcroft/source/adapters/http/http_server.h
+++ b/lib/libmedlarcroft/source/adapters/http/http_server.h
@@ -27,7 +27,7 @@
   virtual void Send(HttpResponse response) = 0;
 
   /// @return whether the caller has closed its connection meanwhile.
-  [[nodiscard]] virtual bool IsCallerGone() const = 0;
+  [[nodiscard]] virtual bool IsClientDisconnected() const = 0;
 };
 
 /// @brief Serves requests of one listener.
--- a/lib/libmedlarcroft/source/adapters/http/json_answer.cc
+++ b/lib/libmedlarcroft/source/adapters/http/json_response.cc
@@ -1,12 +1,12 @@
-#include "adapters/http/json_answer.h"
+#include "adapters/http/json_response.h"
 
 #include <utility>
 
 namespace medlarcroft::adapters {
 
-HttpResponse MakeJsonAnswer(int status,
-                            const nlohmann::ordered_json& body,
-                            JsonLayout layout) {
+HttpResponse MakeJsonResponse(int status,
+                              const nlohmann::ordered_json& body,
+                              JsonLayout layout) {
   constexpr int kOneLine = -1;
   constexpr int kIndent = 1;
   HttpResponse response{.status = status};
@@ -16,7 +16,7 @@
   return response;
 }
 
-HttpResponse MakeMetricsAnswer(std::string text) {
+HttpResponse MakeMetricsResponse(std::string text) {
   HttpResponse response;
   response.headers.Add("Content-Type", "text/plain; version=0.0.4");
   response.body = std::move(text);
--- a/lib/libmedlarcroft/source/adapters/http/json_answer.h
+++ b/lib/libmedlarcroft/source/adapters/http/json_response.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ADAPTERS_HTTP_JSON_ANSWER_H_
-#define MEDLARCROFT_ADAPTERS_HTTP_JSON_ANSWER_H_
+#ifndef MEDLARCROFT_ADAPTERS_HTTP_JSON_RESPONSE_H_
+#define MEDLARCROFT_ADAPTERS_HTTP_JSON_RESPONSE_H_
 
 #include <nlohmann/json.hpp>
 
@@ -11,14 +11,14 @@
 enum class JsonLayout { kCompact, kReadable };
 
 /// @return an `application/json` answer.
-[[nodiscard]] HttpResponse MakeJsonAnswer(
+[[nodiscard]] HttpResponse MakeJsonResponse(
     int status,
     const nlohmann::ordered_json& body,
     JsonLayout layout = JsonLayout::kReadable);
 
 /// @return Prometheus text, version 0.0.4.
-[[nodiscard]] HttpResponse MakeMetricsAnswer(std::string text);
+[[nodiscard]] HttpResponse MakeMetricsResponse(std::string text);
 
 }  // namespace medlarcroft::adapters
 
-#endif  // MEDLARCROFT_ADAPTERS_HTTP_JSON_ANSWER_H_
+#endif  // MEDLARCROFT_ADAPTERS_HTTP_JSON_RESPONSE_H_
--- a/lib/libmedlarcroft/source/adapters/http/operator_answers.cc
+++ b/lib/libmedlarcroft/source/adapters/http/operator_responses.cc
@@ -1,4 +1,4 @@
-#include "adapters/http/operator_answers.h"
+#include "adapters/http/operator_responses.h"
 
 #include <array>
 #include <nlohmann/json.hpp>
@@ -147,11 +147,12 @@
 }
 
 HttpResponse MakeAnswer(const catalogue::ChangeAnswer& answer) {
-  HttpResponse response = MakeJson(answer.is_created ? 201 : 200,
-                                   {{"change_id", answer.change_id},
-                                    {"revision", answer.revision},
-                                    {"version", answer.version},
-                                    {"was_settled", answer.was_settled}});
+  HttpResponse response =
+      MakeJson(answer.is_created ? 201 : 200,
+               {{"change_id", answer.change_id},
+                {"revision", answer.revision},
+                {"version", answer.version},
+                {"was_settled", answer.was_already_accepted}});
   response.headers.Add(kOutcomeHeader, "ran");
   response.headers.Add(kChangeIdHeader, answer.change_id);
   response.headers.Add("ETag", MakeETag(answer.version));
--- a/lib/libmedlarcroft/source/adapters/http/operator_routes.cc
+++ b/lib/libmedlarcroft/source/adapters/http/operator_routes.cc
@@ -4,7 +4,7 @@
 #include <span>
 #include <string>
 
-#include "adapters/http/operator_answers.h"
+#include "adapters/http/operator_responses.h"
 
 namespace medlarcroft::adapters {
 
--- a/lib/libmedlarcroft/source/adapters/http/page_table.h
+++ b/lib/libmedlarcroft/source/adapters/http/page_table.h
@@ -19,7 +19,7 @@
 
 /// @return the page that the request names, or nullopt when there is none.
 template <typename Owner>
-[[nodiscard]] std::optional<HttpResponse> FindPage(
+[[nodiscard]] std::optional<HttpResponse> ServePage(
     const Owner& owner,
     std::span<const Page<Owner>> pages,
     const HttpRequest& request) {
--- a/lib/libmedlarcroft/source/adapters/load/http_load_transport.cc
+++ b/lib/libmedlarcroft/source/adapters/load/http_load_transport.cc
@@ -42,7 +42,7 @@
   if (!IsOk(client_result)) {
     return {.failure = FailureOf(ErrorOf(client_result))};
   }
-  ClientAnswer answer = TakeValue(std::move(client_result));
+  ClientResponse answer = TakeValue(std::move(client_result));
   ExchangeResult result{.status = answer.status};
   for (const HttpHeader& field : answer.headers.Fields()) {
     result.headers.push_back({ToLowerCase(field.name), field.value});
--- a/lib/libmedlarcroft/source/adapters/load/target_probe.cc
+++ b/lib/libmedlarcroft/source/adapters/load/target_probe.cc
@@ -38,7 +38,7 @@
 std::optional<double> TargetProbe::MeasureHeadroom() {
   double slots = 0;
   double outstanding = 0;
-  for (const ClientAnswer& answer : AskAll("/load")) {
+  for (const ClientResponse& answer : AskAll("/load")) {
     const json document = json::parse(answer.body, nullptr, false);
     if (document.is_object()) {
       slots += document.value("slots", 0.0);
@@ -54,7 +54,7 @@
 RunAudit TargetProbe::ReadRuns() {
   RunAudit audit;
   std::size_t complete = 0;
-  for (const ClientAnswer& answer : AskAll("/control/runs")) {
+  for (const ClientResponse& answer : AskAll("/control/runs")) {
     auto list = ParseRunList(answer.body);
     if (!list) {
       continue;
@@ -68,7 +68,7 @@
   return audit;
 }
 
-std::vector<ClientAnswer> TargetProbe::AskAll(std::string_view path) {
+std::vector<ClientResponse> TargetProbe::AskAll(std::string_view path) {
   std::vector<std::promise<ClientResult>> promises(urls_.size());
   for (std::size_t i = 0; i < urls_.size(); ++i) {
     client_.Send({.url = urls_[i] + std::string(path),
@@ -77,7 +77,7 @@
                    promise.set_value(std::move(result));
                  });
   }
-  std::vector<ClientAnswer> answers;
+  std::vector<ClientResponse> answers;
   for (std::promise<ClientResult>& promise : promises) {
     ClientResult result = promise.get_future().get();
     if (IsOk(result)) {
--- a/lib/libmedlarcroft/source/adapters/load/target_probe.h
+++ b/lib/libmedlarcroft/source/adapters/load/target_probe.h
@@ -36,7 +36,7 @@
 
  private:
   /// @return the answers to a GET of `path` from all targets that gave one.
-  std::vector<ClientAnswer> AskAll(std::string_view path);
+  std::vector<ClientResponse> AskAll(std::string_view path);
 
   HttpClient& client_;
   const std::vector<std::string> urls_;
--- a/lib/libmedlarcroft/source/adapters/peer/peer_channel.cc
+++ b/lib/libmedlarcroft/source/adapters/peer/peer_channel.cc
@@ -13,19 +13,19 @@
 
 namespace medlarcroft::adapters {
 
-using news::PeerNews;
+using peer_updates::PeerUpdate;
 
 namespace {
 
 using apache::thrift::transport::TMemoryBuffer;
-using news::NewsWay;
+using peer_updates::UpdateRoute;
 
 // A host state without loads takes about a hundred bytes.
 constexpr std::size_t kMaxDatagramBytes = 1400;
 
 }  // namespace
 
-std::string EncodePeerNews(const PeerNews& news) {
+std::string EncodePeerUpdate(const PeerUpdate& news) {
   wire::PeerDatagram datagram;
   if (news.state) {
     membership::HostState brief = *news.state;
@@ -34,17 +34,17 @@
   }
   datagram.way = static_cast<std::int32_t>(news.way);
   datagram.sender = static_cast<std::int32_t>(news.sender);
-  datagram.placed = news::EncodePlaced(news.placed);
-  datagram.loads = news::EncodeLoads(news.loads);
-  datagram.crashes = news::EncodeCrashes(news.crashes);
-  datagram.limits = news::EncodeLimits(news.limits);
+  datagram.placed = peer_updates::EncodePlaced(news.placed);
+  datagram.loads = peer_updates::EncodeLoads(news.loads);
+  datagram.crashes = peer_updates::EncodeCrashes(news.crashes);
+  datagram.limits = peer_updates::EncodeLimits(news.limits);
   datagram.heartbeats = membership::EncodeHeartbeats(news.heartbeats);
   const auto buffer = std::make_shared<TMemoryBuffer>();
   datagram.write(MakeCompactProtocol(buffer).get());
   return buffer->getBufferAsString();
 }
 
-std::optional<PeerNews> DecodePeerNews(std::string_view datagram) {
+std::optional<PeerUpdate> DecodePeerUpdate(std::string_view datagram) {
   std::string bytes(datagram);
   const auto buffer = std::make_shared<TMemoryBuffer>(
       reinterpret_cast<std::uint8_t*>(bytes.data()),
@@ -56,22 +56,22 @@
     return std::nullopt;
   }
   auto heartbeats = membership::DecodeHeartbeats(message.heartbeats);
-  auto placed = news::DecodePlaced(message.placed);
-  auto loads = news::DecodeLoads(message.loads);
-  auto crashes = news::DecodeCrashes(message.crashes);
-  auto limits = news::DecodeLimits(message.limits);
+  auto placed = peer_updates::DecodePlaced(message.placed);
+  auto loads = peer_updates::DecodeLoads(message.loads);
+  auto crashes = peer_updates::DecodeCrashes(message.crashes);
+  auto limits = peer_updates::DecodeLimits(message.limits);
   if (!heartbeats || !placed || !loads || !crashes || !limits ||
       message.way < 0 ||
-      message.way > static_cast<std::int32_t>(NewsWay::kInterRegion)) {
+      message.way > static_cast<std::int32_t>(UpdateRoute::kInterRegion)) {
     return std::nullopt;
   }
-  PeerNews news{.way = static_cast<NewsWay>(message.way),
-                .sender = static_cast<std::uint32_t>(message.sender),
-                .placed = std::move(*placed),
-                .loads = std::move(*loads),
-                .crashes = std::move(*crashes),
-                .limits = std::move(*limits),
-                .heartbeats = std::move(*heartbeats)};
+  PeerUpdate news{.way = static_cast<UpdateRoute>(message.way),
+                  .sender = static_cast<std::uint32_t>(message.sender),
+                  .placed = std::move(*placed),
+                  .loads = std::move(*loads),
+                  .crashes = std::move(*crashes),
+                  .limits = std::move(*limits),
+                  .heartbeats = std::move(*heartbeats)};
   if (message.__isset.state && !message.state.host.empty()) {
     news.state = FromWire(message.state);
   }
@@ -111,11 +111,11 @@
 
 // Made once for all: making it for each would take most of the processor time.
 void PeerChannel::Send(std::span<const std::string> addresses,
-                       const PeerNews& news) {
+                       const PeerUpdate& news) {
   if (addresses.empty()) {
     return;
   }
-  const std::string datagram = EncodePeerNews(news);
+  const std::string datagram = EncodePeerUpdate(news);
   for (const std::string& address : addresses) {
     const auto parsed = ParseSocketAddress(address);
     if (!parsed) {
@@ -135,7 +135,7 @@
       return;
     }
     const auto news =
-        DecodePeerNews({buffer.data(), static_cast<std::size_t>(count)});
+        DecodePeerUpdate({buffer.data(), static_cast<std::size_t>(count)});
     if (!news) {
       ++malformed_;
       continue;
--- a/lib/libmedlarcroft/source/adapters/peer/peer_channel.h
+++ b/lib/libmedlarcroft/source/adapters/peer/peer_channel.h
@@ -11,23 +11,25 @@
 
 #include "adapters/event/event_loop.h"
 #include "medlarcroft/core/result.h"
-#include "medlarcroft/news/region_news.h"
+#include "medlarcroft/peer_updates/region_broadcaster.h"
 
 namespace medlarcroft::adapters {
 
-[[nodiscard]] std::string EncodePeerNews(const news::PeerNews& news);
+[[nodiscard]] std::string EncodePeerUpdate(
+    const peer_updates::PeerUpdate& news);
 
 /// @return the news, or nullopt when `datagram` is none.
-[[nodiscard]] std::optional<news::PeerNews> DecodePeerNews(
+[[nodiscard]] std::optional<peer_updates::PeerUpdate> DecodePeerUpdate(
     std::string_view datagram);
 
 /// @brief Hosts tell each other that they live and what they placed, by
 /// datagrams: losing one costs little, and no connection has to be kept or
 /// found silent.
-class PeerChannel final : public DescriptorHandler, public news::NewsSender {
+class PeerChannel final : public DescriptorHandler,
+                          public peer_updates::UpdateSender {
  public:
   enum class Failure { kBadAddress, kCannotBind };
-  using Receiver = std::function<void(const news::PeerNews&)>;
+  using Receiver = std::function<void(const peer_updates::PeerUpdate&)>;
 
   static Result<std::unique_ptr<PeerChannel>, Failure>
   Open(EventLoop& loop, const std::string& address, Receiver receiver);
@@ -36,7 +38,7 @@
   /// @brief Sends to each address. One datagram that is lost, or that the
   /// kernel does not take, is made up for by the next one.
   void Send(std::span<const std::string> addresses,
-            const news::PeerNews& news) override;
+            const peer_updates::PeerUpdate& news) override;
 
   [[nodiscard]] std::uint64_t Malformed() const { return malformed_; }
 
--- a/lib/libmedlarcroft/source/adapters/peer/listener_metrics.cc
+++ b/lib/libmedlarcroft/source/adapters/peer/thrift_listener_metrics.cc
@@ -1,4 +1,4 @@
-#include "adapters/peer/listener_metrics.h"
+#include "adapters/peer/thrift_listener_metrics.h"
 
 namespace medlarcroft::adapters {
 
--- a/lib/libmedlarcroft/source/adapters/platform/catalogue_wire.cc
+++ b/lib/libmedlarcroft/source/adapters/platform/catalogue_wire_conversion.cc
@@ -1,4 +1,4 @@
-#include "adapters/platform/catalogue_wire.h"
+#include "adapters/platform/catalogue_wire_conversion.h"
 
 #include <cstdint>
 #include <utility>
--- a/lib/libmedlarcroft/source/adapters/platform/http_platform.cc
+++ b/lib/libmedlarcroft/source/adapters/platform/http_platform.cc
@@ -32,7 +32,7 @@
 
 /// A 5xx may come from something between us and the service that has lost the
 /// answer, so only the service's own word counts as "no effect".
-StoreFailure FailureOf(const ClientAnswer& answer) {
+StoreFailure FailureOf(const ClientResponse& answer) {
   return IsNotDoneBody(answer.body) ? StoreFailure::kUnavailable
                                     : StoreFailure::kOutcomeUnknown;
 }
@@ -40,7 +40,7 @@
 /// @return what `parse` makes of a 200 answer, or the failure.
 template <typename Value>
 Result<Value, StoreFailure> Understand(
-    const Result<ClientAnswer, StoreFailure>& answer,
+    const Result<ClientResponse, StoreFailure>& answer,
     std::optional<Value> (*parse)(std::string_view body)) {
   if (!IsOk(answer)) {
     return ErrorOf(answer);
@@ -138,7 +138,7 @@
           .max_answer_bytes = options_.max_answer_bytes};
 }
 
-Result<ClientAnswer, StoreFailure> HttpPlatform::Exchange(
+Result<ClientResponse, StoreFailure> HttpPlatform::Exchange(
     ClientRequest request) {
   ClientResult result = client_.SendAndWait(std::move(request));
   if (!IsOk(result)) {
--- a/lib/libmedlarcroft/source/adapters/platform/http_platform.h
+++ b/lib/libmedlarcroft/source/adapters/platform/http_platform.h
@@ -52,7 +52,7 @@
  private:
   [[nodiscard]] ClientRequest MakeRequest(std::string method,
                                           const std::string& path) const;
-  [[nodiscard]] Result<ClientAnswer, ports::StoreFailure> Exchange(
+  [[nodiscard]] Result<ClientResponse, ports::StoreFailure> Exchange(
       ClientRequest request);
 
   const Options options_;
--- a/lib/libmedlarcroft/source/adapters/process/daemon_loop.cc
+++ b/lib/libmedlarcroft/source/adapters/process/daemon_loop.cc
@@ -65,7 +65,7 @@
       // when this short wait ends.
       ACE_Time_Value wait(0, 100'000);
       reactor_.handle_events(wait);
-      signals.Serve();
+      signals.DispatchPending();
     }
     return exit_code_;
   }
--- a/lib/libmedlarcroft/source/adapters/process/daemon_main.h
+++ b/lib/libmedlarcroft/source/adapters/process/daemon_main.h
@@ -54,7 +54,7 @@
   loop.OnReload([&] {
     const auto again = LoadSettings(schema, start.settings_file);
     if (!IsOk(again)) {
-      PrintFaults(ErrorOf(again), std::cerr);
+      PrintSettingsErrors(ErrorOf(again), std::cerr);
       Log(LogLevel::kError, "settings-refused");
       return;
     }
--- a/lib/libmedlarcroft/source/adapters/process/daemon_signals.cc
+++ b/lib/libmedlarcroft/source/adapters/process/daemon_signals.cc
@@ -70,7 +70,7 @@
   ACE_OS::thr_sigsetmask(SIG_UNBLOCK, signals, nullptr);
 }
 
-void DaemonSignals::Serve() {
+void DaemonSignals::DispatchPending() {
   if (counter_->TakeReloads() > 0) {
     on_reload();
   }
--- a/lib/libmedlarcroft/source/adapters/process/daemon_signals.h
+++ b/lib/libmedlarcroft/source/adapters/process/daemon_signals.h
@@ -23,7 +23,7 @@
   /// @brief Lets the calling thread take the signals from now on.
   void Unblock();
   /// @brief Calls what is set below for signals that came since the last call.
-  void Serve();
+  void DispatchPending();
 
   std::function<void(int count)> on_terminate = [](int) {};
   std::function<void()> on_reload = [] {};
--- a/lib/libmedlarcroft/source/adapters/process/entryd_settings.cc
+++ b/lib/libmedlarcroft/source/adapters/process/entryd_settings.cc
@@ -4,16 +4,16 @@
 
 namespace {
 
-SettingsSchema<UpstreamSettings> MakeUpstreamSchema() {
-  SettingsSchema<UpstreamSettings> schema;
+SettingsSchema<OutboundSettings> MakeUpstreamSchema() {
+  SettingsSchema<OutboundSettings> schema;
   schema
-      .Milliseconds("connect_timeout_ms", &UpstreamSettings::connect_timeout,
+      .Milliseconds("connect_timeout_ms", &OutboundSettings::connect_timeout,
                     {1, 60'000},
                     {.description = "longest wait for a new connection"})
-      .Integer("max_idle_connections", &UpstreamSettings::max_idle_connections,
+      .Integer("max_idle_connections", &OutboundSettings::max_idle_connections,
                {0, 1'000'000}, {.description = "idle connections kept in all"})
       .Integer("max_connections_per_target",
-               &UpstreamSettings::max_connections_per_target, {1, 100'000},
+               &OutboundSettings::max_connections_per_target, {1, 100'000},
                {.description = "connections to one target at once; a target "
                                "of today takes 330 to 390 from all hosts"});
   return schema;
@@ -69,7 +69,7 @@
                          "longest time that a request may use a slot, whatever "
                          "its deadline; the slots of a host that died are free "
                          "after this and a lease. The same on all hosts"})
-      .Group("upstream", &EntrydSettings::upstream, MakeUpstreamSchema(),
+      .Group("upstream", &EntrydSettings::outbound, MakeUpstreamSchema(),
              {.description = "connections to targets and other entry hosts"});
   AddOperationFields(schema);
   return schema;
--- a/lib/libmedlarcroft/source/adapters/process/entryd_settings.h
+++ b/lib/libmedlarcroft/source/adapters/process/entryd_settings.h
@@ -10,7 +10,7 @@
 namespace medlarcroft::adapters {
 
 /// @brief How targets and other entry hosts are called.
-struct UpstreamSettings {
+struct OutboundSettings {
   Duration connect_timeout = std::chrono::milliseconds(500);
   std::uint32_t max_idle_connections = 1024;
   std::uint32_t max_connections_per_target = 330;
@@ -31,7 +31,7 @@
   std::uint32_t threads = 2;
   Duration idle_timeout = std::chrono::seconds(60);
   Duration longest_work = std::chrono::seconds(10);
-  UpstreamSettings upstream;
+  OutboundSettings outbound;
   TelemetrySettings telemetry;
   DrainSettings drain;
 };
--- a/lib/libmedlarcroft/source/adapters/process/event_rate_limit.cc
+++ b/lib/libmedlarcroft/source/adapters/process/event_rate_limit.cc
@@ -18,11 +18,11 @@
     window.admitted = 0;
   }
   if (window.admitted >= events_per_second_) {
-    window.held_back++;
+    window.suppressed_count++;
     return std::nullopt;
   }
   window.admitted++;
-  return std::exchange(window.held_back, 0);
+  return std::exchange(window.suppressed_count, 0);
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/process/event_rate_limit.h
+++ b/lib/libmedlarcroft/source/adapters/process/event_rate_limit.h
@@ -29,7 +29,7 @@
   struct Window {
     MonotonicTime began;
     std::uint32_t admitted = 0;
-    std::uint64_t held_back = 0;
+    std::uint64_t suppressed_count = 0;
   };
 
   const std::uint32_t events_per_second_;
--- a/lib/libmedlarcroft/source/adapters/process/log.cc
+++ b/lib/libmedlarcroft/source/adapters/process/log.cc
@@ -94,8 +94,8 @@
     std::visit([&](const auto& value) { json.Add(field.name, value); },
                field.value);
   }
-  if (line.held_back > 0) {
-    json.Add("held_back", line.held_back);
+  if (line.suppressed_count > 0) {
+    json.Add("held_back", line.suppressed_count);
   }
   return std::move(json).Finish();
 }
@@ -133,19 +133,21 @@
       !logging->logger.isEnabledFor(ToLibraryLevel(level))) {
     return;
   }
-  const auto held_back = logging->rate_limit.Admit(event, logging->clock.Now());
-  if (!held_back) {
+  const auto suppressed_count =
+      logging->rate_limit.Admit(event, logging->clock.Now());
+  if (!suppressed_count) {
     return;
   }
   const LogLine line{.time = logging->clock.WallNow(),
                      .level = level,
                      .event = event,
-                     .held_back = *held_back};
+                     .suppressed_count = *suppressed_count};
   logging->logger.log(ToLibraryLevel(level),
                       FormatLogLine(logging->options, line, fields));
 }
 
-void LogChosen(const LogLine& line, std::initializer_list<LogField> fields) {
+void LogUnthrottled(const LogLine& line,
+                    std::initializer_list<LogField> fields) {
   Logging* const logging = Current().get();
   if (logging == nullptr ||
       !logging->logger.isEnabledFor(ToLibraryLevel(line.level))) {
--- a/lib/libmedlarcroft/source/adapters/process/log.h
+++ b/lib/libmedlarcroft/source/adapters/process/log.h
@@ -81,12 +81,13 @@
   WallTime time;
   LogLevel level = LogLevel::kInfo;
   std::string_view event;
-  std::uint64_t held_back = 0;
+  std::uint64_t suppressed_count = 0;
 };
 
 /// @brief Logs one line as it is, past the limit on events of one name: its
 /// caller bounds such lines.
-void LogChosen(const LogLine& line, std::initializer_list<LogField> fields);
+void LogUnthrottled(const LogLine& line,
+                    std::initializer_list<LogField> fields);
 
 /// @return the JSON object of one line, without a line end. Text that is no
 /// UTF-8 is replaced, so that a hostile header can't break the line.
--- a/lib/libmedlarcroft/source/adapters/process/node_settings.cc
+++ b/lib/libmedlarcroft/source/adapters/process/node_settings.cc
@@ -6,12 +6,12 @@
 
 constexpr SettingRange kAnyTime{1, 86'400'000};
 
-SettingsSchema<DomainPlace> MakeDomainSchema() {
-  SettingsSchema<DomainPlace> schema;
+SettingsSchema<DomainRegion> MakeDomainSchema() {
+  SettingsSchema<DomainRegion> schema;
   schema
-      .Text("domain", &DomainPlace::domain, kSettingName,
+      .Text("domain", &DomainRegion::domain, kSettingName,
             {.description = "failure domain", .is_required = true})
-      .Text("region", &DomainPlace::region, kSettingName,
+      .Text("region", &DomainRegion::region, kSettingName,
             {.description = "region that it lies in", .is_required = true});
   return schema;
 }
--- a/lib/libmedlarcroft/source/adapters/process/node_settings.h
+++ b/lib/libmedlarcroft/source/adapters/process/node_settings.h
@@ -9,7 +9,7 @@
 namespace medlarcroft::adapters {
 
 /// @brief Where a failure domain lies.
-struct DomainPlace {
+struct DomainRegion {
   std::string domain;
   std::string region;
 };
@@ -38,7 +38,7 @@
   std::string host;
   std::string failure_domain;
   std::string region;
-  std::vector<DomainPlace> domains;
+  std::vector<DomainRegion> domains;
   std::string caller_listen;
   std::string readiness_listen;
   std::string lookup_listen;
--- a/lib/libmedlarcroft/source/adapters/process/program_options.cc
+++ b/lib/libmedlarcroft/source/adapters/process/program_options.cc
@@ -87,9 +87,9 @@
   return command;
 }
 
-void PrintFaults(const SettingsFaults& faults, std::ostream& errors) {
-  for (const SettingsFault& fault : faults) {
-    errors << FormatFault(fault) << "\n";
+void PrintSettingsErrors(const SettingsErrors& faults, std::ostream& errors) {
+  for (const SettingsError& fault : faults) {
+    errors << FormatSettingsError(fault) << "\n";
   }
 }
 
--- a/lib/libmedlarcroft/source/adapters/process/program_options.h
+++ b/lib/libmedlarcroft/source/adapters/process/program_options.h
@@ -47,7 +47,7 @@
     std::ostream& errors);
 
 /// @brief Prints every fault, one a line.
-void PrintFaults(const SettingsFaults& faults, std::ostream& errors);
+void PrintSettingsErrors(const SettingsErrors& faults, std::ostream& errors);
 
 /// @brief A program that is to run, with its settings.
 template <typename Settings>
@@ -78,7 +78,7 @@
 
   auto settings = LoadSettings(schema, command.settings_file);
   if (!IsOk(settings)) {
-    PrintFaults(ErrorOf(settings), errors);
+    PrintSettingsErrors(ErrorOf(settings), errors);
     return kExitBadSettings;
   }
   if (command.action == ProgramAction::kCheckSettings) {
--- a/lib/libmedlarcroft/source/adapters/process/settings_document.cc
+++ b/lib/libmedlarcroft/source/adapters/process/settings_document.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-SettingsFaults MakeFileFault(SettingsFaultCode code,
+SettingsErrors MakeFileFault(SettingsErrorCode code,
                              std::string_view file,
                              int line,
                              std::string_view allowed) {
@@ -50,12 +50,12 @@
 
 }  // namespace
 
-Result<std::string, SettingsFaults> ReadSettingsFile(const std::string& file) {
+Result<std::string, SettingsErrors> ReadSettingsFile(const std::string& file) {
   std::ifstream input(file, std::ios::binary);
   std::string text(kMaxSettingsBytes + 1, '\0');
   input.read(text.data(), static_cast<std::streamsize>(text.size()));
   if (input.bad() || !input.eof()) {
-    return MakeFileFault(SettingsFaultCode::kUnreadable, file, 0,
+    return MakeFileFault(SettingsErrorCode::kUnreadable, file, 0,
                          "a readable file of at most " +
                              std::to_string(kMaxSettingsBytes) + " bytes");
   }
@@ -63,7 +63,7 @@
   return text;
 }
 
-SettingsFaults ParseSettingsInto(std::span<const SettingField> fields,
+SettingsErrors ParseSettingsInto(std::span<const SettingField> fields,
                                  std::string_view text,
                                  std::string_view file,
                                  void* settings) {
@@ -73,7 +73,7 @@
     ReadMapping(fields, settings, {.node = document, .path = "", .sink = sink});
     return sink.Take();
   } catch (const YAML::Exception& error) {
-    return MakeFileFault(SettingsFaultCode::kNotYaml, file,
+    return MakeFileFault(SettingsErrorCode::kNotYaml, file,
                          error.mark.is_null() ? 0 : error.mark.line + 1,
                          "one YAML mapping");
   }
--- a/lib/libmedlarcroft/source/adapters/process/settings_document.h
+++ b/lib/libmedlarcroft/source/adapters/process/settings_document.h
@@ -14,13 +14,13 @@
 constexpr std::size_t kMaxSettingsBytes = std::size_t{1024} * 1024;
 
 /// @return the file's text, or the fault that it can't be read.
-[[nodiscard]] Result<std::string, SettingsFaults> ReadSettingsFile(
+[[nodiscard]] Result<std::string, SettingsErrors> ReadSettingsFile(
     const std::string& file);
 
 /// @brief Reads YAML into `settings`.
 /// @param file named in faults only.
 /// @return all faults, in the order of the file; none when all is well.
-[[nodiscard]] SettingsFaults ParseSettingsInto(
+[[nodiscard]] SettingsErrors ParseSettingsInto(
     std::span<const SettingField> fields,
     std::string_view text,
     std::string_view file,
@@ -28,12 +28,12 @@
 
 /// @return the settings of `text`, or every fault found.
 template <typename Settings>
-[[nodiscard]] Result<Settings, SettingsFaults> ParseSettings(
+[[nodiscard]] Result<Settings, SettingsErrors> ParseSettings(
     const SettingsSchema<Settings>& schema,
     std::string_view text,
     std::string_view file) {
   Settings settings;
-  SettingsFaults faults =
+  SettingsErrors faults =
       ParseSettingsInto(schema.Fields(), text, file, &settings);
   if (!faults.empty()) {
     return faults;
@@ -43,7 +43,7 @@
 
 /// @return the settings of a file, or every fault found.
 template <typename Settings>
-[[nodiscard]] Result<Settings, SettingsFaults> LoadSettings(
+[[nodiscard]] Result<Settings, SettingsErrors> LoadSettings(
     const SettingsSchema<Settings>& schema,
     const std::string& file) {
   const auto text = ReadSettingsFile(file);
--- a/lib/libmedlarcroft/source/adapters/process/settings_fault.h
+++ b/lib/libmedlarcroft/source/adapters/process/settings_error.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ADAPTERS_PROCESS_SETTINGS_FAULT_H_
-#define MEDLARCROFT_ADAPTERS_PROCESS_SETTINGS_FAULT_H_
+#ifndef MEDLARCROFT_ADAPTERS_PROCESS_SETTINGS_ERROR_H_
+#define MEDLARCROFT_ADAPTERS_PROCESS_SETTINGS_ERROR_H_
 
 #include <string>
 #include <string_view>
@@ -8,7 +8,7 @@
 namespace medlarcroft::adapters {
 
 /// @brief What is wrong with a place in a settings file.
-enum class SettingsFaultCode {
+enum class SettingsErrorCode {
   kUnreadable,    ///< The file can't be read.
   kNotYaml,       ///< The text is no YAML document.
   kUnknownKey,    ///< No setting has that name.
@@ -20,22 +20,22 @@
 };
 
 /// @brief One fault, with what an operator needs to mend it.
-struct SettingsFault {
-  SettingsFaultCode code = SettingsFaultCode::kUnreadable;
+struct SettingsError {
+  SettingsErrorCode code = SettingsErrorCode::kUnreadable;
   std::string file;
   int line = 0;         ///< From 1; 0 when no line is to blame.
   std::string field;    ///< For example "operators[2].token".
   std::string allowed;  ///< What may stand there.
 };
 
-using SettingsFaults = std::vector<SettingsFault>;
+using SettingsErrors = std::vector<SettingsError>;
 
 /// @return the code's name as printed, for example "out-of-range".
-[[nodiscard]] std::string_view NameOf(SettingsFaultCode code);
+[[nodiscard]] std::string_view NameOf(SettingsErrorCode code);
 
 /// @return one line for people: "file:line: field: fault; allowed: …".
-[[nodiscard]] std::string FormatFault(const SettingsFault& fault);
+[[nodiscard]] std::string FormatSettingsError(const SettingsError& fault);
 
 }  // namespace medlarcroft::adapters
 
-#endif  // MEDLARCROFT_ADAPTERS_PROCESS_SETTINGS_FAULT_H_
+#endif  // MEDLARCROFT_ADAPTERS_PROCESS_SETTINGS_ERROR_H_
--- a/lib/libmedlarcroft/source/adapters/process/settings_field.cc
+++ b/lib/libmedlarcroft/source/adapters/process/settings_field.cc
@@ -44,12 +44,12 @@
   const std::string path = Join(parent.path, name);
   const SettingField* field = FindField(fields, name);
   if (field == nullptr) {
-    parent.sink.Add(SettingsFaultCode::kUnknownKey, key, path,
+    parent.sink.Add(SettingsErrorCode::kUnknownKey, key, path,
                     ListNames(fields));
     return;
   }
   if (!seen.insert(name).second) {
-    parent.sink.Add(SettingsFaultCode::kDuplicateKey, key, path,
+    parent.sink.Add(SettingsErrorCode::kDuplicateKey, key, path,
                     "each name once");
     return;
   }
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-void SettingsFaultSink::Add(SettingsFaultCode code,
+void SettingsFaultSink::Add(SettingsErrorCode code,
                             const YAML::Node& node,
                             std::string_view field,
                             std::string_view allowed) {
@@ -80,7 +80,7 @@
                  void* settings,
                  const SettingPlace& place) {
   if (!place.node.IsMap()) {
-    place.sink.Add(SettingsFaultCode::kWrongType, place.node, place.path,
+    place.sink.Add(SettingsErrorCode::kWrongType, place.node, place.path,
                    "a mapping of " + ListNames(fields));
     return;
   }
@@ -91,7 +91,7 @@
   }
   for (const SettingField& field : fields) {
     if (field.options.is_required && !seen.contains(field.name)) {
-      place.sink.Add(SettingsFaultCode::kMissing, place.node,
+      place.sink.Add(SettingsErrorCode::kMissing, place.node,
                      Join(place.path, field.name), field.type);
     }
   }
@@ -112,12 +112,12 @@
 
 void ReadText(const SettingPlace& place, TextRule rule, std::string& value) {
   if (!place.node.IsScalar()) {
-    place.sink.Add(SettingsFaultCode::kWrongType, place.node, place.path,
+    place.sink.Add(SettingsErrorCode::kWrongType, place.node, place.path,
                    rule.allowed);
     return;
   }
   if (!rule.is_allowed(place.node.Scalar())) {
-    place.sink.Add(SettingsFaultCode::kNotAllowed, place.node, place.path,
+    place.sink.Add(SettingsErrorCode::kNotAllowed, place.node, place.path,
                    rule.allowed);
     return;
   }
@@ -133,17 +133,17 @@
   const char* end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, number);
   if (error == std::errc::result_out_of_range) {
-    place.sink.Add(SettingsFaultCode::kOutOfRange, place.node, place.path,
+    place.sink.Add(SettingsErrorCode::kOutOfRange, place.node, place.path,
                    allowed);
     return;
   }
   if (text.empty() || error != std::errc() || stop != end) {
-    place.sink.Add(SettingsFaultCode::kWrongType, place.node, place.path,
+    place.sink.Add(SettingsErrorCode::kWrongType, place.node, place.path,
                    allowed);
     return;
   }
   if (number < range.minimum || number > range.maximum) {
-    place.sink.Add(SettingsFaultCode::kOutOfRange, place.node, place.path,
+    place.sink.Add(SettingsErrorCode::kOutOfRange, place.node, place.path,
                    allowed);
     return;
   }
@@ -158,13 +158,13 @@
   const std::string allowed =
       DescribeRange("duration with unit, milliseconds", range);
   if (!duration) {
-    place.sink.Add(SettingsFaultCode::kWrongType, place.node, place.path,
+    place.sink.Add(SettingsErrorCode::kWrongType, place.node, place.path,
                    allowed);
     return;
   }
   const std::int64_t milliseconds = ToMilliseconds(*duration);
   if (milliseconds < range.minimum || milliseconds > range.maximum) {
-    place.sink.Add(SettingsFaultCode::kOutOfRange, place.node, place.path,
+    place.sink.Add(SettingsErrorCode::kOutOfRange, place.node, place.path,
                    allowed);
     return;
   }
@@ -175,12 +175,12 @@
   double number = 0;
   if (!place.node.IsScalar() ||
       !YAML::convert<double>::decode(place.node, number)) {
-    place.sink.Add(SettingsFaultCode::kWrongType, place.node, place.path,
+    place.sink.Add(SettingsErrorCode::kWrongType, place.node, place.path,
                    DescribeRange(range));
     return;
   }
   if (!(number >= range.minimum && number <= range.maximum)) {
-    place.sink.Add(SettingsFaultCode::kOutOfRange, place.node, place.path,
+    place.sink.Add(SettingsErrorCode::kOutOfRange, place.node, place.path,
                    DescribeRange(range));
     return;
   }
@@ -190,7 +190,7 @@
 void ReadFlag(const SettingPlace& place, bool& value) {
   const std::string text = place.node.IsScalar() ? place.node.Scalar() : "";
   if (text != "true" && text != "false") {
-    place.sink.Add(SettingsFaultCode::kWrongType, place.node, place.path,
+    place.sink.Add(SettingsErrorCode::kWrongType, place.node, place.path,
                    "true or false");
     return;
   }
@@ -202,8 +202,8 @@
   const std::string text = place.node.IsScalar() ? place.node.Scalar() : "";
   const auto found = std::find(choices.begin(), choices.end(), text);
   if (found == choices.end()) {
-    place.sink.Add(place.node.IsScalar() ? SettingsFaultCode::kNotAllowed
-                                         : SettingsFaultCode::kWrongType,
+    place.sink.Add(place.node.IsScalar() ? SettingsErrorCode::kNotAllowed
+                                         : SettingsErrorCode::kWrongType,
                    place.node, place.path, DescribeChoices(choices));
   }
   return static_cast<std::size_t>(found - choices.begin());
@@ -213,12 +213,12 @@
               ListSize size,
               const std::function<void(const SettingPlace&)>& read_item) {
   if (!place.node.IsSequence()) {
-    place.sink.Add(SettingsFaultCode::kWrongType, place.node, place.path,
+    place.sink.Add(SettingsErrorCode::kWrongType, place.node, place.path,
                    "a list");
     return;
   }
   if (place.node.size() < size.least || place.node.size() > size.most) {
-    place.sink.Add(SettingsFaultCode::kOutOfRange, place.node, place.path,
+    place.sink.Add(SettingsErrorCode::kOutOfRange, place.node, place.path,
                    std::to_string(size.least) + " to " +
                        std::to_string(size.most) + " items");
     return;
--- a/lib/libmedlarcroft/source/adapters/process/settings_field.h
+++ b/lib/libmedlarcroft/source/adapters/process/settings_field.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-#include "adapters/process/settings_fault.h"
+#include "adapters/process/settings_error.h"
 #include "medlarcroft/core/time.h"
 
 namespace medlarcroft::adapters {
@@ -56,15 +56,15 @@
  public:
   explicit SettingsFaultSink(std::string_view file) : file_(file) {}
 
-  void Add(SettingsFaultCode code,
+  void Add(SettingsErrorCode code,
            const YAML::Node& node,
            std::string_view field,
            std::string_view allowed);
-  [[nodiscard]] SettingsFaults Take() { return std::move(faults_); }
+  [[nodiscard]] SettingsErrors Take() { return std::move(faults_); }
 
  private:
   std::string file_;
-  SettingsFaults faults_;
+  SettingsErrors faults_;
 };
 
 /// @brief Where a value stands: for messages.
--- a/lib/libmedlarcroft/source/adapters/process/socket_address.cc
+++ b/lib/libmedlarcroft/source/adapters/process/socket_address.cc
@@ -56,7 +56,7 @@
   return address;
 }
 
-std::string FormatIpNumber(const sockaddr& address) {
+std::string FormatIpAddress(const sockaddr& address) {
   std::array<char, INET6_ADDRSTRLEN> text{};
   if (address.sa_family == AF_INET) {
     const auto& v4 = reinterpret_cast<const sockaddr_in&>(address);
--- a/lib/libmedlarcroft/source/adapters/process/socket_address.h
+++ b/lib/libmedlarcroft/source/adapters/process/socket_address.h
@@ -30,7 +30,7 @@
     std::string_view text);
 
 /// @return the IP number alone, empty for other families.
-[[nodiscard]] std::string FormatIpNumber(const sockaddr& address);
+[[nodiscard]] std::string FormatIpAddress(const sockaddr& address);
 
 /// @return a client's address from its IP number, or nullopt.
 [[nodiscard]] std::optional<steering::ClientAddress> ParseClientAddress(
--- a/lib/libmedlarcroft/source/adapters/process/worker_thread.cc
+++ b/lib/libmedlarcroft/source/adapters/process/worker_thread.cc
@@ -29,7 +29,7 @@
   return true;
 }
 
-void WorkerThread::PostFirst(Job job) {
+void WorkerThread::PostFront(Job job) {
   {
     const std::lock_guard lock(mutex_);
     jobs_.push_front(std::move(job));
--- a/lib/libmedlarcroft/source/adapters/process/worker_thread.h
+++ b/lib/libmedlarcroft/source/adapters/process/worker_thread.h
@@ -25,7 +25,7 @@
   [[nodiscard]] bool Post(Job job, std::size_t max_queued);
 
   /// @brief Runs `job` before all others that wait; never refused.
-  void PostFirst(Job job);
+  void PostFront(Job job);
 
   /// @return jobs that wait; the one that runs is not counted.
   [[nodiscard]] std::size_t Waiting() const;
--- a/lib/libmedlarcroft/source/adapters/steer/catalogue_agent.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/catalogue_sync.cc
@@ -1,4 +1,4 @@
-#include "adapters/steer/catalogue_agent.h"
+#include "adapters/steer/catalogue_sync.h"
 
 #include <utility>
 
--- a/lib/libmedlarcroft/source/adapters/steer/peer_exchanger.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/peer_exchanger.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "adapters/peer/wire_conversion.h"
-#include "adapters/platform/catalogue_wire.h"
+#include "adapters/platform/catalogue_wire_conversion.h"
 
 namespace medlarcroft::adapters {
 
@@ -18,7 +18,7 @@
 /// call passes on those that were heard.
 constexpr std::uint64_t kOtherDomainsEvery = 1;
 constexpr std::size_t kRelaysPerDomain = 2;
-constexpr std::string_view kExchangeDuty = "exchange-between-domains";
+constexpr std::string_view kExchangeTask = "exchange-between-domains";
 
 /// An address of the settings is tried now and then even when peers are known,
 /// so that two halves that grew apart find each other again.
@@ -80,7 +80,7 @@
     AddNext(own, own_rotation_, chosen);
   }
   const bool is_relay_turn = round_ % kOtherDomainsEvery == 0;
-  if (is_relay_turn && core_.IsRelayFor(kExchangeDuty, kRelaysPerDomain)) {
+  if (is_relay_turn && core_.IsRelayFor(kExchangeTask, kRelaysPerDomain)) {
     AddNext(others, other_rotation_, chosen);
   }
   const bool knows_nobody = own.empty() && others.empty();
@@ -130,7 +130,7 @@
   counters_.answered++;
   const wire::Exchange& theirs = ValueOf(answer);
   core_.Receive(FromWire(theirs));
-  core_.NoteAnswer(HostName(theirs.sender.host));
+  core_.RecordAnswer(HostName(theirs.sender.host));
   catalogue_.NoteRevision(static_cast<std::uint64_t>(std::max<std::int64_t>(
                               0, theirs.catalogue_revision)),
                           partner.address);
@@ -146,9 +146,9 @@
           {.url = "http://" + partner.entry_address + "/healthz",
            .timeout = kCallTimeout}));
   if (is_alive) {
-    core_.NoteAnswer(partner.host);
+    core_.RecordAnswer(partner.host);
   } else {
-    core_.NoteNoAnswer(partner.host);
+    core_.RecordFailedCall(partner.host);
   }
 }
 
--- a/lib/libmedlarcroft/source/adapters/steer/peer_exchanger.h
+++ b/lib/libmedlarcroft/source/adapters/steer/peer_exchanger.h
@@ -11,7 +11,7 @@
 
 #include "adapters/http/http_client.h"
 #include "adapters/peer/thrift_channel.h"
-#include "adapters/steer/catalogue_agent.h"
+#include "adapters/steer/catalogue_sync.h"
 #include "adapters/steer/steer_core.h"
 #include "gen-cpp/Peer.h"
 #include "medlarcroft/membership/exchange.h"
--- a/lib/libmedlarcroft/source/adapters/steer/peer_service.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/peer_service.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "adapters/peer/wire_conversion.h"
-#include "adapters/platform/catalogue_wire.h"
+#include "adapters/platform/catalogue_wire_conversion.h"
 #include "gen-cpp/medlarcroft_constants.h"
 
 namespace medlarcroft::adapters {
--- a/lib/libmedlarcroft/source/adapters/steer/peer_service.h
+++ b/lib/libmedlarcroft/source/adapters/steer/peer_service.h
@@ -3,7 +3,7 @@
 
 #include <cstddef>
 
-#include "adapters/steer/catalogue_agent.h"
+#include "adapters/steer/catalogue_sync.h"
 #include "adapters/steer/steer_core.h"
 #include "gen-cpp/Peer.h"
 
--- a/lib/libmedlarcroft/source/adapters/steer/platform_watch.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/platform_poller.cc
@@ -1,4 +1,4 @@
-#include "adapters/steer/platform_watch.h"
+#include "adapters/steer/platform_poller.h"
 
 #include <algorithm>
 #include <charconv>
@@ -11,14 +11,14 @@
 
 namespace {
 
-using catalogue::PlatformReading;
+using catalogue::PlatformPoll;
 
 /// The map changes a few times a day; 880 hosts are 15 reads a second.
 constexpr Duration kBlockMapPeriod = std::chrono::seconds(60);
 
 /// Two at once do no harm, and the loss of one delays no change.
 constexpr std::size_t kCatalogueRelays = 2;
-constexpr std::string_view kCatalogueDuty = "watch-catalogue-head";
+constexpr std::string_view kCatalogueTask = "watch-catalogue-head";
 
 /// The row whose value is the newest version of the block map, and the objects
 /// that hold each version.
@@ -28,31 +28,30 @@
 }  // namespace
 
 Duration PlatformWatch::Step() {
-  if (schedule_.IsDue(PlatformReading::kCatalogueHead, parts_.clock.Now())) {
+  if (schedule_.IsDue(PlatformPoll::kCatalogueHead, parts_.clock.Now())) {
     const Duration pause = parts_.relay.Step(
-        parts_.core.IsRelayFor(kCatalogueDuty, kCatalogueRelays));
+        parts_.core.IsRelayFor(kCatalogueTask, kCatalogueRelays));
     parts_.agent.Publish();
-    schedule_.SetDue(PlatformReading::kCatalogueHead,
-                     parts_.clock.Now() + pause);
+    schedule_.SetDue(PlatformPoll::kCatalogueHead, parts_.clock.Now() + pause);
   }
 
   const MonotonicTime now = parts_.clock.Now();
-  if (schedule_.IsDue(PlatformReading::kHostList, now)) {
-    schedule_.SetDue(PlatformReading::kHostList, now + ReadHostList());
+  if (schedule_.IsDue(PlatformPoll::kHostList, now)) {
+    schedule_.SetDue(PlatformPoll::kHostList, now + ReadHostList());
   }
-  if (schedule_.IsDue(PlatformReading::kBlockMap, now)) {
-    schedule_.SetDue(PlatformReading::kBlockMap, now + kBlockMapPeriod);
+  if (schedule_.IsDue(PlatformPoll::kBlockMap, now)) {
+    schedule_.SetDue(PlatformPoll::kBlockMap, now + kBlockMapPeriod);
     ReadBlockMap();
   }
-  return schedule_.PauseFrom(parts_.clock.Now());
+  return schedule_.TimeUntilNextDue(parts_.clock.Now());
 }
 
 Duration PlatformWatch::ReadHostList() {
-  if (!parts_.budget.TakeRead()) {
+  if (!parts_.budget.TryAcquireRead()) {
     return host_list_pace_.AfterFailure();
   }
   auto hosts = parts_.hosts.List();
-  parts_.budget.NoteOutcome(IsOk(hosts));
+  parts_.budget.RecordOutcome(IsOk(hosts));
   if (!IsOk(hosts)) {
     return host_list_pace_.AfterFailure();
   }
--- a/lib/libmedlarcroft/source/adapters/steer/platform_watch.h
+++ b/lib/libmedlarcroft/source/adapters/steer/platform_poller.h
@@ -1,13 +1,13 @@
-#ifndef MEDLARCROFT_ADAPTERS_STEER_PLATFORM_WATCH_H_
-#define MEDLARCROFT_ADAPTERS_STEER_PLATFORM_WATCH_H_
+#ifndef MEDLARCROFT_ADAPTERS_STEER_PLATFORM_POLLER_H_
+#define MEDLARCROFT_ADAPTERS_STEER_PLATFORM_POLLER_H_
 
 #include <cstdint>
 
-#include "adapters/steer/catalogue_agent.h"
+#include "adapters/steer/catalogue_sync.h"
 #include "adapters/steer/steer_core.h"
-#include "medlarcroft/catalogue/catalogue_relay.h"
-#include "medlarcroft/catalogue/platform_budget.h"
-#include "medlarcroft/catalogue/platform_schedule.h"
+#include "medlarcroft/catalogue/catalogue_poller.h"
+#include "medlarcroft/catalogue/platform_poll_schedule.h"
+#include "medlarcroft/catalogue/platform_rate_limiter.h"
 #include "medlarcroft/ports/clock.h"
 #include "medlarcroft/ports/host_list.h"
 #include "medlarcroft/ports/object_store.h"
@@ -22,10 +22,10 @@
  public:
   struct Parts {
     SteerCore& core;
-    catalogue::CatalogueRelay& relay;
+    catalogue::CataloguePoller& relay;
     CatalogueAgent& agent;
     ports::HostList& hosts;
-    catalogue::PlatformBudget& budget;
+    catalogue::PlatformRateLimiter& budget;
     ports::TableStore& table;
     ports::ObjectStore& objects;
     const ports::Clock& clock;
@@ -43,10 +43,10 @@
   void ReadBlockMap();
 
   const Parts parts_;
-  catalogue::PlatformSchedule schedule_;
-  catalogue::HostListPace host_list_pace_;
+  catalogue::PlatformPollSchedule schedule_;
+  catalogue::HostListPollTiming host_list_pace_;
 };
 
 }  // namespace medlarcroft::adapters
 
-#endif  // MEDLARCROFT_ADAPTERS_STEER_PLATFORM_WATCH_H_
+#endif  // MEDLARCROFT_ADAPTERS_STEER_PLATFORM_POLLER_H_
--- a/lib/libmedlarcroft/source/adapters/steer/snapshot_builder.h
+++ b/lib/libmedlarcroft/source/adapters/steer/snapshot_builder.h
@@ -8,7 +8,7 @@
 #include "gen-cpp/medlarcroft_types.h"
 #include "medlarcroft/catalogue/catalogue_view.h"
 #include "medlarcroft/membership/membership_table.h"
-#include "medlarcroft/membership/target_signs.h"
+#include "medlarcroft/membership/target_status_table.h"
 #include "medlarcroft/ports/clock.h"
 #include "medlarcroft/steering/shift_plan.h"
 
@@ -20,7 +20,7 @@
   const FailureDomainName& own_domain;
   const std::set<FailureDomainName>& siblings;
   const std::vector<membership::Member>& members;
-  const membership::TargetSigns& targets;
+  const membership::TargetStatusTable& targets;
   const steering::ShiftPlan& plan;
   MonotonicTime now;
 };
--- a/lib/libmedlarcroft/source/adapters/steer/steer_core.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_core.cc
@@ -6,7 +6,7 @@
 #include "adapters/peer/wire_conversion.h"
 #include "adapters/steer/snapshot_builder.h"
 #include "adapters/steer/steering_view.h"
-#include "medlarcroft/membership/relays.h"
+#include "medlarcroft/membership/rendezvous_hash.h"
 
 namespace medlarcroft::adapters {
 
@@ -130,14 +130,14 @@
   membership::ApplyExchange(content, members_, targets_);
 }
 
-void SteerCore::NoteAnswer(const HostName& host) {
+void SteerCore::RecordAnswer(const HostName& host) {
   const std::lock_guard lock(mutex_);
-  members_.NoteAnswer(host);
+  members_.RecordAnswer(host);
 }
 
-void SteerCore::NoteNoAnswer(const HostName& host) {
+void SteerCore::RecordFailedCall(const HostName& host) {
   const std::lock_guard lock(mutex_);
-  members_.NoteNoAnswer(host);
+  members_.RecordFailedCall(host);
 }
 
 void SteerCore::Announce() {
@@ -314,11 +314,11 @@
   return partners;
 }
 
-bool SteerCore::IsRelayFor(std::string_view duty, std::size_t count) const {
+bool SteerCore::IsRelayFor(std::string_view task, std::size_t count) const {
   const std::lock_guard lock(mutex_);
   const std::vector<HostName> live = members_.LiveHosts();
   const std::vector<HostName> relays =
-      membership::ChooseRelays(duty, live, count);
+      membership::ChooseHostsByRendezvousHash(task, live, count);
   return std::ranges::find(relays, identity_.host) != relays.end();
 }
 
@@ -370,9 +370,10 @@
   return clock_.Now() - *listed_at_;
 }
 
-membership::TargetView SteerCore::ViewOf(const TargetName& target) const {
+membership::MergedTargetStatus SteerCore::MergedStatusOf(
+    const TargetName& target) const {
   const std::lock_guard lock(mutex_);
-  return targets_.ViewOf(target);
+  return targets_.MergedStatusOf(target);
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/steer/steer_core.h
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_core.h
@@ -14,13 +14,13 @@
 #include "medlarcroft/catalogue/catalogue_view.h"
 #include "medlarcroft/membership/exchange.h"
 #include "medlarcroft/membership/membership_table.h"
-#include "medlarcroft/membership/target_signs.h"
+#include "medlarcroft/membership/target_status_table.h"
 #include "medlarcroft/ports/clock.h"
 #include "medlarcroft/ports/host_list.h"
 #include "medlarcroft/ports/random_source.h"
 #include "medlarcroft/steering/block_map_holder.h"
 #include "medlarcroft/steering/client_address.h"
-#include "medlarcroft/steering/handed_out_demand.h"
+#include "medlarcroft/steering/lookup_demand_tracker.h"
 #include "medlarcroft/steering/lookup_planner.h"
 #include "medlarcroft/steering/shift_planner.h"
 
@@ -49,8 +49,8 @@
   void ApplyReport(const wire::EntryReport& report);
   void ApplyHostList(std::vector<ports::ListedHost> hosts);
   void Receive(const membership::ExchangeContent& content);
-  void NoteAnswer(const HostName& host);
-  void NoteNoAnswer(const HostName& host);
+  void RecordAnswer(const HostName& host);
+  void RecordFailedCall(const HostName& host);
 
   /// @return where the platform thread puts a newer client block map.
   [[nodiscard]] steering::BlockMapHolder& Blocks() { return blocks_; }
@@ -84,7 +84,7 @@
   /// @return hosts that must be called before a seat may be used or taken.
   [[nodiscard]] std::set<HostName> WantsCalled() const;
   /// @return whether this host does that duty for its domain now.
-  [[nodiscard]] bool IsRelayFor(std::string_view duty, std::size_t count) const;
+  [[nodiscard]] bool IsRelayFor(std::string_view task, std::size_t count) const;
 
   // For operators.
   [[nodiscard]] catalogue::SharedCatalogueView Catalogue() const;
@@ -96,7 +96,8 @@
   [[nodiscard]] bool IsLeaving() const;
   /// @return time since the platform's list was last read; nullopt: never.
   [[nodiscard]] std::optional<Duration> HostListAge() const;
-  [[nodiscard]] membership::TargetView ViewOf(const TargetName& target) const;
+  [[nodiscard]] membership::MergedTargetStatus MergedStatusOf(
+      const TargetName& target) const;
 
  private:
   // These need `mutex_`.
@@ -116,11 +117,11 @@
   mutable std::mutex mutex_;
   catalogue::SharedCatalogueView catalogue_;
   membership::MembershipTable members_;
-  membership::TargetSigns targets_;
+  membership::TargetStatusTable targets_;
   membership::ExchangeSelector selector_;
   steering::LookupPlanner lookups_;
   steering::ShiftPlanner shifts_;
-  steering::HandedOutDemand handed_out_;
+  steering::LookupDemandTracker handed_out_;
   steering::ShiftPlan plan_;
   std::map<ServiceName, std::uint64_t> answers_since_tick_;
   std::map<ServiceName, double> answers_per_second_;
--- a/lib/libmedlarcroft/source/adapters/steer/steer_handler.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_handler.cc
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "adapters/http/json_answer.h"
+#include "adapters/http/json_response.h"
 #include "adapters/process/socket_address.h"
 
 namespace medlarcroft::adapters {
@@ -20,7 +20,7 @@
 constexpr std::size_t kMaxOperatorCalls = 32;
 
 HttpResponse MakeLookupProblem(int status, std::string_view code) {
-  HttpResponse response = MakeJsonAnswer(
+  HttpResponse response = MakeJsonResponse(
       status, {{"type", "about:blank"}, {"code", code}, {"status", status}});
   response.headers.Set("Content-Type", "application/problem+json");
   if (status == 503) {
@@ -126,7 +126,7 @@
         is_issuer_first ? parts_.keys.Take(entry->request_class.key_mode)
                         : std::vector<std::string>();
   }
-  return MakeJsonAnswer(200, body, JsonLayout::kCompact);
+  return MakeJsonResponse(200, body, JsonLayout::kCompact);
 }
 
 std::optional<HttpResponse> SteerHandler::StartOperatorCall(
--- a/lib/libmedlarcroft/source/adapters/steer/steer_node.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_node.cc
@@ -7,29 +7,29 @@
 
 #include "adapters/http/http_server.h"
 #include "adapters/http/operator_routes.h"
-#include "adapters/peer/listener_metrics.h"
+#include "adapters/peer/thrift_listener_metrics.h"
 #include "adapters/peer/thrift_server.h"
 #include "adapters/platform/http_platform.h"
 #include "adapters/process/log.h"
 #include "adapters/process/system_random.h"
 #include "adapters/process/text_file.h"
 #include "adapters/process/worker_thread.h"
-#include "adapters/steer/catalogue_agent.h"
+#include "adapters/steer/catalogue_sync.h"
 #include "adapters/steer/key_pool.h"
 #include "adapters/steer/peer_exchanger.h"
 #include "adapters/steer/peer_service.h"
-#include "adapters/steer/platform_watch.h"
+#include "adapters/steer/platform_poller.h"
 #include "adapters/steer/routing_service.h"
 #include "adapters/steer/steer_core.h"
 #include "adapters/steer/steer_handler.h"
 #include "adapters/steer/steer_pages.h"
 #include "adapters/steer/steer_telemetry.h"
+#include "medlarcroft/catalogue/catalogue_poller.h"
 #include "medlarcroft/catalogue/catalogue_reader.h"
-#include "medlarcroft/catalogue/catalogue_relay.h"
 #include "medlarcroft/catalogue/catalogue_replica.h"
 #include "medlarcroft/catalogue/catalogue_store.h"
 #include "medlarcroft/catalogue/operator_api.h"
-#include "medlarcroft/catalogue/platform_budget.h"
+#include "medlarcroft/catalogue/platform_rate_limiter.h"
 
 namespace medlarcroft::adapters {
 
@@ -47,7 +47,8 @@
           .entry_address = settings.entry_address};
 }
 
-catalogue::PlatformBudget::Options BudgetOf(const SteerdSettings& settings) {
+catalogue::PlatformRateLimiter::Options BudgetOf(
+    const SteerdSettings& settings) {
   constexpr double kSecondsPerMinute = 60.0;
   return {.reads_per_second =
               static_cast<double>(settings.budgets.platform_reads_per_minute) /
@@ -250,12 +251,12 @@
   SystemRandom exchange_random_;
   SystemRandom change_id_random_;  // Used on the operators' worker only.
   HttpPlatform platform_;
-  catalogue::PlatformBudget budget_;
-  catalogue::BudgetedTableStore table_;
-  catalogue::BudgetedObjectStore objects_;
+  catalogue::PlatformRateLimiter budget_;
+  catalogue::RateLimitedTableStore table_;
+  catalogue::RateLimitedObjectStore objects_;
   catalogue::CatalogueReader reader_;
   catalogue::CatalogueReplica replica_;
-  catalogue::CatalogueRelay relay_;
+  catalogue::CataloguePoller relay_;
   catalogue::CatalogueStore store_;
   SteerCore core_;
   KeyPool keys_;
--- a/lib/libmedlarcroft/source/adapters/steer/steer_pages.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_pages.cc
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "adapters/http/json_answer.h"
+#include "adapters/http/json_response.h"
 
 namespace medlarcroft::adapters {
 
@@ -72,18 +72,19 @@
 };
 
 std::optional<HttpResponse> SteerPages::Find(const HttpRequest& request) const {
-  return FindPage<SteerPages>(*this, kPages, request);
+  return ServePage<SteerPages>(*this, kPages, request);
 }
 
 HttpResponse SteerPages::Health(const HttpRequest& /*request*/) const {
-  return MakeJsonAnswer(200, {{"status", "alive"}});
+  return MakeJsonResponse(200, {{"status", "alive"}});
 }
 
 std::vector<std::string> SteerPages::ReasonsNotReady() const {
   std::vector<std::string> reasons;
   const catalogue::ReplicaStatus replica = parts_.replica.Status();
-  for (const catalogue::NotReadyReason reason : replica.not_ready_because) {
-    reasons.emplace_back(reason == catalogue::NotReadyReason::kNothingHeard
+  for (const catalogue::NotReadyReason reason : replica.not_ready_reasons) {
+    reasons.emplace_back(reason ==
+                                 catalogue::NotReadyReason::kNoRevisionReceived
                              ? "catalogue: neither a peer nor the platform "
                                "has answered"
                              : "catalogue: behind the highest revision shown");
@@ -102,7 +103,7 @@
 
 HttpResponse SteerPages::Readiness(const HttpRequest& /*request*/) const {
   const std::vector<std::string> reasons = ReasonsNotReady();
-  return MakeJsonAnswer(
+  return MakeJsonResponse(
       reasons.empty() ? 200 : 503,
       {{"ready", reasons.empty()}, {"not_ready_because", reasons}});
 }
@@ -111,7 +112,7 @@
   const membership::HostState self = parts_.core.Self();
   const catalogue::ReplicaStatus replica = parts_.replica.Status();
   const catalogue::PlatformReachability platform = parts_.budget.Reachability();
-  const catalogue::PlatformCounts counts = parts_.budget.Counts();
+  const catalogue::PlatformCallCounts counts = parts_.budget.Counts();
   const std::vector<std::string> reasons = ReasonsNotReady();
 
   Json body = {{"host", self.host.Value()},
@@ -123,7 +124,7 @@
   body["catalogue"] = {
       {"revision", replica.revision},
       {"highest_seen", replica.highest_seen},
-      {"in_force_ms_ago", ToMilliseconds(replica.in_force_for)}};
+      {"in_force_ms_ago", ToMilliseconds(replica.time_in_force)}};
   body["platform"] = {{"reachable", platform.is_reachable},
                       {"since_ms", ToMilliseconds(platform.since)},
                       {"reads", counts.reads},
@@ -149,7 +150,7 @@
   (platform.is_reachable ? serves : cannot).push_back("durable keys");
   body["serves"] = serves;
   body["cannot"] = cannot;
-  return MakeJsonAnswer(200, body);
+  return MakeJsonResponse(200, body);
 }
 
 HttpResponse SteerPages::Explain(const HttpRequest& request) const {
@@ -157,7 +158,7 @@
   const catalogue::SharedCatalogueView view = parts_.core.Catalogue();
   const catalogue::ServiceEntry* entry = view->FindService(service);
   if (entry == nullptr) {
-    return MakeJsonAnswer(404, {{"code", "unknown-service"}});
+    return MakeJsonResponse(404, {{"code", "unknown-service"}});
   }
 
   Json body = {{"service", service.Value()},
@@ -187,7 +188,8 @@
   }
   body["targets"] = Json::array();
   for (const catalogue::TargetSpec& target : entry->targets) {
-    const membership::TargetView seen = parts_.core.ViewOf(target.name);
+    const membership::MergedTargetStatus seen =
+        parts_.core.MergedStatusOf(target.name);
     body["targets"].push_back(
         {{"target", target.name.Value()},
          {"failure_domain", target.failure_domain.Value()},
@@ -198,11 +200,11 @@
          {"outstanding", seen.outstanding},
          {"median_latency_ms", ToSeconds(seen.median_latency) * 1000}});
   }
-  return MakeJsonAnswer(200, body);
+  return MakeJsonResponse(200, body);
 }
 
 HttpResponse SteerPages::Metrics(const HttpRequest& /*request*/) const {
-  return MakeMetricsAnswer(parts_.metrics());
+  return MakeMetricsResponse(parts_.metrics());
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/steer/steer_pages.h
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_pages.h
@@ -9,7 +9,7 @@
 #include "adapters/http/page_table.h"
 #include "adapters/steer/steer_core.h"
 #include "medlarcroft/catalogue/catalogue_replica.h"
-#include "medlarcroft/catalogue/platform_budget.h"
+#include "medlarcroft/catalogue/platform_rate_limiter.h"
 #include "medlarcroft/ports/clock.h"
 
 namespace medlarcroft::adapters {
@@ -20,7 +20,7 @@
   struct Parts {
     SteerCore& core;
     const catalogue::CatalogueReplica& replica;
-    const catalogue::PlatformBudget& budget;
+    const catalogue::PlatformRateLimiter& budget;
     const ports::Clock& clock;
     std::function<std::string()> metrics;  ///< Prometheus text.
   };
--- a/lib/libmedlarcroft/source/adapters/steer/steer_telemetry.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_telemetry.cc
@@ -104,7 +104,7 @@
   const catalogue::ReplicaStatus replica = sources_.replica.Status();
   metrics_.GaugeOf(kRevision).Set(static_cast<double>(replica.revision));
   metrics_.GaugeOf(kHighestSeen).Set(static_cast<double>(replica.highest_seen));
-  metrics_.GaugeOf(kInForceSeconds).Set(ToSeconds(replica.in_force_for));
+  metrics_.GaugeOf(kInForceSeconds).Set(ToSeconds(replica.time_in_force));
   metrics_.CounterOf(kRefusedDeltas).RaiseTo(replica.refused_deltas);
   metrics_.GaugeOf(kBlockMapVersion)
       .Set(static_cast<double>(sources_.core.Blocks().Current()->Version()));
@@ -142,7 +142,7 @@
 }
 
 void SteerTelemetry::RefreshPlatform() {
-  const catalogue::PlatformCounts counts = sources_.budget.Counts();
+  const catalogue::PlatformCallCounts counts = sources_.budget.Counts();
   const auto raise = [this](const MetricDescription& metric,
                             std::string_view kind, std::uint64_t count) {
     metrics_.CounterOf(metric, {Label::OfConstant("kind", kind)})
--- a/lib/libmedlarcroft/source/adapters/steer/steer_telemetry.h
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_telemetry.h
@@ -8,7 +8,7 @@
 #include "adapters/steer/peer_exchanger.h"
 #include "adapters/steer/steer_core.h"
 #include "medlarcroft/catalogue/catalogue_replica.h"
-#include "medlarcroft/catalogue/platform_budget.h"
+#include "medlarcroft/catalogue/platform_rate_limiter.h"
 #include "medlarcroft/telemetry/gauge_group.h"
 #include "medlarcroft/telemetry/metrics.h"
 
@@ -21,7 +21,7 @@
   struct Sources {
     SteerCore& core;
     const catalogue::CatalogueReplica& replica;
-    const catalogue::PlatformBudget& budget;
+    const catalogue::PlatformRateLimiter& budget;
     const ExchangeCounters& exchanges;
   };
 
--- a/lib/libmedlarcroft/source/capacity/capacity_keeper.cc
+++ b/lib/libmedlarcroft/source/capacity/capacity_manager.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/capacity/capacity_keeper.h"
+#include "medlarcroft/capacity/capacity_manager.h"
 
 #include <algorithm>
 #include <utility>
@@ -16,9 +16,9 @@
 
 }  // namespace
 
-CapacityKeeper::CapacityKeeper(const Options& options,
-                               ports::TableStore& store,
-                               const ports::Clock& clock)
+CapacityManager::CapacityManager(const Options& options,
+                                 ports::TableStore& store,
+                                 const ports::Clock& clock)
     : options_(options),
       store_(store),
       clock_(clock),
@@ -27,7 +27,7 @@
              .rules = options.rules},
             clock) {}
 
-void CapacityKeeper::ApplyPlan(CapacityPlan plan) {
+void CapacityManager::ApplyPlan(CapacityPlan plan) {
   const std::lock_guard lock(mutex_);
   lenders_ = std::move(plan.lenders);
   evidence_ = std::move(plan.evidence);
@@ -57,15 +57,15 @@
   RefreshOwn();
 }
 
-void CapacityKeeper::Beat() {
+void CapacityManager::RecordHeartbeat() {
   const std::lock_guard lock(mutex_);
   for (auto& [name, domain] : domains_) {
-    domain.holder->Beat();
+    domain.holder->RecordHeartbeat();
   }
   RefreshOwn();
 }
 
-void CapacityKeeper::StepSeats(bool are_targets_reachable) {
+void CapacityManager::StepSeats(bool are_targets_reachable) {
   std::vector<Domain> domains;
   CapacityEvidence evidence;
   {
@@ -84,20 +84,20 @@
   RefreshOwn();
 }
 
-std::set<HostName> CapacityKeeper::WantsCalled() const {
+std::set<HostName> CapacityManager::HostsToProbe() const {
   const std::lock_guard lock(mutex_);
   std::set<HostName> wanted;
   for (const auto& [name, domain] : domains_) {
     // Whether the targets answer says nothing about whom to call.
     const DomainEvidence evidence = evidence_.For(name, false);
-    for (HostName& host : domain.holder->WantsCalled(evidence)) {
+    for (HostName& host : domain.holder->HostsToProbe(evidence)) {
       wanted.insert(std::move(host));
     }
   }
   return wanted;
 }
 
-void CapacityKeeper::GiveUpSeats() {
+void CapacityManager::ReleaseSeats() {
   const std::lock_guard lock(mutex_);
   is_giving_up_ = true;
   for (auto& [name, domain] : domains_) {
@@ -106,7 +106,7 @@
   RefreshOwn();
 }
 
-bool CapacityKeeper::TryTake(const TargetName& target) {
+bool CapacityManager::TryTake(const TargetName& target) {
   const std::lock_guard lock(mutex_);
   const std::string name = SlotLimitName(target.Value());
   const auto found = limits_.find(name);
@@ -122,7 +122,7 @@
   return true;
 }
 
-void CapacityKeeper::Release(const TargetName& target) {
+void CapacityManager::Release(const TargetName& target) {
   const std::lock_guard lock(mutex_);
   const auto found = limits_.find(SlotLimitName(target.Value()));
   if (found == limits_.end() || found->second.uses.empty()) {
@@ -130,21 +130,22 @@
   }
   // Which of the units ended is all the same to the target. The one whose loan
   // ends first is given back, so that nothing is used beyond its loan.
-  std::vector<Use>& uses = found->second.uses;
-  const auto first = std::ranges::min_element(uses, {}, &Use::finish_by);
+  std::vector<AcquiredUnit>& uses = found->second.uses;
+  const auto first =
+      std::ranges::min_element(uses, {}, &AcquiredUnit::finish_by);
   book_.Release(*first);
   uses.erase(first);
 }
 
-UsableSlots CapacityKeeper::UsableOf(const TargetName& target) const {
+UsableSlots CapacityManager::UsableSlotsOf(const TargetName& target) const {
   const std::lock_guard lock(mutex_);
-  const ShareStanding standing = book_.Standing(SlotLimitName(target.Value()));
-  return {.own = standing.own,
-          .borrowed = standing.borrowed,
-          .lent = std::min(standing.own, standing.lent)};
+  const ShareState state = book_.State(SlotLimitName(target.Value()));
+  return {.own = state.own,
+          .borrowed = state.borrowed,
+          .lent = std::min(state.own, state.lent)};
 }
 
-std::map<FailureDomainName, std::uint32_t> CapacityKeeper::Seats() const {
+std::map<FailureDomainName, std::uint32_t> CapacityManager::Seats() const {
   const std::lock_guard lock(mutex_);
   std::map<FailureDomainName, std::uint32_t> seats;
   for (const auto& [name, domain] : domains_) {
@@ -155,30 +156,30 @@
   return seats;
 }
 
-std::vector<SeatStatus> CapacityKeeper::Status() const {
+std::vector<SeatStatus> CapacityManager::Status() const {
   const std::lock_guard lock(mutex_);
   std::vector<SeatStatus> status;
   for (const auto& [name, domain] : domains_) {
     status.push_back({.failure_domain = name,
-                      .standing = domain.holder->Standing(),
+                      .state = domain.holder->State(),
                       .seat = domain.holder->Seat()});
   }
   return status;
 }
 
-bool CapacityKeeper::HasSeat() const {
+bool CapacityManager::HasSeat() const {
   const std::lock_guard lock(mutex_);
   return std::ranges::any_of(domains_, [](const auto& each) {
-    return each.second.holder->Standing() == SeatStanding::kHeld;
+    return each.second.holder->State() == SeatState::kHeld;
   });
 }
 
-bool CapacityKeeper::IsWaitingForSplit() const {
+bool CapacityManager::IsWaitingForSplit() const {
   const std::lock_guard lock(mutex_);
   return std::ranges::any_of(limits_, [this](const auto& each) {
     const SeatHolder* holder = HolderOf(each.second.plan.failure_domain);
     const bool is_held =
-        holder != nullptr && holder->Standing() == SeatStanding::kHeld;
+        holder != nullptr && holder->State() == SeatState::kHeld;
     // With more seats than slots most splits give this seat nothing, for good:
     // nothing is waited for then.
     const SplitTransition& split = each.second.transition;
@@ -188,8 +189,8 @@
   });
 }
 
-double CapacityKeeper::OwnPartOf(const FailureDomainName& domain,
-                                 double rate) const {
+double CapacityManager::OwnRateShare(const FailureDomainName& domain,
+                                     double rate) const {
   const std::lock_guard lock(mutex_);
   const auto found = domains_.find(domain);
   if (found == domains_.end() ||
@@ -200,7 +201,7 @@
   return seat ? SplitRate(rate, found->second.plan.seats, *seat) : 0.0;
 }
 
-ShareGrant CapacityKeeper::Lend(const ShareRequest& request) {
+ShareGrant CapacityManager::Lend(const ShareRequest& request) {
   const std::lock_guard lock(mutex_);
   const auto found = limits_.find(request.limit_name);
   if (found == limits_.end() || is_giving_up_) {
@@ -210,16 +211,16 @@
   return book_.Lend(request);
 }
 
-void CapacityKeeper::TakeBack(const ShareRequest& request) {
+void CapacityManager::AcceptReturn(const ShareRequest& request) {
   const std::lock_guard lock(mutex_);
-  book_.TakeBack(request);
+  book_.AcceptReturn(request);
 }
 
-CapacityKeeper::DueMessages CapacityKeeper::Due(
+CapacityManager::DueRequests CapacityManager::CollectDueRequests(
     const std::vector<TargetName>& pressed) {
   const std::lock_guard lock(mutex_);
   const MonotonicTime now = clock_.Now();
-  DueMessages due{.asks = book_.Renewals(), .returns = book_.Returns()};
+  DueRequests due{.requests = book_.Renewals(), .returns = book_.Returns()};
   for (const auto& [name, limit] : limits_) {
     book_.WantBack(
         name, std::ranges::find(pressed, limit.plan.target) != pressed.end());
@@ -237,18 +238,20 @@
     if (const auto lender = ChooseLender(name, limit->second)) {
       asked.at = now;
       ++asked.turn;
-      due.asks.push_back(book_.Borrow(name, options_.borrow_amount, *lender));
+      due.requests.push_back(
+          book_.Borrow(name, options_.borrow_amount, *lender));
     }
   }
   return due;
 }
 
-void CapacityKeeper::Apply(const Ask& ask, const ShareGrant& grant) {
+void CapacityManager::Apply(const OutgoingShareRequest& ask,
+                            const ShareGrant& grant) {
   const std::lock_guard lock(mutex_);
   book_.Apply(ask, grant);
 }
 
-void CapacityKeeper::RefreshOwn() {
+void CapacityManager::RefreshOwn() {
   MonotonicTime valid_until = MonotonicTime::max();
   bool has_seat = false;
   for (const auto& [name, domain] : domains_) {
@@ -265,7 +268,7 @@
   }
 }
 
-void CapacityKeeper::RefreshLimit(const std::string& name, Limit& limit) {
+void CapacityManager::RefreshLimit(const std::string& name, Limit& limit) {
   const SeatHolder* holder = HolderOf(limit.plan.failure_domain);
   const auto seat = holder == nullptr ? std::nullopt : holder->Seat();
   const bool is_held = seat && holder->ValidUntil() > clock_.Now();
@@ -289,14 +292,15 @@
   book_.SetOwn(name, limit.transition.Amount());
 }
 
-const SeatHolder* CapacityKeeper::HolderOf(
+const SeatHolder* CapacityManager::HolderOf(
     const FailureDomainName& domain) const {
   const auto found = domains_.find(domain);
   return found == domains_.end() ? nullptr : found->second.holder.get();
 }
 
-std::optional<HostName> CapacityKeeper::ChooseLender(const std::string& name,
-                                                     const Limit& limit) const {
+std::optional<HostName> CapacityManager::ChooseLender(
+    const std::string& name,
+    const Limit& limit) const {
   const auto domain = domains_.find(limit.plan.failure_domain);
   if (domain == domains_.end()) {
     return std::nullopt;
--- a/lib/libmedlarcroft/source/capacity/loans_out.cc
+++ b/lib/libmedlarcroft/source/capacity/issued_loans.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/capacity/loans_out.h"
+#include "medlarcroft/capacity/issued_loans.h"
 
 #include <algorithm>
 
@@ -40,7 +40,7 @@
           .lease = rules_.lease};
 }
 
-void LoansOut::TakeBack(const ShareRequest& request, MonotonicTime now) {
+void LoansOut::AcceptReturn(const ShareRequest& request, MonotonicTime now) {
   DropEnded(now);
   const auto found = loans_.find(IdOf(request));
   if (found != loans_.end()) {
--- a/lib/libmedlarcroft/source/capacity/seat_holder.cc
+++ b/lib/libmedlarcroft/source/capacity/seat_holder.cc
@@ -16,7 +16,7 @@
       resumed_at_(beat_at_),
       wait_until_(beat_at_) {}
 
-void SeatHolder::Beat() {
+void SeatHolder::RecordHeartbeat() {
   const std::lock_guard lock(mutex_);
   NotePause();
 }
@@ -75,7 +75,7 @@
   if (passed_on_) {
     return passed_on_->successor == successor ? passed_on_ : std::nullopt;
   }
-  if (standing_ != SeatStanding::kHeld || successor == options_.self) {
+  if (standing_ != SeatState::kHeld || successor == options_.self) {
     return std::nullopt;
   }
   passed_on_ = SeatHandover{.failure_domain = options_.failure_domain,
@@ -105,7 +105,7 @@
            generation_ == handover.generation;
   }
   // An older split in use here would break the sum.
-  if (standing_ != SeatStanding::kNone ||
+  if (standing_ != SeatState::kNone ||
       handover.adopted_revision > split_revision_) {
     return false;
   }
@@ -116,7 +116,7 @@
   return true;
 }
 
-SeatStanding SeatHolder::Standing() const {
+SeatState SeatHolder::State() const {
   const std::lock_guard lock(mutex_);
   return standing_;
 }
@@ -128,19 +128,19 @@
 
 MonotonicTime SeatHolder::ValidUntil() const {
   const std::lock_guard lock(mutex_);
-  return standing_ == SeatStanding::kHeld ? beat_at_ + options_.rules.lease
-                                          : MonotonicTime::min();
+  return standing_ == SeatState::kHeld ? beat_at_ + options_.rules.lease
+                                       : MonotonicTime::min();
 }
 
-std::vector<HostName> SeatHolder::WantsCalled(
+std::vector<HostName> SeatHolder::HostsToProbe(
     const DomainEvidence& evidence) const {
   const std::lock_guard lock(mutex_);
   std::vector<HostName> hosts;
   for (const PeerEvidence& peer : evidence.peers) {
     const bool is_owner =
         std::ranges::find(owners_, peer.host) != owners_.end();
-    if (standing_ == SeatStanding::kDoubtful ||
-        standing_ == SeatStanding::kWaiting || options_.is_sibling ||
+    if (standing_ == SeatState::kUnconfirmed ||
+        standing_ == SeatState::kWaiting || options_.is_sibling ||
         (is_owner && !peer.is_listed_live)) {
       hosts.push_back(peer.host);
     }
@@ -178,26 +178,26 @@
     }
     return;
   }
-  if (standing_ != SeatStanding::kNone || is_giving_up_) {
+  if (standing_ != SeatState::kNone || is_giving_up_) {
     return;  // Freed as a stray row in the next round.
   }
   Occupy(write.seat, write.row.epoch, write.wait);
   if (was_paused) {
-    standing_ = SeatStanding::kDoubtful;
+    standing_ = SeatState::kUnconfirmed;
   }
 }
 
 void SeatHolder::KeepWithoutPlatform(const DomainEvidence& evidence) {
-  if (standing_ == SeatStanding::kNone) {
+  if (standing_ == SeatState::kNone) {
     return;
   }
-  const bool must_yield = standing_ == SeatStanding::kWaiting ||
-                          (standing_ == SeatStanding::kHeld && is_provisional_);
+  const bool must_yield = standing_ == SeatState::kWaiting ||
+                          (standing_ == SeatState::kHeld && is_provisional_);
   if (must_yield && IsClaimedByPeer(*seat_, evidence)) {
     Drop();
     return;
   }
-  if (standing_ == SeatStanding::kDoubtful) {
+  if (standing_ == SeatState::kUnconfirmed) {
     if (!IsDoubtOver(evidence)) {
       return;
     }
@@ -209,7 +209,7 @@
 void SeatHolder::NoteOwners(const SeenSeats& seen) {
   owners_.clear();
   for (const SeenSeat& entry : seen) {
-    if (entry.IsTaken() && standing_ == SeatStanding::kNone) {
+    if (entry.IsTaken() && standing_ == SeatState::kNone) {
       owners_.push_back(entry.row.owner.host);
     }
   }
@@ -237,12 +237,12 @@
   }
   // Whoever takes a seat waits as long before it uses it.
   was_long_pause_ = gap > options_.rules.WaitOut() ||
-                    (was_long_pause_ && standing_ == SeatStanding::kDoubtful);
+                    (was_long_pause_ && standing_ == SeatState::kUnconfirmed);
   ++pauses_;
   resumed_at_ = now;
   undisputed_since_ = now;
-  if (standing_ != SeatStanding::kNone) {
-    standing_ = SeatStanding::kDoubtful;
+  if (standing_ != SeatState::kNone) {
+    standing_ = SeatState::kUnconfirmed;
   }
 }
 
@@ -254,7 +254,7 @@
   const bool had_owner = wait_until_ > taken_at_;
   const bool is_waiting = clock_.Now() < wait_until_ ||
                           (had_owner && !HasCalledAll(evidence, taken_at_));
-  standing_ = is_waiting ? SeatStanding::kWaiting : SeatStanding::kHeld;
+  standing_ = is_waiting ? SeatState::kWaiting : SeatState::kHeld;
 }
 
 void SeatHolder::Occupy(std::uint32_t seat,
@@ -267,12 +267,11 @@
   is_provisional_ = false;
   taken_at_ = clock_.Now();
   wait_until_ = taken_at_ + wait;
-  standing_ =
-      wait > Duration::zero() ? SeatStanding::kWaiting : SeatStanding::kHeld;
+  standing_ = wait > Duration::zero() ? SeatState::kWaiting : SeatState::kHeld;
 }
 
 void SeatHolder::Drop() {
-  standing_ = SeatStanding::kNone;
+  standing_ = SeatState::kNone;
   seat_.reset();
   is_delegated_ = false;
   is_provisional_ = false;
--- a/lib/libmedlarcroft/source/capacity/seat_holder_plan.cc
+++ b/lib/libmedlarcroft/source/capacity/seat_holder_plan.cc
@@ -16,7 +16,7 @@
     Drop();
     return PlanFree(seen);
   }
-  if (standing_ == SeatStanding::kNone) {
+  if (standing_ == SeatState::kNone) {
     return PlanTake(seen, seats, evidence);
   }
   if (auto write = PlanKeep(seen, evidence)) {
@@ -87,8 +87,7 @@
     return std::nullopt;
   }
   // The owner that was thought gone is back and uses the seat.
-  if (standing_ == SeatStanding::kWaiting &&
-      IsClaimedByPeer(*seat_, evidence)) {
+  if (standing_ == SeatState::kWaiting && IsClaimedByPeer(*seat_, evidence)) {
     Drop();
     return WriteTo(*found, seen, WriteKind::kFree);
   }
@@ -100,7 +99,7 @@
   // owner, with the platform down and this one silent, took the seat up again
   // and has work running. It sees the claim and drops the seat; then its work
   // has to end.
-  if (standing_ == SeatStanding::kDoubtful && was_long_pause_ &&
+  if (standing_ == SeatState::kUnconfirmed && was_long_pause_ &&
       !evidence.peers.empty() && !IsDoubtOver(evidence)) {
     return std::nullopt;
   }
--- a/lib/libmedlarcroft/source/capacity/seat_pacing.cc
+++ b/lib/libmedlarcroft/source/capacity/seat_pacing.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-Duration SeatPeriodFor(const SeatPacingInputs& inputs) {
+Duration SeatPollInterval(const SeatPacingInputs& inputs) {
   if (!inputs.is_settled) {
     return kUnsettled;
   }
--- a/lib/libmedlarcroft/source/capacity/share_book.cc
+++ b/lib/libmedlarcroft/source/capacity/share_allocator.cc
@@ -1,28 +1,30 @@
-#include "medlarcroft/capacity/share_book.h"
+#include "medlarcroft/capacity/share_allocator.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace medlarcroft::capacity {
 
-std::uint32_t ShareStanding::Free() const {
+std::uint32_t ShareState::Free() const {
   const std::uint32_t own_taken = own_in_use + lent;
   const std::uint32_t own_free = own > own_taken ? own - own_taken : 0;
   return own_free + borrowed - std::min(borrowed, borrowed_in_use);
 }
 
-ShareBook::ShareBook(ShareBookOptions options, const ports::Clock& clock)
+ShareAllocator::ShareAllocator(ShareAllocatorOptions options,
+                               const ports::Clock& clock)
     : options_(std::move(options)), clock_(clock) {}
 
-void ShareBook::SetOwn(std::string_view limit_name, std::uint32_t amount) {
+void ShareAllocator::SetOwn(std::string_view limit_name, std::uint32_t amount) {
   LimitOf(limit_name).own = amount;
 }
 
-std::optional<Use> ShareBook::TryAcquire(std::string_view limit_name) {
+std::optional<AcquiredUnit> ShareAllocator::TryAcquire(
+    std::string_view limit_name) {
   const MonotonicTime now = clock_.Now();
   Limit& limit = LimitOf(limit_name);
-  Use use{.limit_name = std::string(limit_name),
-          .finish_by = now + options_.rules.max_work};
+  AcquiredUnit use{.limit_name = std::string(limit_name),
+                   .finish_by = now + options_.rules.max_work};
   // Loans first: own units stay free to be lent.
   for (auto& [id, loan] : limit.loans) {
     if (!loan.is_pending && now < loan.until && loan.in_use < loan.amount) {
@@ -39,7 +41,7 @@
   return use;
 }
 
-void ShareBook::Release(const Use& use) {
+void ShareAllocator::Release(const AcquiredUnit& use) {
   Limit& limit = LimitOf(use.limit_name);
   if (use.loan == 0) {
     --limit.own_in_use;
@@ -54,7 +56,7 @@
   loan.last_used = clock_.Now();
 }
 
-ShareGrant ShareBook::Lend(const ShareRequest& request) {
+ShareGrant ShareAllocator::Lend(const ShareRequest& request) {
   const MonotonicTime now = clock_.Now();
   Limit& limit = LimitOf(request.limit_name);
   limit.lent.DropEnded(now);
@@ -64,17 +66,17 @@
   return limit.lent.Lend(request, free, may_renew, now);
 }
 
-void ShareBook::TakeBack(const ShareRequest& request) {
-  LimitOf(request.limit_name).lent.TakeBack(request, clock_.Now());
+void ShareAllocator::AcceptReturn(const ShareRequest& request) {
+  LimitOf(request.limit_name).lent.AcceptReturn(request, clock_.Now());
 }
 
-void ShareBook::WantBack(std::string_view limit_name, bool is_wanted) {
+void ShareAllocator::WantBack(std::string_view limit_name, bool is_wanted) {
   LimitOf(limit_name).is_wanted_back = is_wanted;
 }
 
-Ask ShareBook::Borrow(std::string_view limit_name,
-                      std::uint32_t amount,
-                      const HostName& lender) {
+OutgoingShareRequest ShareAllocator::Borrow(std::string_view limit_name,
+                                            std::uint32_t amount,
+                                            const HostName& lender) {
   const MonotonicTime now = clock_.Now();
   const std::uint64_t id = ++last_request_id_;
   LimitOf(limit_name).loans[id] = {
@@ -84,7 +86,8 @@
           .sent_at = now};
 }
 
-void ShareBook::Apply(const Ask& ask, const ShareGrant& grant) {
+void ShareAllocator::Apply(const OutgoingShareRequest& ask,
+                           const ShareGrant& grant) {
   Limit& limit = LimitOf(ask.request.limit_name);
   const auto found = limit.loans.find(ask.request.request_id);
   if (found == limit.loans.end() ||
@@ -110,9 +113,9 @@
   loan.until = ask.sent_at + std::min(grant.lease, options_.rules.lease);
 }
 
-std::vector<Ask> ShareBook::Renewals() {
+std::vector<OutgoingShareRequest> ShareAllocator::Renewals() {
   const MonotonicTime now = clock_.Now();
-  std::vector<Ask> asks;
+  std::vector<OutgoingShareRequest> requests;
   for (auto& [name, limit] : limits_) {
     for (const auto& [id, loan] : limit.loans) {
       const bool is_due = loan.until - now < options_.rules.lease / 2;
@@ -120,26 +123,27 @@
           loan.in_use > 0 || now - loan.last_used < options_.return_idle_after;
       if (!loan.is_pending && loan.amount > 0 && now < loan.until && is_due &&
           is_useful) {
-        asks.push_back({.lender = loan.lender,
-                        .request = RequestFor(name, id, loan.amount),
-                        .sent_at = now});
+        requests.push_back({.lender = loan.lender,
+                            .request = RequestFor(name, id, loan.amount),
+                            .sent_at = now});
       }
     }
   }
-  return asks;
+  return requests;
 }
 
-std::vector<Ask> ShareBook::Returns() {
+std::vector<OutgoingShareRequest> ShareAllocator::Returns() {
   return ReturnIdleSince(clock_.Now() - options_.return_idle_after);
 }
 
-std::vector<Ask> ShareBook::ReturnAllIdle() {
+std::vector<OutgoingShareRequest> ShareAllocator::ReturnAllIdle() {
   return ReturnIdleSince(clock_.Now());
 }
 
-std::vector<Ask> ShareBook::ReturnIdleSince(MonotonicTime time) {
+std::vector<OutgoingShareRequest> ShareAllocator::ReturnIdleSince(
+    MonotonicTime time) {
   const MonotonicTime now = clock_.Now();
-  std::vector<Ask> asks;
+  std::vector<OutgoingShareRequest> requests;
   for (auto& [name, limit] : limits_) {
     for (auto loan = limit.loans.begin(); loan != limit.loans.end();) {
       const bool is_over = now >= loan->second.until;
@@ -155,7 +159,7 @@
       // Also sent without an answer: the lender may hold a unit back whose
       // grant was lost. Nothing was lent when the answer was a refusal.
       if (!is_refused) {
-        asks.push_back(
+        requests.push_back(
             {.lender = loan->second.lender,
              .request = RequestFor(name, loan->first, loan->second.amount),
              .sent_at = now});
@@ -163,30 +167,30 @@
       loan = limit.loans.erase(loan);
     }
   }
-  return asks;
+  return requests;
 }
 
-ShareStanding ShareBook::Standing(std::string_view limit_name) const {
+ShareState ShareAllocator::State(std::string_view limit_name) const {
   const auto found = limits_.find(limit_name);
   if (found == limits_.end()) {
     return {};
   }
   const Limit& limit = found->second;
   const MonotonicTime now = clock_.Now();
-  ShareStanding standing{.own = now < own_valid_until_ ? limit.own : 0,
-                         .own_in_use = limit.own_in_use,
-                         .lent = limit.lent.Total()};
+  ShareState state{.own = now < own_valid_until_ ? limit.own : 0,
+                   .own_in_use = limit.own_in_use,
+                   .lent = limit.lent.Total()};
   for (const auto& [id, loan] : limit.loans) {
     if (loan.is_pending || now >= loan.until) {
       continue;
     }
-    standing.borrowed += loan.amount;
-    standing.borrowed_in_use += loan.in_use;
+    state.borrowed += loan.amount;
+    state.borrowed_in_use += loan.in_use;
   }
-  return standing;
+  return state;
 }
 
-ShareBook::Limit& ShareBook::LimitOf(std::string_view limit_name) {
+ShareAllocator::Limit& ShareAllocator::LimitOf(std::string_view limit_name) {
   const auto found = limits_.find(limit_name);
   if (found != limits_.end()) {
     return found->second;
@@ -195,15 +199,15 @@
       .first->second;
 }
 
-std::uint32_t ShareBook::OwnFree(Limit& limit, MonotonicTime now) const {
+std::uint32_t ShareAllocator::OwnFree(Limit& limit, MonotonicTime now) const {
   limit.lent.DropEnded(now);
   const std::uint32_t taken = limit.own_in_use + limit.lent.Total();
   return now < own_valid_until_ && limit.own > taken ? limit.own - taken : 0;
 }
 
-ShareRequest ShareBook::RequestFor(std::string_view limit_name,
-                                   std::uint64_t loan,
-                                   std::uint32_t amount) const {
+ShareRequest ShareAllocator::RequestFor(std::string_view limit_name,
+                                        std::uint64_t loan,
+                                        std::uint32_t amount) const {
   return {.borrower = options_.host,
           .incarnation = options_.incarnation,
           .request_id = loan,
--- a/lib/libmedlarcroft/source/catalogue/catalogue_relay.cc
+++ b/lib/libmedlarcroft/source/catalogue/catalogue_poller.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/catalogue/catalogue_relay.h"
+#include "medlarcroft/catalogue/catalogue_poller.h"
 
 #include <algorithm>
 
@@ -19,14 +19,14 @@
 
 }  // namespace
 
-CatalogueRelay::CatalogueRelay(Options options, Ports ports)
+CataloguePoller::CataloguePoller(Options options, Ports ports)
     : options_(options),
       ports_(ports),
       started_at_(ports.clock.Now()),
       patience_(ScaleBy(options.peer_patience, 1.0 + ports.random.NextUnit())) {
 }
 
-Duration CatalogueRelay::Step(bool is_relay) {
+Duration CataloguePoller::Step(bool is_relay) {
   reason_ = FindReason(is_relay);
   if (reason_ == WatchReason::kNone) {
     failures_in_row_ = 0;
@@ -43,7 +43,7 @@
                            options_.first_backoff * (1 << doublings)));
 }
 
-WatchReason CatalogueRelay::FindReason(bool is_relay) const {
+WatchReason CataloguePoller::FindReason(bool is_relay) const {
   if (is_relay) {
     return WatchReason::kRelay;
   }
@@ -60,7 +60,7 @@
   return WatchReason::kNone;
 }
 
-bool CatalogueRelay::ReadPlatform() {
+bool CataloguePoller::ReadPlatform() {
   const auto head = ports_.reader.ReadHead();
   if (!IsOk(head)) {
     return false;
@@ -71,7 +71,7 @@
   return ReadMissing(ValueOf(head).revision);
 }
 
-bool CatalogueRelay::ReadMissing(std::uint64_t head) {
+bool CataloguePoller::ReadMissing(std::uint64_t head) {
   CatalogueReplica& replica = ports_.replica;
   if (replica.Revision() == 0 && head > kSnapshotWorthwhile) {
     const auto snapshot = ports_.reader.ReadSnapshot();
@@ -97,7 +97,7 @@
   return true;
 }
 
-Duration CatalogueRelay::Jittered(Duration duration) {
+Duration CataloguePoller::Jittered(Duration duration) {
   return ScaleBy(duration,
                  kLeastJitter + kJitterSpread * ports_.random.NextUnit());
 }
--- a/lib/libmedlarcroft/source/catalogue/catalogue_replica.cc
+++ b/lib/libmedlarcroft/source/catalogue/catalogue_replica.cc
@@ -189,17 +189,17 @@
   ReplicaStatus status{.revision = state_.Revision(),
                        .highest_seen = highest_seen_,
                        .is_ready = is_ready_,
-                       .not_ready_because = {},
-                       .in_force_for = now - applied_at_,
+                       .not_ready_reasons = {},
+                       .time_in_force = now - applied_at_,
                        .since_peer = SinceOf(last_peer_, now),
                        .since_platform = SinceOf(last_platform_, now),
                        .not_understood = state_.NotUnderstood(),
                        .refused_deltas = refused_deltas_,
                        .platform_revision = platform_revision_};
   if (!is_ready_) {
-    status.not_ready_because.push_back(KnowsARevisionLocked()
-                                           ? NotReadyReason::kBehindHighestSeen
-                                           : NotReadyReason::kNothingHeard);
+    status.not_ready_reasons.push_back(
+        KnowsARevisionLocked() ? NotReadyReason::kBehindHighestSeen
+                               : NotReadyReason::kNoRevisionReceived);
   }
   return status;
 }
--- a/lib/libmedlarcroft/source/catalogue/change_attempts.cc
+++ b/lib/libmedlarcroft/source/catalogue/change_attempts.cc
@@ -129,7 +129,7 @@
   }
   return AcceptedResult{.revision = accepted->revision,
                         .version = accepted->version,
-                        .was_settled = true};
+                        .was_already_accepted = true};
 }
 
 std::optional<ChangeFailure> ChangeAttempts::FindFault(
--- a/lib/libmedlarcroft/source/catalogue/operator_api.cc
+++ b/lib/libmedlarcroft/source/catalogue/operator_api.cc
@@ -170,7 +170,7 @@
                       .revision = accepted.revision,
                       .version = accepted.version,
                       .is_created = request.expected_version == 0,
-                      .was_settled = accepted.was_settled};
+                      .was_already_accepted = accepted.was_already_accepted};
 }
 
 Result<std::vector<HistoryItem>, OperatorFailure> OperatorApi::History(
--- a/lib/libmedlarcroft/source/catalogue/platform_schedule.cc
+++ b/lib/libmedlarcroft/source/catalogue/platform_poll_schedule.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/catalogue/platform_schedule.h"
+#include "medlarcroft/catalogue/platform_poll_schedule.h"
 
 #include <algorithm>
 
@@ -26,24 +26,24 @@
 
 }  // namespace
 
-Duration PlatformSchedule::PauseFrom(MonotonicTime now) const {
+Duration PlatformPollSchedule::TimeUntilNextDue(MonotonicTime now) const {
   const MonotonicTime first = *std::ranges::min_element(due_);
   return std::max(first - now, Duration(0));
 }
 
-Duration HostListPace::Period() const {
+Duration HostListPollTiming::Period() const {
   const Duration shared =
       FromSeconds(static_cast<double>(entry_hosts_) / kReadsPerSecond);
   return std::clamp(shared, kShortestPeriod, kLongestPeriod);
 }
 
-Duration HostListPace::AfterRead(std::size_t entry_hosts) {
+Duration HostListPollTiming::AfterRead(std::size_t entry_hosts) {
   entry_hosts_ = entry_hosts;
   failures_in_row_ = 0;
   return Period();
 }
 
-Duration HostListPace::AfterFailure() {
+Duration HostListPollTiming::AfterFailure() {
   const std::uint32_t quarters =
       std::min(1U << std::min(failures_in_row_, kQuarters), kQuarters);
   ++failures_in_row_;
--- a/lib/libmedlarcroft/source/catalogue/platform_budget.cc
+++ b/lib/libmedlarcroft/source/catalogue/platform_rate_limiter.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/catalogue/platform_budget.h"
+#include "medlarcroft/catalogue/platform_rate_limiter.h"
 
 #include <algorithm>
 
@@ -10,19 +10,20 @@
 
 /// @brief Makes the call if the budget allows it, and notes how it ended.
 template <typename Call>
-auto Spend(bool is_allowed, PlatformBudget& budget, Call call)
+auto Spend(bool is_allowed, PlatformRateLimiter& budget, Call call)
     -> decltype(call()) {
   if (!is_allowed) {
     return StoreFailure::kUnavailable;
   }
   auto result = call();
-  budget.NoteOutcome(IsOk(result));
+  budget.RecordOutcome(IsOk(result));
   return result;
 }
 
 }  // namespace
 
-PlatformBudget::PlatformBudget(Options options, const ports::Clock& clock)
+PlatformRateLimiter::PlatformRateLimiter(Options options,
+                                         const ports::Clock& clock)
     : clock_(clock),
       reads_{.per_second = options.reads_per_second,
              .burst = options.read_burst,
@@ -33,21 +34,21 @@
       filled_at_(clock.Now()),
       reachability_since_(clock.Now()) {}
 
-bool PlatformBudget::TakeRead() {
+bool PlatformRateLimiter::TryAcquireRead() {
   const std::lock_guard lock(mutex_);
   const bool is_taken = TakeLocked(reads_);
   ++(is_taken ? counts_.reads : counts_.refused_reads);
   return is_taken;
 }
 
-bool PlatformBudget::TakeWrite() {
+bool PlatformRateLimiter::TryAcquireWrite() {
   const std::lock_guard lock(mutex_);
   const bool is_taken = TakeLocked(writes_);
   ++(is_taken ? counts_.writes : counts_.refused_writes);
   return is_taken;
 }
 
-bool PlatformBudget::TakeLocked(Bucket& bucket) {
+bool PlatformRateLimiter::TakeLocked(Bucket& bucket) {
   const MonotonicTime now = clock_.Now();
   const double seconds = ToSeconds(now - filled_at_);
   filled_at_ = now;
@@ -63,7 +64,7 @@
   return true;
 }
 
-void PlatformBudget::NoteOutcome(bool was_answered) {
+void PlatformRateLimiter::RecordOutcome(bool was_answered) {
   const std::lock_guard lock(mutex_);
   counts_.failures += was_answered ? 0 : 1;
   if (was_answered != is_reachable_) {
@@ -72,52 +73,55 @@
   }
 }
 
-PlatformCounts PlatformBudget::Counts() const {
+PlatformCallCounts PlatformRateLimiter::Counts() const {
   const std::lock_guard lock(mutex_);
   return counts_;
 }
 
-PlatformReachability PlatformBudget::Reachability() const {
+PlatformReachability PlatformRateLimiter::Reachability() const {
   const std::lock_guard lock(mutex_);
   return {.is_reachable = is_reachable_,
           .since = clock_.Now() - reachability_since_};
 }
 
-BudgetedTableStore::BudgetedTableStore(ports::TableStore& table,
-                                       PlatformBudget& budget)
+RateLimitedTableStore::RateLimitedTableStore(ports::TableStore& table,
+                                             PlatformRateLimiter& budget)
     : table_(table), budget_(budget) {}
 
-Result<ports::Row, StoreFailure> BudgetedTableStore::Read(
+Result<ports::Row, StoreFailure> RateLimitedTableStore::Read(
     std::string_view key) {
-  return Spend(budget_.TakeRead(), budget_, [&] { return table_.Read(key); });
+  return Spend(budget_.TryAcquireRead(), budget_,
+               [&] { return table_.Read(key); });
 }
 
-Result<std::vector<ports::Row>, StoreFailure> BudgetedTableStore::Scan(
+Result<std::vector<ports::Row>, StoreFailure> RateLimitedTableStore::Scan(
     std::string_view first,
     std::string_view last,
     std::size_t limit) {
-  return Spend(budget_.TakeRead(), budget_,
+  return Spend(budget_.TryAcquireRead(), budget_,
                [&] { return table_.Scan(first, last, limit); });
 }
 
-Result<ports::TransactionOutcome, StoreFailure> BudgetedTableStore::Commit(
+Result<ports::TransactionOutcome, StoreFailure> RateLimitedTableStore::Commit(
     const ports::Transaction& transaction) {
-  return Spend(budget_.TakeWrite(), budget_,
+  return Spend(budget_.TryAcquireWrite(), budget_,
                [&] { return table_.Commit(transaction); });
 }
 
-BudgetedObjectStore::BudgetedObjectStore(ports::ObjectStore& objects,
-                                         PlatformBudget& budget)
+RateLimitedObjectStore::RateLimitedObjectStore(ports::ObjectStore& objects,
+                                               PlatformRateLimiter& budget)
     : objects_(objects), budget_(budget) {}
 
-Result<std::optional<std::string>, StoreFailure> BudgetedObjectStore::Get(
+Result<std::optional<std::string>, StoreFailure> RateLimitedObjectStore::Get(
     std::string_view name) {
-  return Spend(budget_.TakeRead(), budget_, [&] { return objects_.Get(name); });
+  return Spend(budget_.TryAcquireRead(), budget_,
+               [&] { return objects_.Get(name); });
 }
 
-Result<Success, StoreFailure> BudgetedObjectStore::Put(std::string_view name,
-                                                       std::string_view bytes) {
-  return Spend(budget_.TakeWrite(), budget_,
+Result<Success, StoreFailure> RateLimitedObjectStore::Put(
+    std::string_view name,
+    std::string_view bytes) {
+  return Spend(budget_.TryAcquireWrite(), budget_,
                [&] { return objects_.Put(name, bytes); });
 }
 
--- a/lib/libmedlarcroft/source/decision/attempt_rules.cc
+++ b/lib/libmedlarcroft/source/decision/attempt_rules.cc
@@ -10,25 +10,25 @@
                                  .has_answer = true};
 constexpr AttemptRules kServerError{.run_state = RunState::kRan,
                                     .has_answer = true,
-                                    .is_worth_retry = true,
-                                    .is_blamed_on_target = true};
+                                    .is_retryable = true,
+                                    .is_target_failure = true};
 constexpr AttemptRules kNeverSent{.run_state = RunState::kNotRun,
-                                  .is_worth_retry = true,
-                                  .is_blamed_on_target = true};
+                                  .is_retryable = true,
+                                  .is_target_failure = true};
 constexpr AttemptRules kNotRunByTarget{.run_state = RunState::kNotRun,
-                                       .is_worth_retry = true};
+                                       .is_retryable = true};
 constexpr AttemptRules kTargetLeaving{.run_state = RunState::kNotRun,
-                                      .is_worth_retry = true,
-                                      .is_retry_free = true};
-constexpr AttemptRules kTruncated{.is_worth_retry = true,
-                                  .is_blamed_on_target = true,
+                                      .is_retryable = true,
+                                      .is_retry_budget_exempt = true};
+constexpr AttemptRules kTruncated{.is_retryable = true,
+                                  .is_target_failure = true,
                                   .release = SlotRelease::kAfterGrace};
-constexpr AttemptRules kConnectionLost{.is_worth_retry = true,
-                                       .is_blamed_on_target = true,
+constexpr AttemptRules kConnectionLost{.is_retryable = true,
+                                       .is_target_failure = true,
                                        .release = SlotRelease::kAfterDeadline};
 constexpr AttemptRules kTimedOut = kConnectionLost;
 constexpr AttemptRules kSilentConnection{
-    .is_worth_retry = true,
+    .is_retryable = true,
     .release = SlotRelease::kAfterDeadline};
 constexpr AttemptRules kCancelled{.release = SlotRelease::kAfterGrace};
 
@@ -41,12 +41,12 @@
 
 }  // namespace
 
-const AttemptRules& RulesOf(AttemptOutcome outcome) {
+const AttemptRules& RulesFor(AttemptOutcome outcome) {
   return kRules[static_cast<std::size_t>(outcome)];
 }
 
-bool MayRunAgain(const AttemptRules& rules, bool is_idempotent) {
-  if (!rules.is_worth_retry)
+bool MayRetry(const AttemptRules& rules, bool is_idempotent) {
+  if (!rules.is_retryable)
     return false;
   return is_idempotent || rules.run_state == RunState::kNotRun;
 }
--- a/lib/libmedlarcroft/source/decision/placement.cc
+++ b/lib/libmedlarcroft/source/decision/placement.cc
@@ -107,7 +107,7 @@
 
   const double weight = ReportWeight(target, now);
   const double reported =
-      std::min<double>(target.reported_others, held_by_others);
+      std::min<double>(target.reported_by_others, held_by_others);
   const double like_ours = held_by_others * std::min(1.0, own / usable);
   const double others = weight * reported + (1.0 - weight) * like_ours;
 
@@ -116,12 +116,12 @@
                             : std::clamp(relative_latency, kLowestLatencyFactor,
                                          kHighestLatencyFactor);
   return (own + others + 1.0) / (usable + held_by_others) * factor /
-         target.ramp.PartAfterShed(now);
+         target.ramp.FractionAfterShed(now);
 }
 
-std::unique_ptr<PlacementStrategy> MakePlacement(PlacementKind kind) {
+std::unique_ptr<PlacementStrategy> MakePlacementStrategy(PlacementKind kind) {
   switch (kind) {
-    case PlacementKind::kOptimisticTwoChoices:
+    case PlacementKind::kOptimisticPowerOfTwoChoices:
       return std::make_unique<
           TwoChoices<&TargetHealth::OptimisticRelativeLatency>>();
     case PlacementKind::kRandom:
@@ -130,7 +130,7 @@
       return std::make_unique<RoundRobin>();
     case PlacementKind::kLeastReportedLoad:
       return std::make_unique<LeastReportedLoad>();
-    case PlacementKind::kTwoChoices:
+    case PlacementKind::kPowerOfTwoChoices:
       break;
   }
   return std::make_unique<TwoChoices<&TargetHealth::RelativeLatency>>();
--- a/lib/libmedlarcroft/source/decision/request_scheduler.cc
+++ b/lib/libmedlarcroft/source/decision/request_scheduler.cc
@@ -14,7 +14,7 @@
                                    ports::RandomSource& random)
     : options_(options),
       random_(random),
-      placement_(MakePlacement(options.placement)) {}
+      placement_(MakePlacementStrategy(options.placement)) {}
 
 RequestScheduler::RequestScheduler(const SchedulerOptions& options,
                                    ports::RandomSource& random,
--- a/lib/libmedlarcroft/source/decision/request_scheduler_attempts.cc
+++ b/lib/libmedlarcroft/source/decision/request_scheduler_attempts.cc
@@ -30,8 +30,8 @@
     return AwaitOtherAttempt{};
   }
 
-  const AttemptRules& rules = RulesOf(outcome);
-  if (rules.has_answer && !rules.is_worth_retry)
+  const AttemptRules& rules = RulesFor(outcome);
+  if (rules.has_answer && !rules.is_retryable)
     return Answer(*request);
   if (is_other_running)
     return AwaitOtherAttempt{};
@@ -44,7 +44,7 @@
                                      AttemptState& attempt,
                                      AttemptOutcome outcome,
                                      MonotonicTime now) {
-  const AttemptRules& rules = RulesOf(outcome);
+  const AttemptRules& rules = RulesFor(outcome);
   attempt.is_running = false;
   request.run_state = std::max(request.run_state, rules.run_state);
   --services_[request.service].outstanding;
@@ -55,11 +55,11 @@
       targets_.Release(attempt.target, request.service, now);
       break;
     case SlotRelease::kAfterGrace:
-      targets_.ReleaseLater(attempt.target, request.service, now + kStopGrace);
+      targets_.ReleaseAt(attempt.target, request.service, now + kStopGrace);
       break;
     case SlotRelease::kAfterDeadline:
-      targets_.ReleaseLater(attempt.target, request.service,
-                            std::max(now, request.deadline) + kStopGrace);
+      targets_.ReleaseAt(attempt.target, request.service,
+                         std::max(now, request.deadline) + kStopGrace);
       break;
   }
 }
@@ -90,7 +90,7 @@
   const bool is_excused = now < target.no_blame_until &&
                           (outcome == AttemptOutcome::kTimedOut ||
                            outcome == AttemptOutcome::kConnectionLost);
-  if (RulesOf(outcome).is_blamed_on_target && !is_excused) {
+  if (RulesFor(outcome).is_target_failure && !is_excused) {
     target.health.OnFailure();
   }
   if (options_.is_ejection_enabled) {
@@ -110,7 +110,7 @@
 NextStep RequestScheduler::RetryOrGiveUp(RequestState& request,
                                          AttemptOutcome outcome,
                                          MonotonicTime now) {
-  const AttemptRules& rules = RulesOf(outcome);
+  const AttemptRules& rules = RulesFor(outcome);
   if (const auto reason = ReasonNotToRetry(request, rules, now)) {
     // A whole answer that reports a failure is still the caller's answer.
     if (rules.has_answer)
@@ -134,7 +134,7 @@
     const AttemptRules& rules,
     MonotonicTime now) {
   ServiceState& service = services_[request.service];
-  if (!MayRunAgain(rules, service.config.request_class.IsIdempotent())) {
+  if (!MayRetry(rules, service.config.request_class.IsIdempotent())) {
     return RefusalReason::kRetryNotAllowed;
   }
   if (request.attempts.size() >= options_.max_attempts) {
@@ -143,7 +143,7 @@
   if (request.deadline - now < service.latency.Mean()) {
     return RefusalReason::kDeadlineTooShort;
   }
-  if (!rules.is_retry_free && !service.budget.TryTake())
+  if (!rules.is_retry_budget_exempt && !service.budget.TryTake())
     return RefusalReason::kRetryBudgetSpent;
   return std::nullopt;
 }
--- a/lib/libmedlarcroft/source/decision/request_scheduler_reports.cc
+++ b/lib/libmedlarcroft/source/decision/request_scheduler_reports.cc
@@ -24,7 +24,7 @@
     return;
 
   target.reported_total = outstanding;
-  target.reported_others =
+  target.reported_by_others =
       outstanding - std::min(outstanding, target.outstanding);
   target.reported_at = taken_at;
 }
--- a/lib/libmedlarcroft/source/decision/slot_ramp.cc
+++ b/lib/libmedlarcroft/source/decision/slot_ramp.cc
@@ -33,7 +33,7 @@
   return std::clamp(slots, 1U, share);
 }
 
-double SlotRamp::PartAfterShed(MonotonicTime now) const {
+double SlotRamp::FractionAfterShed(MonotonicTime now) const {
   return is_after_shed_ ? std::max(Part(now), kMinPartAfterShed) : 1.0;
 }
 
--- a/lib/libmedlarcroft/source/decision/target_table.cc
+++ b/lib/libmedlarcroft/source/decision/target_table.cc
@@ -81,9 +81,9 @@
   Refresh(target, now);
 }
 
-void TargetTable::ReleaseLater(TargetIndex target,
-                               ServiceIndex service,
-                               MonotonicTime until) {
+void TargetTable::ReleaseAt(TargetIndex target,
+                            ServiceIndex service,
+                            MonotonicTime until) {
   held_.push({.until = until, .target = target, .service = service});
 }
 
@@ -171,24 +171,25 @@
   return next;
 }
 
-TargetRule TargetTable::RuleOf(TargetIndex target, MonotonicTime now) const {
+TargetUsageRule TargetTable::RuleOf(TargetIndex target,
+                                    MonotonicTime now) const {
   const TargetState& state = targets_[target];
   if (state.leaving.IsLeaving(now))
-    return TargetRule::kLeaving;
+    return TargetUsageRule::kLeaving;
   if (state.config.share_lease_until &&
       now >= *state.config.share_lease_until) {
-    return TargetRule::kLeaseLapsed;
+    return TargetUsageRule::kLeaseExpired;
   }
   if (state.config.share == 0)
-    return TargetRule::kNoShare;
+    return TargetUsageRule::kNoShare;
   if (state.health.State() == HealthState::kEjected) {
-    return TargetRule::kEjected;
+    return TargetUsageRule::kEjected;
   }
   if (state.health.State() == HealthState::kProbing) {
-    return TargetRule::kProbing;
+    return TargetUsageRule::kProbing;
   }
-  return state.ramp.IsActive(now) ? TargetRule::kRamping
-                                  : TargetRule::kFullShare;
+  return state.ramp.IsActive(now) ? TargetUsageRule::kRamping
+                                  : TargetUsageRule::kFullShare;
 }
 
 bool TargetTable::MayEject(TargetIndex target, MonotonicTime now) const {
@@ -233,7 +234,7 @@
                           const TargetMembership& membership) {
   if (target.outstanding >= target.usable)
     return false;
-  if (!membership.is_long || target.usable < 2)
+  if (!membership.is_long_running || target.usable < 2)
     return true;
 
   const std::uint32_t reserved =
--- a/lib/libmedlarcroft/source/decision/target_table_configuration.cc
+++ b/lib/libmedlarcroft/source/decision/target_table_configuration.cc
@@ -114,7 +114,8 @@
       shortest = std::min(shortest, expected[membership.service]);
     }
     for (TargetMembership& membership : target.memberships) {
-      membership.is_long = expected[membership.service] > shortest * kLongRatio;
+      membership.is_long_running =
+          expected[membership.service] > shortest * kLongRatio;
     }
   }
 }
--- a/lib/libmedlarcroft/source/emulation/emulated_host.cc
+++ b/lib/libmedlarcroft/source/emulation/emulated_host.cc
@@ -35,7 +35,7 @@
          .timeout = kind.timeout,
          .latency_objective = kind.objective,
          .max_attempts = kind.max_attempts,
-         .parts = {{.service = ServiceName(kind.service)}},
+         .weighted_services = {{.service = ServiceName(kind.service)}},
          .is_sticky = true});
   }
   for (const EmulatedService& service : deployment.services) {
--- a/lib/libmedlarcroft/source/emulation/emulation.cc
+++ b/lib/libmedlarcroft/source/emulation/emulation.cc
@@ -11,8 +11,8 @@
 namespace {
 
 using request_path::AttemptEnd;
-using request_path::Ending;
 using request_path::PassOn;
+using request_path::RequestFailure;
 using request_path::RequestTicket;
 using request_path::SendAttempt;
 using request_path::Step;
@@ -174,10 +174,10 @@
         .object = caller.object,
         .time_left = caller.kind->deadline - spent,
         .fingerprint = caller.fingerprint};
-    const request_path::Begun begun =
+    const request_path::RequestStart begun =
         hosts_[host]->Path().Begin(request, events_.Now());
     if (begun.ticket == 0) {
-      OnRefused(caller, std::get<Ending>(begun.step));
+      OnRefused(caller, std::get<RequestFailure>(begun.step));
       return;
     }
     const auto running = std::make_shared<Running>(
@@ -204,7 +204,7 @@
     Conclude(running->caller, true, false);
     return;
   }
-  if (const auto* const ending = std::get_if<Ending>(&step)) {
+  if (const auto* const ending = std::get_if<RequestFailure>(&step)) {
     Finish(running);
     OnRefused(running->caller, *ending);
   }
@@ -227,12 +227,12 @@
   } else {
     figures_.OnFurtherSend();
   }
-  if (attempt.is_news && tells_placed_) {
+  if (attempt.should_announce && tells_placed_) {
     TellPlaced(*running, attempt);
   }
   host.Path().OnConnected(attempt.region, 2 * way);
-  if (attempt.slow_after) {
-    events_.After(*attempt.slow_after, [this, running] {
+  if (attempt.hedge_after) {
+    events_.After(*attempt.hedge_after, [this, running] {
       if (!running->is_over) {
         Carry(running, hosts_[running->host]->Path().OnSlow(running->ticket,
                                                             events_.Now()));
@@ -328,7 +328,7 @@
   });
 }
 
-void Emulation::OnRefused(const Caller& caller, const Ending& ending) {
+void Emulation::OnRefused(const Caller& caller, const RequestFailure& ending) {
   const bool may_return =
       caller.returns_left > 0 &&
       (ending.is_not_run ||
--- a/lib/libmedlarcroft/source/emulation/emulation_figures.cc
+++ b/lib/libmedlarcroft/source/emulation/emulation_metrics.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/emulation/emulation_figures.h"
+#include "medlarcroft/emulation/emulation_metrics.h"
 
 #include <algorithm>
 #include <cmath>
--- a/lib/libmedlarcroft/source/emulation/emulation_reports.cc
+++ b/lib/libmedlarcroft/source/emulation/emulation_reports.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "medlarcroft/emulation/emulation.h"
-#include "medlarcroft/news/news_pace.h"
+#include "medlarcroft/peer_updates/update_timing.h"
 
 namespace medlarcroft::emulation {
 
@@ -79,11 +79,12 @@
     }
     const bool is_same_region =
         hosts_[other]->Region() == hosts_[host]->Region();
-    const Duration way = is_same_region
-                             ? deployment_.within_region
-                             : deployment_.between_regions + news::kReportDelay;
-    events_.After(way + news::kReportDelay + news::kDigestPeriod,
-                  [this, other, deliver] { deliver(*hosts_[other]); });
+    const Duration way = is_same_region ? deployment_.within_region
+                                        : deployment_.between_regions +
+                                              peer_updates::kReportBatchDelay;
+    events_.After(
+        way + peer_updates::kReportBatchDelay + peer_updates::kRelayPeriod,
+        [this, other, deliver] { deliver(*hosts_[other]); });
   }
 }
 
@@ -176,7 +177,7 @@
     events_.After(deployment_.within_region,
                   [this, other, target = request_path::NumberOf(attempt.target),
                    object = request_path::ObjectKey(running.caller.object)] {
-                    hosts_[other]->Path().OnPlacedByOther(target, object);
+                    hosts_[other]->Path().OnPlacedByOtherHost(target, object);
                   });
   }
 }
@@ -194,9 +195,10 @@
       continue;
     }
     // In the mean a load waits half of each delay on its way.
-    const Duration waits = news::IsToldDirectly(hosts.size() - 1)
-                               ? news::kReportDelay / 2
-                               : news::kReportDelay / 2 + news::kDigestPeriod;
+    const Duration waits =
+        peer_updates::UsesDirectDelivery(hosts.size() - 1)
+            ? peer_updates::kReportBatchDelay / 2
+            : peer_updates::kReportBatchDelay / 2 + peer_updates::kRelayPeriod;
     events_.After(
         deployment_.within_region + waits, [this, other, target, report] {
           hosts_[other]->Path().OnReport(target, report, events_.Now());
--- a/lib/libmedlarcroft/source/emulation/experiment.cc
+++ b/lib/libmedlarcroft/source/emulation/experiment.cc
@@ -10,12 +10,12 @@
 
 namespace {
 
-using request_path::CandidateRule;
+using request_path::CandidateSelector;
 using request_path::Placement;
 using request_path::PlacementOptions;
 using request_path::RequestPath;
 
-class RandomTarget final : public CandidateRule {
+class RandomTarget final : public CandidateSelector {
  public:
   std::size_t Choose(std::span<const Placement> candidates) const override {
     return random_.NextBelow(candidates.size());
@@ -25,7 +25,7 @@
   mutable RepeatableRandom random_{1};
 };
 
-class RoundRobin final : public CandidateRule {
+class RoundRobin final : public CandidateSelector {
  public:
   std::size_t Choose(std::span<const Placement> candidates) const override {
     return next_++ % candidates.size();
@@ -35,7 +35,7 @@
   mutable std::size_t next_ = 0;
 };
 
-class LeastOutstanding final : public CandidateRule {
+class LeastOutstanding final : public CandidateSelector {
  public:
   std::size_t Choose(std::span<const Placement> candidates) const override {
     const auto least = std::ranges::min_element(
@@ -50,7 +50,7 @@
 const RoundRobin kRoundRobin;
 const LeastOutstanding kLeastOutstanding;
 
-Policy WithRule(std::string name, const CandidateRule& rule) {
+Policy WithRule(std::string name, const CandidateSelector& rule) {
   return {.name = std::move(name), .options = {.path = {.rule = &rule}}};
 }
 
@@ -80,18 +80,20 @@
     VariedOption{"warm-when-sent",
                  &SetPlacement<&PlacementOptions::warm_when_sent>},
     VariedOption{"slots-believed-free",
-                 &SetPlacement<&PlacementOptions::slots_believed_free>},
+                 &SetPlacement<&PlacementOptions::queueing_threshold>},
     VariedOption{"region-load-part",
-                 &SetPlacement<&PlacementOptions::region_load_part>},
-    VariedOption{"slot-price", &SetPlacement<&PlacementOptions::slot_price>},
-    VariedOption{"longest-wait", &SetPath<&RequestPath::Options::longest_wait>},
+                 &SetPlacement<&PlacementOptions::region_load_weight>},
+    VariedOption{"slot-price",
+                 &SetPlacement<&PlacementOptions::slot_cost_weight>},
+    VariedOption{"longest-wait",
+                 &SetPath<&RequestPath::Options::max_queue_wait>},
     VariedOption{"region-move",
                  [](EmulationOptions& options, double value) {
-                   options.path.region_plan.most_moved_per_second = value;
+                   options.path.region_plan.max_shift_per_second = value;
                  }},
     VariedOption{"plans-regions",
                  [](EmulationOptions& options, double value) {
-                   options.path.plans_regions = value != 0;
+                   options.path.uses_region_plan = value != 0;
                  }},
     VariedOption{"tells-loads",
                  [](EmulationOptions& options, double value) {
@@ -172,15 +174,15 @@
                                          .warm_when_second = 0,
                                          .warm_otherwise = 0,
                                          .warm_when_sent = 0,
-                                         .warm_when_untried = 0};
-  return {
-      {.name = "product"},
-      WithRule("random", kRandomTarget),
-      WithRule("least-outstanding", kLeastOutstanding),
-      WithRule("round-robin", kRoundRobin),
-      {.name = "no-affinity",
-       .options = {.path = {.placement = without_objects}}},
-      {.name = "unbounded-queue", .options = {.path = {.longest_wait = 1e3}}}};
+                                         .warm_when_unused = 0};
+  return {{.name = "product"},
+          WithRule("random", kRandomTarget),
+          WithRule("least-outstanding", kLeastOutstanding),
+          WithRule("round-robin", kRoundRobin),
+          {.name = "no-affinity",
+           .options = {.path = {.placement = without_objects}}},
+          {.name = "unbounded-queue",
+           .options = {.path = {.max_queue_wait = 1e3}}}};
 }
 
 std::vector<std::string_view> OptionNames() {
--- a/lib/libmedlarcroft/source/forwarding/forward_proof.cc
+++ b/lib/libmedlarcroft/source/forwarding/forward_proof.cc
@@ -88,9 +88,9 @@
   return claim;
 }
 
-std::string ProveForward(const ForwardClaim& claim,
-                         const ForwardedRequest& request,
-                         std::string_view secret) {
+std::string SignForward(const ForwardClaim& claim,
+                        const ForwardedRequest& request,
+                        std::string_view secret) {
   const std::string text = SignedText(claim, request);
   std::array<unsigned char, EVP_MAX_MD_SIZE> mac{};
   unsigned int size = 0;
@@ -100,16 +100,16 @@
   return ToHex({reinterpret_cast<const char*>(mac.data()), size});
 }
 
-bool IsForwardProved(const ForwardClaim& claim,
-                     const ForwardedRequest& request,
-                     std::string_view proof,
-                     std::string_view secret,
-                     WallTime now) {
+bool IsForwardProofValid(const ForwardClaim& claim,
+                         const ForwardedRequest& request,
+                         std::string_view proof,
+                         std::string_view secret,
+                         WallTime now) {
   const Duration age = now - claim.sent_at;
   if (age > kForwardProofLifetime || age < -kForwardProofLifetime) {
     return false;
   }
-  const std::string expected = ProveForward(claim, request, secret);
+  const std::string expected = SignForward(claim, request, secret);
   return proof.size() == expected.size() &&
          CRYPTO_memcmp(proof.data(), expected.data(), expected.size()) == 0;
 }
--- a/lib/libmedlarcroft/source/idempotency/fingerprint.cc
+++ b/lib/libmedlarcroft/source/idempotency/fingerprint.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-Fingerprint FingerprintOf(const RequestIdentity& request) {
+Fingerprint ComputeFingerprint(const RequestIdentity& request) {
   const std::unique_ptr<XXH3_state_t, decltype(&XXH3_freeState)> state(
       XXH3_createState(), &XXH3_freeState);
   XXH3_128bits_reset(state.get());
--- a/lib/libmedlarcroft/source/idempotency/key.cc
+++ b/lib/libmedlarcroft/source/idempotency/key.cc
@@ -121,7 +121,7 @@
   return text;
 }
 
-std::string ToText(const Key& key) {
+std::string FormatKey(const Key& key) {
   return UnsignedText(key) + kSeparator + MacText(key.mac);
 }
 
--- a/lib/libmedlarcroft/source/idempotency/key_authority.cc
+++ b/lib/libmedlarcroft/source/idempotency/key_authority.cc
@@ -50,7 +50,7 @@
   return key;
 }
 
-std::optional<KeyRefusal> KeyAuthority::Refuse(const Key& key) const {
+std::optional<KeyRefusal> KeyAuthority::FindRefusal(const Key& key) const {
   if (!IsGenuine(key)) {
     return KeyRefusal::kForged;
   }
@@ -75,7 +75,7 @@
     return KeySecretsError::kTooShort;
   }
   if (secrets.also_accepted == secrets.issuing) {
-    return KeySecretsError::kSameTwice;
+    return KeySecretsError::kIdenticalSecrets;
   }
   return std::nullopt;
 }
--- a/lib/libmedlarcroft/source/idempotency/ledger.cc
+++ b/lib/libmedlarcroft/source/idempotency/ledger.cc
@@ -36,7 +36,7 @@
   SetBytes(entry, reserve_bytes);
   expiries_.Add(key);
   ++running_;
-  return RunIt{};
+  return DispatchRequest{};
 }
 
 BeginResult Ledger::Repeat(Entry& entry,
@@ -53,13 +53,13 @@
                    .outcome = Outcome::kRan};
   }
   if (entry.state == State::kRan) {
-    return ReplayIt{entry.answer};
+    return ReplayAnswer{entry.answer};
   }
   if (entry.waiters.size() >= options_.max_waiters) {
     return Refused{.reason = LedgerRefusal::kTooManyWaiters};
   }
   entry.waiters.push_back(waiter);
-  return WaitForIt{};
+  return AwaitFirstAttempt{};
 }
 
 std::vector<WaiterId> Ledger::Complete(const Key& key, SharedAnswer answer) {
--- a/lib/libmedlarcroft/source/load_generator/load_session.cc
+++ b/lib/libmedlarcroft/source/load_generator/load_session.cc
@@ -237,7 +237,7 @@
 void LoadSession::OnLookup(const Pending& pending,
                            const ExchangeResult& result,
                            MonotonicTime now) {
-  auto answer = ParseLookupAnswer(result.body);
+  auto answer = ParseLookupResponse(result.body);
   const bool is_good = !result.failure && result.status == 200 && IsOk(answer);
   if (!is_good && pending.tries + 1 < options_.lookup_urls.size()) {
     AskLookup(pending.subject, pending.tries + 1);
@@ -288,8 +288,8 @@
                             MonotonicTime now) {
   Request& request = requests_.at(number);
   const std::string body_hash = HashBody(request.body);
-  const AttemptVerdict verdict =
-      JudgeAnswer(result, {.path_tail = request.path, .body_hash = body_hash});
+  const AttemptVerdict verdict = CheckResponse(
+      result, {.path_suffix = request.path, .body_hash = body_hash});
   statistics_.NoteAnswer(verdict.fault, request.path);
   claims_.Note(request.path, request.key, verdict.outcome);
   request.last_outcome = verdict.outcome;
--- a/lib/libmedlarcroft/source/load_generator/lookup_cache.cc
+++ b/lib/libmedlarcroft/source/load_generator/lookup_cache.cc
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-Result<LookupAnswer, LookupAnswerError> ParseLookupAnswer(
+Result<LookupAnswer, LookupAnswerError> ParseLookupResponse(
     std::string_view text) {
   const json document = json::parse(text, nullptr, false);
   if (!document.is_object()) {
--- a/lib/libmedlarcroft/source/load_generator/claim_book.cc
+++ b/lib/libmedlarcroft/source/load_generator/outcome_auditor.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/load_generator/claim_book.h"
+#include "medlarcroft/load_generator/outcome_auditor.h"
 
 #include <optional>
 
--- a/lib/libmedlarcroft/source/load_generator/answer_check.cc
+++ b/lib/libmedlarcroft/source/load_generator/response_check.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/load_generator/answer_check.h"
+#include "medlarcroft/load_generator/response_check.h"
 
 #include <algorithm>
 #include <array>
@@ -44,7 +44,7 @@
 
 bool IsOwnAnswer(const ExchangeResult& result, const ExpectedEcho& expected) {
   const json document = json::parse(result.body, nullptr, false);
-  return FieldOf(document, "path").ends_with(expected.path_tail) &&
+  return FieldOf(document, "path").ends_with(expected.path_suffix) &&
          FieldOf(document, "body_hash") == expected.body_hash;
 }
 
@@ -60,8 +60,8 @@
 
 }  // namespace
 
-AttemptVerdict JudgeAnswer(const ExchangeResult& result,
-                           const ExpectedEcho& expected) {
+AttemptVerdict CheckResponse(const ExchangeResult& result,
+                             const ExpectedEcho& expected) {
   if (result.failure) {
     return JudgeFailure(*result.failure);
   }
--- a/lib/libmedlarcroft/source/membership/exchange.cc
+++ b/lib/libmedlarcroft/source/membership/exchange.cc
@@ -80,7 +80,7 @@
 }
 
 ExchangeContent ExchangeSelector::Select(const MembershipTable& members,
-                                         const TargetSigns& targets,
+                                         const TargetStatusTable& targets,
                                          std::size_t message_bytes) {
   ExchangeContent content{.sender = OwnState(members.Self())};
   const std::size_t own = WireBytes(content);
@@ -253,7 +253,7 @@
 
 void ApplyExchange(const ExchangeContent& content,
                    MembershipTable& members,
-                   TargetSigns& targets) {
+                   TargetStatusTable& targets) {
   (void)members.Receive(content.sender);
   for (const Heartbeat& heartbeat : content.heartbeats) {
     (void)members.Receive(heartbeat);
--- a/lib/libmedlarcroft/source/membership/heartbeat.cc
+++ b/lib/libmedlarcroft/source/membership/heartbeat.cc
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "medlarcroft/core/packed_number.h"
+#include "medlarcroft/core/little_endian.h"
 
 namespace medlarcroft::membership {
 
@@ -55,10 +55,11 @@
   std::string text;
   text.reserve(heartbeats.size() * kHeartbeatBytes);
   for (const Heartbeat& heartbeat : heartbeats) {
-    AppendPacked(text, heartbeat.host_hash, kHostBytes);
-    AppendPacked(text, heartbeat.incarnation_hash, kIncarnationBytes);
-    AppendPacked(text, heartbeat.sequence, kSequenceBytes);
-    AppendPacked(text, static_cast<std::uint32_t>(heartbeat.age / kAgeUnit), 1);
+    AppendLittleEndian(text, heartbeat.host_hash, kHostBytes);
+    AppendLittleEndian(text, heartbeat.incarnation_hash, kIncarnationBytes);
+    AppendLittleEndian(text, heartbeat.sequence, kSequenceBytes);
+    AppendLittleEndian(text,
+                       static_cast<std::uint32_t>(heartbeat.age / kAgeUnit), 1);
   }
   return text;
 }
@@ -72,11 +73,11 @@
   heartbeats.reserve(bytes.size() / kHeartbeatBytes);
   while (!bytes.empty()) {
     Heartbeat heartbeat;
-    heartbeat.host_hash = TakePacked(bytes, kHostBytes);
+    heartbeat.host_hash = TakeLittleEndian(bytes, kHostBytes);
     heartbeat.incarnation_hash =
-        static_cast<std::uint16_t>(TakePacked(bytes, kIncarnationBytes));
-    heartbeat.sequence = TakePacked(bytes, kSequenceBytes);
-    heartbeat.age = kAgeUnit * TakePacked(bytes, 1);
+        static_cast<std::uint16_t>(TakeLittleEndian(bytes, kIncarnationBytes));
+    heartbeat.sequence = TakeLittleEndian(bytes, kSequenceBytes);
+    heartbeat.age = kAgeUnit * TakeLittleEndian(bytes, 1);
     heartbeats.push_back(heartbeat);
   }
   return heartbeats;
--- a/lib/libmedlarcroft/source/membership/lookup_answer.cc
+++ b/lib/libmedlarcroft/source/membership/lookup_answer.cc
@@ -11,19 +11,20 @@
 constexpr double kLeastLink = 1;
 
 struct Draw {
-  const CallableHost* host = nullptr;
+  const LookupCandidate* host = nullptr;
   bool is_elsewhere = false;
   double cost = 0;
 };
 
 }  // namespace
 
-std::vector<std::string> ChooseNamedHosts(std::span<const CallableHost> hosts,
-                                          const FailureDomainName& domain,
-                                          ports::RandomSource& random) {
+std::vector<std::string> ChooseLookupHosts(
+    std::span<const LookupCandidate> hosts,
+    const FailureDomainName& domain,
+    ports::RandomSource& random) {
   std::vector<Draw> draws;
   draws.reserve(hosts.size());
-  for (const CallableHost& host : hosts) {
+  for (const LookupCandidate& host : hosts) {
     // The least of such numbers are a draw without repetition, by weight.
     const double unit = 1.0 - random.NextUnit();
     draws.push_back(
--- a/lib/libmedlarcroft/source/membership/membership_table.cc
+++ b/lib/libmedlarcroft/source/membership/membership_table.cc
@@ -279,8 +279,8 @@
   return members;
 }
 
-void MembershipTable::VisitHeard(
-    const std::function<void(const HeardHost&)>& visit) const {
+void MembershipTable::VisitHostStates(
+    const std::function<void(const HostStateView&)>& visit) const {
   const MonotonicTime now = clock_.Now();
   for (const auto& [host, record] : records_) {
     if (record.state) {
--- a/lib/libmedlarcroft/source/membership/relays.cc
+++ b/lib/libmedlarcroft/source/membership/rendezvous_hash.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/membership/relays.h"
+#include "medlarcroft/membership/rendezvous_hash.h"
 
 #include <xxhash.h>
 
@@ -17,9 +17,10 @@
 
 }  // namespace
 
-std::vector<HostName> ChooseRelays(std::string_view duty,
-                                   std::span<const HostName> hosts,
-                                   std::size_t count) {
+std::vector<HostName> ChooseHostsByRendezvousHash(
+    std::string_view duty,
+    std::span<const HostName> hosts,
+    std::size_t count) {
   std::vector<std::pair<std::uint64_t, HostName>> scored;
   scored.reserve(hosts.size());
   for (const HostName& host : hosts) {
--- a/lib/libmedlarcroft/source/membership/target_signs.cc
+++ b/lib/libmedlarcroft/source/membership/target_status_table.cc
@@ -1,14 +1,15 @@
-#include "medlarcroft/membership/target_signs.h"
+#include "medlarcroft/membership/target_status_table.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace medlarcroft::membership {
 
-TargetSigns::TargetSigns(TargetSignsOptions options, const ports::Clock& clock)
+TargetStatusTable::TargetStatusTable(TargetStatusOptions options,
+                                     const ports::Clock& clock)
     : options_(options), clock_(clock) {}
 
-bool TargetSigns::Receive(const TargetObservation& observation) {
+bool TargetStatusTable::Receive(const TargetObservation& observation) {
   const Duration age = std::max(observation.age, Duration::zero());
   if (age >= options_.forget_after) {
     return false;
@@ -30,7 +31,8 @@
   return is_new;
 }
 
-void TargetSigns::ApplyHostList(std::span<const ports::ListedHost> hosts) {
+void TargetStatusTable::ApplyHostList(
+    std::span<const ports::ListedHost> hosts) {
   listed_leaving_.clear();
   for (const ports::ListedHost& listed : hosts) {
     if (listed.role == ports::ListedRole::kTarget && listed.is_leaving) {
@@ -41,12 +43,12 @@
   }
 }
 
-void TargetSigns::SetDrained(std::set<TargetName> targets) {
+void TargetStatusTable::SetDrained(std::set<TargetName> targets) {
   drained_ = std::move(targets);
 }
 
-TargetView TargetSigns::ViewOf(const TargetName& target) const {
-  TargetView view{.is_leaving = IsLeaving(target)};
+MergedTargetStatus TargetStatusTable::ViewOf(const TargetName& target) const {
+  MergedTargetStatus view{.is_leaving = IsLeaving(target)};
   const auto found = records_.find(target);
   if (found == records_.end()) {
     return view;
@@ -76,7 +78,7 @@
   return view;
 }
 
-bool TargetSigns::IsLeaving(const TargetName& target) const {
+bool TargetStatusTable::IsLeaving(const TargetName& target) const {
   if (drained_.contains(target) || listed_leaving_.contains(target)) {
     return true;
   }
@@ -84,7 +86,7 @@
   return found != records_.end() && IsSeenLeaving(found->second);
 }
 
-std::vector<TargetObservation> TargetSigns::Observations() const {
+std::vector<TargetObservation> TargetStatusTable::Observations() const {
   const MonotonicTime now = clock_.Now();
   std::vector<TargetObservation> observations;
   for (const auto& [target, record] : records_) {
@@ -99,7 +101,7 @@
   return observations;
 }
 
-bool TargetSigns::IsSeenLeaving(const Record& record) const {
+bool TargetStatusTable::IsSeenLeaving(const Record& record) const {
   if (!record.leaving_at) {
     return false;
   }
--- a/lib/libmedlarcroft/source/news/global_news.cc
+++ b/lib/libmedlarcroft/source/peer_updates/global_broadcaster.cc
@@ -1,57 +1,58 @@
-#include "medlarcroft/news/global_news.h"
+#include "medlarcroft/peer_updates/global_broadcaster.h"
 
 #include <algorithm>
 #include <map>
 #include <utility>
 
-#include "medlarcroft/news/news_pace.h"
+#include "medlarcroft/peer_updates/update_timing.h"
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 
-GlobalNews::GlobalNews(const HostName& host, Parts parts)
+GlobalBroadcaster::GlobalBroadcaster(const HostName& host, Parts parts)
     : own_hash_(membership::HashOf(host)), parts_(std::move(parts)) {}
 
-void GlobalNews::TellCrashes(
+void GlobalBroadcaster::TellCrashes(
     std::span<const request_path::CrashReport> reports) {
   if (reports.empty()) {
     return;
   }
   parts_.region.TellCrashes(reports);
-  SendToOtherRegions(&PeerNews::crashes, reports, kMostCrashesTogether);
+  SendToOtherRegions(&PeerUpdate::crashes, reports, kMostCrashesTogether);
 }
 
-void GlobalNews::TellLimits(
+void GlobalBroadcaster::TellLimits(
     std::span<const request_path::LimitReport> reports) {
   if (reports.empty()) {
     return;
   }
   parts_.region.TellLimits(reports);
-  SendToOtherRegions(&PeerNews::limits, reports, kMostLimitsTogether);
+  SendToOtherRegions(&PeerUpdate::limits, reports, kMostLimitsTogether);
 }
 
 template <typename Report>
-void GlobalNews::SendToOtherRegions(std::vector<Report> PeerNews::*field,
-                                    std::span<const Report> reports,
-                                    std::size_t most_per_datagram) {
+void GlobalBroadcaster::SendToOtherRegions(
+    std::vector<Report> PeerUpdate::*field,
+    std::span<const Report> reports,
+    std::size_t most_per_datagram) {
   const std::vector<std::string> addresses = PickRemoteAddresses();
   while (!reports.empty()) {
     const auto part =
         reports.first(std::min(reports.size(), most_per_datagram));
-    PeerNews news{.way = NewsWay::kInterRegion, .sender = own_hash_};
+    PeerUpdate news{.way = UpdateRoute::kInterRegion, .sender = own_hash_};
     (news.*field).assign(part.begin(), part.end());
     parts_.sender.Send(addresses, news);
     reports = reports.subspan(part.size());
   }
 }
 
-void GlobalNews::OnNews(const PeerNews& news) {
-  if (news.way == NewsWay::kInterRegion) {
+void GlobalBroadcaster::OnNews(const PeerUpdate& news) {
+  if (news.way == UpdateRoute::kInterRegion) {
     parts_.region.TellCrashes(news.crashes);
     parts_.region.TellLimits(news.limits);
   }
 }
 
-std::vector<std::string> GlobalNews::PickRemoteAddresses() {
+std::vector<std::string> GlobalBroadcaster::PickRemoteAddresses() {
   std::map<RegionName, std::vector<std::string>> regions;
   for (RemoteHost& host : parts_.remote_hosts()) {
     regions[host.region].push_back(std::move(host.address));
@@ -68,4 +69,4 @@
   return picked;
 }
 
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
--- a/lib/libmedlarcroft/source/news/peer_news.cc
+++ b/lib/libmedlarcroft/source/peer_updates/peer_update.cc
@@ -1,11 +1,11 @@
-#include "medlarcroft/news/peer_news.h"
+#include "medlarcroft/peer_updates/peer_update.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "medlarcroft/core/packed_number.h"
+#include "medlarcroft/core/little_endian.h"
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 
 namespace {
 
@@ -25,18 +25,20 @@
   std::string text;
   text.reserve(placed.size() * kPlacedBytes);
   for (const PlacedObject& item : placed) {
-    AppendPacked(text, static_cast<std::uint32_t>(item.target), kNumberBytes);
-    AppendPacked(text, item.object.Value(), kNumberBytes);
+    AppendLittleEndian(text, static_cast<std::uint32_t>(item.target),
+                       kNumberBytes);
+    AppendLittleEndian(text, item.object.Value(), kNumberBytes);
   }
   return text;
 }
 
-std::string EncodeLoads(const std::vector<ToldLoad>& loads) {
+std::string EncodeLoads(const std::vector<ReportedLoad>& loads) {
   std::string text;
   text.reserve(loads.size() * kLoadBytes);
-  for (const ToldLoad& load : loads) {
-    AppendPacked(text, static_cast<std::uint32_t>(load.target), kNumberBytes);
-    AppendPacked(text, std::min(load.requests, kMostRequests), 1);
+  for (const ReportedLoad& load : loads) {
+    AppendLittleEndian(text, static_cast<std::uint32_t>(load.target),
+                       kNumberBytes);
+    AppendLittleEndian(text, std::min(load.requests, kMostRequests), 1);
   }
   return text;
 }
@@ -48,15 +50,16 @@
   for (const request_path::CrashReport& report : crashes) {
     const std::uint64_t request = report.request.Value();
     const bool is_blocked = report.kind == CrashReportKind::kBlocked;
-    AppendPacked(text, static_cast<std::uint32_t>(report.kind), 1);
-    AppendPacked(text, static_cast<std::uint32_t>(request), kNumberBytes);
-    AppendPacked(text, static_cast<std::uint32_t>(request >> kNumberBits),
-                 kNumberBytes);
-    AppendPacked(text,
-                 is_blocked ? static_cast<std::uint32_t>(
-                                  ToMilliseconds(report.blocked_for) / 1000)
-                            : static_cast<std::uint32_t>(report.target),
-                 kNumberBytes);
+    AppendLittleEndian(text, static_cast<std::uint32_t>(report.kind), 1);
+    AppendLittleEndian(text, static_cast<std::uint32_t>(request), kNumberBytes);
+    AppendLittleEndian(text, static_cast<std::uint32_t>(request >> kNumberBits),
+                       kNumberBytes);
+    AppendLittleEndian(text,
+                       is_blocked
+                           ? static_cast<std::uint32_t>(
+                                 ToMilliseconds(report.blocked_for) / 1000)
+                           : static_cast<std::uint32_t>(report.target),
+                       kNumberBytes);
   }
   return text;
 }
@@ -68,8 +71,9 @@
     const double limit =
         std::min(report.requests_per_second, kMostRequestsPerSecond);
     const double scaled = std::ceil(limit * kLimitScale);
-    AppendPacked(text, static_cast<std::uint32_t>(report.target), kNumberBytes);
-    AppendPacked(text, static_cast<std::uint32_t>(scaled), kNumberBytes);
+    AppendLittleEndian(text, static_cast<std::uint32_t>(report.target),
+                       kNumberBytes);
+    AppendLittleEndian(text, static_cast<std::uint32_t>(scaled), kNumberBytes);
   }
   return text;
 }
@@ -82,8 +86,9 @@
   std::vector<request_path::LimitReport> limits;
   limits.reserve(bytes.size() / kLimitReportBytes);
   while (!bytes.empty()) {
-    const request_path::TargetNumber target{TakePacked(bytes, kNumberBytes)};
-    const double scaled = TakePacked(bytes, kNumberBytes);
+    const request_path::TargetNumber target{
+        TakeLittleEndian(bytes, kNumberBytes)};
+    const double scaled = TakeLittleEndian(bytes, kNumberBytes);
     limits.push_back(
         {.target = target, .requests_per_second = scaled / kLimitScale});
   }
@@ -97,23 +102,25 @@
   std::vector<PlacedObject> placed;
   placed.reserve(bytes.size() / kPlacedBytes);
   while (!bytes.empty()) {
-    const request_path::TargetNumber target{TakePacked(bytes, kNumberBytes)};
+    const request_path::TargetNumber target{
+        TakeLittleEndian(bytes, kNumberBytes)};
     placed.push_back({.target = target,
                       .object = request_path::ObjectKey::FromValue(
-                          TakePacked(bytes, kNumberBytes))});
+                          TakeLittleEndian(bytes, kNumberBytes))});
   }
   return placed;
 }
 
-std::optional<std::vector<ToldLoad>> DecodeLoads(std::string_view bytes) {
+std::optional<std::vector<ReportedLoad>> DecodeLoads(std::string_view bytes) {
   if (bytes.size() % kLoadBytes != 0) {
     return std::nullopt;
   }
-  std::vector<ToldLoad> loads;
+  std::vector<ReportedLoad> loads;
   loads.reserve(bytes.size() / kLoadBytes);
   while (!bytes.empty()) {
-    const request_path::TargetNumber target{TakePacked(bytes, kNumberBytes)};
-    loads.push_back({.target = target, .requests = TakePacked(bytes, 1)});
+    const request_path::TargetNumber target{
+        TakeLittleEndian(bytes, kNumberBytes)};
+    loads.push_back({.target = target, .requests = TakeLittleEndian(bytes, 1)});
   }
   return loads;
 }
@@ -126,10 +133,10 @@
   std::vector<request_path::CrashReport> crashes;
   crashes.reserve(bytes.size() / kCrashReportBytes);
   while (!bytes.empty()) {
-    const std::uint32_t kind = TakePacked(bytes, 1);
-    const std::uint64_t low = TakePacked(bytes, kNumberBytes);
-    const std::uint64_t high = TakePacked(bytes, kNumberBytes);
-    const std::uint32_t number = TakePacked(bytes, kNumberBytes);
+    const std::uint32_t kind = TakeLittleEndian(bytes, 1);
+    const std::uint64_t low = TakeLittleEndian(bytes, kNumberBytes);
+    const std::uint64_t high = TakeLittleEndian(bytes, kNumberBytes);
+    const std::uint32_t number = TakeLittleEndian(bytes, kNumberBytes);
     if (kind > static_cast<std::uint32_t>(CrashReportKind::kBlocked)) {
       return std::nullopt;
     }
@@ -147,4 +154,4 @@
   return crashes;
 }
 
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
