--- a/lib/libmedlarcroft/source/news/region_news.cc
+++ b/lib/libmedlarcroft/source/peer_updates/region_broadcaster.cc
@@ -1,13 +1,13 @@
-#include "medlarcroft/news/region_news.h"
+#include "medlarcroft/peer_updates/region_broadcaster.h"
 
 #include <algorithm>
 #include <string_view>
 #include <utility>
 
-#include "medlarcroft/news/news_pace.h"
-#include "medlarcroft/rows/reader_choice.h"
+#include "medlarcroft/peer_updates/update_timing.h"
+#include "medlarcroft/replication/reader_choice.h"
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 
 namespace {
 
@@ -15,24 +15,24 @@
 
 }  // namespace
 
-RegionNews::RegionNews(Options options,
-                       ports::Timers& timers,
-                       NewsSender& sender)
+RegionBroadcaster::RegionBroadcaster(Options options,
+                                     ports::Timers& timers,
+                                     UpdateSender& sender)
     : options_(std::move(options)),
       own_hash_(membership::HashOf(options_.host)),
       timers_(timers),
       sender_(sender),
       next_told_(own_hash_) {}
 
-RegionNews::~RegionNews() {
+RegionBroadcaster::~RegionBroadcaster() {
   *self_ = nullptr;
 }
 
-void RegionNews::Start() {
+void RegionBroadcaster::Start() {
   Relay();
 }
 
-void RegionNews::SetPeers(std::vector<Peer> peers) {
+void RegionBroadcaster::SetPeers(std::vector<Peer> peers) {
   std::unordered_map<std::uint32_t, Source> sources;
   peers_ = std::move(peers);
   peer_addresses_.clear();
@@ -56,29 +56,29 @@
   sources_ = std::move(sources);
 }
 
-bool RegionNews::IsRelayed() const {
-  return !IsToldDirectly(peers_.size());
+bool RegionBroadcaster::UsesRelays() const {
+  return !UsesDirectDelivery(peers_.size());
 }
 
-void RegionNews::TellPlaced(const PlacedObject& placed) {
+void RegionBroadcaster::TellPlaced(const PlacedObject& placed) {
   pending_.placed.push_back(placed);
   if (pending_.placed.size() >= kMostPlacedTogether) {
     SendOwn();
   } else {
-    SendSoon(IsRelayed() ? kReportDelay : PlacedNewsDelay(peers_.size()));
+    SendSoon(UsesRelays() ? kReportBatchDelay : PlacedNewsDelay(peers_.size()));
   }
 }
 
-void RegionNews::TellLoad(const ToldLoad& load) {
+void RegionBroadcaster::TellLoad(const ReportedLoad& load) {
   pending_loads_[load.target] = load.requests;
   if (pending_loads_.size() >= kMostLoadsTogether) {
     SendOwn();
   } else {
-    SendSoon(kReportDelay);
+    SendSoon(kReportBatchDelay);
   }
 }
 
-void RegionNews::TellCrashes(
+void RegionBroadcaster::TellCrashes(
     std::span<const request_path::CrashReport> reports) {
   if (reports.empty()) {
     return;
@@ -88,11 +88,11 @@
   if (pending_.crashes.size() >= kMostCrashesTogether) {
     SendOwn();
   } else {
-    SendSoon(kReportDelay);
+    SendSoon(kReportBatchDelay);
   }
 }
 
-void RegionNews::TellLimits(
+void RegionBroadcaster::TellLimits(
     std::span<const request_path::LimitReport> reports) {
   if (reports.empty()) {
     return;
@@ -100,19 +100,21 @@
   for (const request_path::LimitReport& report : reports) {
     pending_limits_[report.target] = report;
   }
-  SendSoon(kReportDelay);
+  SendSoon(kReportBatchDelay);
 }
 
-void RegionNews::TellBeat(const membership::Heartbeat& heartbeat) {
+void RegionBroadcaster::BroadcastHeartbeat(
+    const membership::Heartbeat& heartbeat) {
   pending_.heartbeats.push_back(heartbeat);
   SendOwn();
 }
 
-void RegionNews::TellState(const membership::HostState& state) {
+void RegionBroadcaster::BroadcastState(const membership::HostState& state) {
   sender_.Send(peer_addresses_, {.sender = own_hash_, .state = state});
 }
 
-void RegionNews::TellStateInTurn(const membership::HostState& state) {
+void RegionBroadcaster::SendStateToNextPeers(
+    const membership::HostState& state) {
   const std::size_t count = std::min(kStatesABeat, peer_addresses_.size());
   std::vector<std::string> addresses;
   for (std::size_t told = 0; told < count; ++told) {
@@ -121,7 +123,7 @@
   sender_.Send(addresses, {.sender = own_hash_, .state = state});
 }
 
-void RegionNews::SendSoon(Duration delay) {
+void RegionBroadcaster::SendSoon(Duration delay) {
   if (std::exchange(is_sending_soon_, true)) {
     return;
   }
@@ -132,22 +134,22 @@
   });
 }
 
-void RegionNews::SendOwn() {
+void RegionBroadcaster::SendOwn() {
   is_sending_soon_ = false;
   for (const auto& [target, requests] : std::exchange(pending_loads_, {})) {
     pending_.loads.push_back({.target = target, .requests = requests});
   }
-  PeerNews news = std::exchange(pending_, {});
+  PeerUpdate news = std::exchange(pending_, {});
   // Sent in separate datagrams to limit the datagram size.
   const std::vector<request_path::CrashReport> crashes =
       std::exchange(news.crashes, {});
-  SendReports<request_path::CrashReport>(&PeerNews::crashes, crashes,
+  SendReports<request_path::CrashReport>(&PeerUpdate::crashes, crashes,
                                          kMostCrashesTogether);
   std::vector<request_path::LimitReport> limits;
   for (const auto& [target, report] : std::exchange(pending_limits_, {})) {
     limits.push_back(report);
   }
-  SendReports<request_path::LimitReport>(&PeerNews::limits, limits,
+  SendReports<request_path::LimitReport>(&PeerUpdate::limits, limits,
                                          kMostLimitsTogether);
   if (!news.placed.empty() || !news.loads.empty() || !news.heartbeats.empty()) {
     SendToRegion(std::move(news));
@@ -155,29 +157,29 @@
 }
 
 template <typename Report>
-void RegionNews::SendReports(std::vector<Report> PeerNews::*field,
-                             std::span<const Report> reports,
-                             std::size_t most_per_datagram) {
+void RegionBroadcaster::SendReports(std::vector<Report> PeerUpdate::*field,
+                                    std::span<const Report> reports,
+                                    std::size_t most_per_datagram) {
   for (std::size_t begin = 0; begin < reports.size();
        begin += most_per_datagram) {
     const auto part = reports.subspan(
         begin, std::min(most_per_datagram, reports.size() - begin));
-    PeerNews news;
+    PeerUpdate news;
     (news.*field).assign(part.begin(), part.end());
     SendToRegion(std::move(news));
   }
 }
 
-void RegionNews::SendToRegion(PeerNews news) {
+void RegionBroadcaster::SendToRegion(PeerUpdate news) {
   news.sender = own_hash_;
-  if (!IsRelayed()) {
+  if (!UsesRelays()) {
     sender_.Send(peer_addresses_, news);
     return;
   }
   const MonotonicTime now = timers_.Now();
   const std::uint32_t relay = RelayOf(options_.failure_domain, now);
   if (relay != own_hash_) {
-    news.way = NewsWay::kReport;
+    news.way = UpdateRoute::kReport;
     const std::string address = AddressOf(relay);
     sender_.Send(std::span(&address, 1), news);
     return;
@@ -186,12 +188,13 @@
   exchange_.Add(news, now);
 }
 
-void RegionNews::OnNews(const PeerNews& news) {
+void RegionBroadcaster::OnNews(const PeerUpdate& news) {
   const MonotonicTime now = timers_.Now();
   const auto source = sources_.find(news.sender);
   if (source != sources_.end()) {
     source->second.heard_at = now;
-    if (news.way == NewsWay::kExchange || news.way == NewsWay::kDigest) {
+    if (news.way == UpdateRoute::kExchange ||
+        news.way == UpdateRoute::kDigest) {
       source->second.relayed_at = now;
     }
   }
@@ -204,37 +207,37 @@
     }
   }
   switch (news.way) {
-    case NewsWay::kReport:
+    case UpdateRoute::kReport:
       asked_at_ = now;
       digest_.Add(news, now);
       exchange_.Add(news, now);
       break;
-    case NewsWay::kExchange:
+    case UpdateRoute::kExchange:
       asked_at_ = now;
       digest_.Add(news, now);
       exchanged_with_[news.sender] = now;
       break;
-    case NewsWay::kDirect:
-    case NewsWay::kDigest:
-    case NewsWay::kInterRegion:
+    case UpdateRoute::kDirect:
+    case UpdateRoute::kDigest:
+    case UpdateRoute::kInterRegion:
       break;
   }
 }
 
-bool RegionNews::IsRelay() const {
+bool RegionBroadcaster::IsRelay() const {
   return IsActing(timers_.Now());
 }
 
-bool RegionNews::IsActing(MonotonicTime now) const {
+bool RegionBroadcaster::IsActing(MonotonicTime now) const {
   const auto own = relays_.find(options_.failure_domain);
   const bool is_chosen = own != relays_.end() && own->second.host == own_hash_;
-  return IsRelayed() &&
+  return UsesRelays() &&
          (is_chosen || (asked_at_ && now - *asked_at_ < kRelayAfterAsked));
 }
 
-void RegionNews::Relay() {
+void RegionBroadcaster::Relay() {
   const MonotonicTime now = timers_.Now();
-  if (IsRelayed()) {
+  if (UsesRelays()) {
     (void)RelayOf(options_.failure_domain, now);
     if (IsActing(now)) {
       SendDigest(now);
@@ -243,26 +246,26 @@
       DropGathered();
     }
   }
-  timers_.RunAfter(kDigestPeriod, [self = self_] {
+  timers_.RunAfter(kRelayPeriod, [self = self_] {
     if (*self != nullptr) {
       (*self)->Relay();
     }
   });
 }
 
-void RegionNews::DropGathered() {
-  digest_ = NewsQueue();
-  exchange_ = NewsQueue();
+void RegionBroadcaster::DropGathered() {
+  digest_ = UpdateQueue();
+  exchange_ = UpdateQueue();
 }
 
-void RegionNews::SendDigest(MonotonicTime now) {
-  PeerNews digest = digest_.Take(kMostDigestBytes, now);
-  digest.way = NewsWay::kDigest;
+void RegionBroadcaster::SendDigest(MonotonicTime now) {
+  PeerUpdate digest = digest_.Take(kMostDigestBytes, now);
+  digest.way = UpdateRoute::kDigest;
   digest.sender = own_hash_;
   sender_.Send(domain_addresses_, digest);
 }
 
-void RegionNews::SendExchange(MonotonicTime now) {
+void RegionBroadcaster::SendExchange(MonotonicTime now) {
   std::vector<std::string> addresses;
   for (const FailureDomainName& domain : other_domains_) {
     const std::uint32_t relay = RelayOf(domain, now);
@@ -284,32 +287,33 @@
   // targets had long ago comes as news when the cut ends, and idle ones look
   // full.
   if (addresses.empty()) {
-    exchange_ = NewsQueue();
+    exchange_ = UpdateQueue();
     return;
   }
-  PeerNews exchange = exchange_.Take(kMostDigestBytes, now);
-  exchange.way = NewsWay::kExchange;
+  PeerUpdate exchange = exchange_.Take(kMostDigestBytes, now);
+  exchange.way = UpdateRoute::kExchange;
   exchange.sender = own_hash_;
   sender_.Send(addresses, exchange);
 }
 
-std::uint32_t RegionNews::RelayOf(const FailureDomainName& domain,
-                                  MonotonicTime now) {
+std::uint32_t RegionBroadcaster::RelayOf(const FailureDomainName& domain,
+                                         MonotonicTime now) {
   Choice& choice = relays_[domain];
   const bool was_silent = PassOverIfSilent(choice, now);
   const std::uint32_t first = FirstInOrder(domain, now);
   if (first != choice.host) {
     choice = {.host = first, .chosen_at = now};
-    if (options_.on_relay) {
-      options_.on_relay({.failure_domain = domain,
-                         .relay = NameOf(first),
-                         .was_silent = was_silent});
+    if (options_.on_relay_changed) {
+      options_.on_relay_changed({.failure_domain = domain,
+                                 .relay = NameOf(first),
+                                 .was_silent = was_silent});
     }
   }
   return choice.host;
 }
 
-bool RegionNews::PassOverIfSilent(const Choice& choice, MonotonicTime now) {
+bool RegionBroadcaster::PassOverIfSilent(const Choice& choice,
+                                         MonotonicTime now) {
   const auto source = sources_.find(choice.host);
   if (source == sources_.end()) {
     return false;
@@ -323,7 +327,7 @@
   return true;
 }
 
-HostName RegionNews::NameOf(std::uint32_t host) const {
+HostName RegionBroadcaster::NameOf(std::uint32_t host) const {
   if (host == own_hash_) {
     return options_.host;
   }
@@ -331,9 +335,9 @@
   return found == sources_.end() ? HostName() : peers_[found->second.peer].host;
 }
 
-std::uint32_t RegionNews::FirstInOrder(const FailureDomainName& domain,
-                                       MonotonicTime now) const {
-  std::vector<rows::ReaderCandidate> candidates;
+std::uint32_t RegionBroadcaster::FirstInOrder(const FailureDomainName& domain,
+                                              MonotonicTime now) const {
+  std::vector<replication::ReaderCandidate> candidates;
   if (domain == options_.failure_domain) {
     candidates.push_back(
         {.host = options_.host, .link_mbps = options_.link_mbps});
@@ -342,21 +346,21 @@
     const Peer& peer = peers_[source.peer];
     const bool is_candidate = peer.failure_domain == domain &&
                               source.heard_at &&
-                              now - *source.heard_at < kUnheardLimit &&
+                              now - *source.heard_at < kLivenessTimeout &&
                               now >= source.passed_over_until;
     if (is_candidate) {
       candidates.push_back({.host = peer.host, .link_mbps = peer.link_mbps});
     }
   }
-  const rows::ReaderCandidate* const first =
-      rows::ChooseReader(kRelayOrder, candidates);
+  const replication::ReaderCandidate* const first =
+      replication::ChooseReader(kRelayOrder, candidates);
   return first == nullptr ? 0 : membership::HashOf(first->host);
 }
 
-std::string RegionNews::AddressOf(std::uint32_t host) const {
+std::string RegionBroadcaster::AddressOf(std::uint32_t host) const {
   const auto found = sources_.find(host);
   return found == sources_.end() ? std::string()
                                  : peers_[found->second.peer].address;
 }
 
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
--- a/lib/libmedlarcroft/source/news/news_queue.cc
+++ b/lib/libmedlarcroft/source/peer_updates/update_queue.cc
@@ -1,8 +1,8 @@
-#include "medlarcroft/news/news_queue.h"
+#include "medlarcroft/peer_updates/update_queue.h"
 
 #include <algorithm>
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 
 namespace {
 
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-void NewsQueue::Add(const PeerNews& news, MonotonicTime now) {
+void UpdateQueue::Add(const PeerUpdate& news, MonotonicTime now) {
   for (const membership::Heartbeat& heartbeat : news.heartbeats) {
     heartbeats_[heartbeat.host_hash] = {.heartbeat = heartbeat,
                                         .heard_at = now};
@@ -39,7 +39,7 @@
   for (const PlacedObject& placed : news.placed) {
     AddPlaced(placed, now);
   }
-  for (const ToldLoad& load : news.loads) {
+  for (const ReportedLoad& load : news.loads) {
     AddLoad(load, now);
   }
   for (const request_path::CrashReport& report : news.crashes) {
@@ -50,8 +50,8 @@
   }
 }
 
-void NewsQueue::AddLimit(const request_path::LimitReport& report,
-                         MonotonicTime now) {
+void UpdateQueue::AddLimit(const request_path::LimitReport& report,
+                           MonotonicTime now) {
   const auto told = told_limits_.find(report.target);
   const bool is_known =
       told != told_limits_.end() &&
@@ -64,7 +64,7 @@
   }
 }
 
-void NewsQueue::AddPlaced(const PlacedObject& placed, MonotonicTime now) {
+void UpdateQueue::AddPlaced(const PlacedObject& placed, MonotonicTime now) {
   const auto [told, is_new] = told_placed_.try_emplace(KeyOf(placed), now);
   if (!is_new && now - told->second < kPlacedTellAgain) {
     return;
@@ -76,7 +76,7 @@
   placed_.push_back(placed);
 }
 
-void NewsQueue::AddLoad(const ToldLoad& load, MonotonicTime now) {
+void UpdateQueue::AddLoad(const ReportedLoad& load, MonotonicTime now) {
   const auto told = told_loads_.find(load.target);
   const bool is_known =
       told != told_loads_.end() &&
@@ -89,8 +89,8 @@
   }
 }
 
-void NewsQueue::AddCrash(const request_path::CrashReport& report,
-                         MonotonicTime now) {
+void UpdateQueue::AddCrash(const request_path::CrashReport& report,
+                           MonotonicTime now) {
   while (!told_crashes_.empty() &&
          (now - told_crashes_.front().told_at >= kCrashTellAgain ||
           told_crashes_.size() >= kMostCrashesWaiting)) {
@@ -107,9 +107,9 @@
   crashes_.push_back(report);
 }
 
-PeerNews NewsQueue::Take(std::size_t most_bytes, MonotonicTime now) {
+PeerUpdate UpdateQueue::Take(std::size_t most_bytes, MonotonicTime now) {
   ForgetTold(now);
-  PeerNews news;
+  PeerUpdate news;
   std::size_t bytes_left = most_bytes;
   TakeHeartbeats(news, bytes_left, now);
   TakeCrashes(news, bytes_left);
@@ -121,9 +121,9 @@
   return news;
 }
 
-void NewsQueue::TakeHeartbeats(PeerNews& news,
-                               std::size_t& bytes_left,
-                               MonotonicTime now) {
+void UpdateQueue::TakeHeartbeats(PeerUpdate& news,
+                                 std::size_t& bytes_left,
+                                 MonotonicTime now) {
   while (!heartbeats_.empty() && bytes_left >= membership::kHeartbeatBytes) {
     const auto node = heartbeats_.extract(heartbeats_.begin());
     const auto aged =
@@ -135,7 +135,7 @@
   }
 }
 
-void NewsQueue::TakeCrashes(PeerNews& news, std::size_t& bytes_left) {
+void UpdateQueue::TakeCrashes(PeerUpdate& news, std::size_t& bytes_left) {
   const std::size_t count =
       std::min(crashes_.size(), bytes_left / 2 / kCrashReportBytes);
   const auto end = crashes_.begin() + static_cast<std::ptrdiff_t>(count);
@@ -144,9 +144,9 @@
   bytes_left -= count * kCrashReportBytes;
 }
 
-void NewsQueue::TakeLimits(PeerNews& news,
-                           std::size_t& bytes_left,
-                           MonotonicTime now) {
+void UpdateQueue::TakeLimits(PeerUpdate& news,
+                             std::size_t& bytes_left,
+                             MonotonicTime now) {
   const std::size_t most = bytes_left / 2 / kLimitReportBytes;
   while (!limits_.empty() && news.limits.size() < most) {
     const auto node = limits_.extract(limits_.begin());
@@ -158,9 +158,9 @@
   }
 }
 
-void NewsQueue::TakePlaced(PeerNews& news,
-                           std::size_t& bytes_left,
-                           std::size_t most) {
+void UpdateQueue::TakePlaced(PeerUpdate& news,
+                             std::size_t& bytes_left,
+                             std::size_t most) {
   const std::size_t count = std::min(placed_.size(), most / kPlacedBytes);
   news.placed.assign(placed_.begin(),
                      placed_.begin() + static_cast<std::ptrdiff_t>(count));
@@ -169,9 +169,9 @@
   bytes_left -= count * kPlacedBytes;
 }
 
-void NewsQueue::TakeLoads(PeerNews& news,
-                          std::size_t& bytes_left,
-                          MonotonicTime now) {
+void UpdateQueue::TakeLoads(PeerUpdate& news,
+                            std::size_t& bytes_left,
+                            MonotonicTime now) {
   while (!loads_.empty() && bytes_left >= kLoadBytes) {
     // From where the last datagram ended, so that each target has its turn.
     auto next = loads_.upper_bound(last_load_);
@@ -184,7 +184,7 @@
   }
 }
 
-void NewsQueue::ForgetTold(MonotonicTime now) {
+void UpdateQueue::ForgetTold(MonotonicTime now) {
   if (now - forgot_at_ < kPlacedTellAgain) {
     return;
   }
@@ -200,4 +200,4 @@
   });
 }
 
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
--- a/lib/libmedlarcroft/source/rows/peer_readers.cc
+++ b/lib/libmedlarcroft/source/replication/peer_readers.cc
@@ -1,11 +1,11 @@
-#include "medlarcroft/rows/peer_readers.h"
+#include "medlarcroft/replication/peer_readers.h"
 
 #include <iterator>
 #include <utility>
 
-#include "medlarcroft/rows/follow_pace.h"
+#include "medlarcroft/replication/follow_timing.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 namespace {
 
@@ -29,20 +29,20 @@
 }
 
 bool PeerReaders::HasReaders() const {
-  return Candidates().size() > kHostsThatReadThemselves;
+  return Candidates().size() > kMaxDirectReaders;
 }
 
-bool PeerReaders::AskReader(const PeerQuestion& question,
+bool PeerReaders::AskReader(const RowsRequest& question,
                             RowsCallback callback) {
   return AskReaderOf(question, options_.other_readers_asked,
                      std::move(callback));
 }
 
-bool PeerReaders::AskReaderOf(const PeerQuestion& question,
+bool PeerReaders::AskReaderOf(const RowsRequest& question,
                               int others_left,
                               RowsCallback callback) {
   std::vector<ReaderCandidate> candidates = Candidates();
-  if (candidates.size() <= kHostsThatReadThemselves) {
+  if (candidates.size() <= kMaxDirectReaders) {
     return false;
   }
   refused_.LeaveOut(candidates, parts_.timers.Now());
@@ -64,11 +64,12 @@
   return true;
 }
 
-void PeerReaders::AskSomeReader(const PeerQuestion& question,
+void PeerReaders::AskSomeReader(const RowsRequest& question,
                                 RowsCallback callback) {
   std::vector<ReaderCandidate> hosts = parts_.directory.LiveHosts();
   // A store that turns away a whole region may serve another one.
-  std::vector<ReaderCandidate> elsewhere = parts_.directory.HostsElsewhere();
+  std::vector<ReaderCandidate> elsewhere =
+      parts_.directory.HostsInOtherRegions();
   std::move(elsewhere.begin(), elsewhere.end(), std::back_inserter(hosts));
   std::erase_if(hosts, [this](const ReaderCandidate& candidate) {
     return candidate.host == options_.host;
@@ -87,7 +88,7 @@
 }
 
 void PeerReaders::Ask(const ReaderCandidate& reader,
-                      const PeerQuestion& question,
+                      const RowsRequest& question,
                       RowsCallback callback) {
   parts_.ask_host(
       reader.address, question,
@@ -100,4 +101,4 @@
       });
 }
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
--- a/lib/libmedlarcroft/source/rows/reader_choice.cc
+++ b/lib/libmedlarcroft/source/replication/reader_choice.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/rows/reader_choice.h"
+#include "medlarcroft/replication/reader_choice.h"
 
 #include <xxhash.h>
 
@@ -9,9 +9,9 @@
 #include <limits>
 #include <utility>
 
-#include "medlarcroft/rows/follow_pace.h"
+#include "medlarcroft/replication/follow_timing.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 namespace {
 
@@ -57,7 +57,7 @@
     const std::vector<ReaderCandidate>& hosts = by_region[region];
     const std::vector<ReaderCandidate> eligible =
         CandidatesFor(domain, hosts.size(), hosts);
-    if (hosts.size() <= kHostsThatReadThemselves) {
+    if (hosts.size() <= kMaxDirectReaders) {
       std::ranges::copy_if(eligible, std::back_inserter(readers),
                            [&domain = domain](const ReaderCandidate& host) {
                              return host.failure_domain == domain;
@@ -87,4 +87,4 @@
   return chosen;
 }
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
--- a/lib/libmedlarcroft/source/rows/row.cc
+++ b/lib/libmedlarcroft/source/replication/row.cc
@@ -1,9 +1,9 @@
-#include "medlarcroft/rows/row.h"
+#include "medlarcroft/replication/row.h"
 
 #include <array>
 #include <cstddef>
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 namespace {
 
@@ -17,4 +17,4 @@
   return kFailureNames.at(static_cast<std::size_t>(failure));
 }
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
--- a/lib/libmedlarcroft/source/rows/table_follower.cc
+++ b/lib/libmedlarcroft/source/replication/table_follower.cc
@@ -1,9 +1,9 @@
-#include "medlarcroft/rows/table_follower.h"
+#include "medlarcroft/replication/table_follower.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 namespace {
 
@@ -123,7 +123,7 @@
 
 void TableFollower::OnChanges(const Result<RowBatch, RowFailure>& result) {
   if (!IsOk(result)) {
-    if (ErrorOf(result) == RowFailure::kForgotten) {
+    if (ErrorOf(result) == RowFailure::kHistoryUnavailable) {
       // There are rows that this host does not know: others wait for them.
       is_catching_up_ = true;
       ReadTable();
@@ -159,7 +159,7 @@
   if (away_since_) {
     const Duration away = now - *away_since_;
     away_since_.reset();
-    parts_.listener.OnStoreBack(away);
+    parts_.listener.OnStoreRecovered(away);
   }
   answered_at_ = now;
   read_at_ = told_at ? store_clock_.GivenAt(*told_at, now) : now;
@@ -167,7 +167,7 @@
 }
 
 Duration TableFollower::PauseAfterFailure(std::uint32_t failures_before) const {
-  const FollowPace& pace = options_.pace;
+  const FollowTiming& pace = options_.pace;
   const bool is_followed =
       told_others_at_ && parts_.timers.Now() - *told_others_at_ < kDirectTime;
   const Duration first =
@@ -299,7 +299,7 @@
   }
 }
 
-FreshTable TableFollower::TellOthers() {
+FreshTable TableFollower::ServeFollowers() {
   told_others_at_ = parts_.timers.Now();
   direct_until_ = *told_others_at_ + kDirectTime;
   if (reader_call_) {
@@ -314,7 +314,7 @@
     }
   }
   if (!has_table_ || is_catching_up_) {
-    return {.is_awaited = !away_since_};
+    return {.is_loading = !away_since_};
   }
   if (away_since_ || !read_at_) {
     return {};
@@ -333,4 +333,4 @@
   });
 }
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
--- a/lib/libmedlarcroft/source/rows/table_mirror.cc
+++ b/lib/libmedlarcroft/source/replication/table_mirror.cc
@@ -1,8 +1,8 @@
-#include "medlarcroft/rows/table_mirror.h"
+#include "medlarcroft/replication/table_mirror.h"
 
 #include <algorithm>
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 namespace {
 
@@ -67,4 +67,4 @@
   return rows;
 }
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
--- a/lib/libmedlarcroft/source/rows/table_teller.cc
+++ b/lib/libmedlarcroft/source/replication/table_server.cc
@@ -1,9 +1,9 @@
-#include "medlarcroft/rows/table_teller.h"
+#include "medlarcroft/replication/table_server.h"
 
 #include <algorithm>
 #include <vector>
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 namespace {
 
@@ -13,11 +13,11 @@
 
 }  // namespace
 
-void TableTeller::Ask(const PeerQuestion& question, RowsCallback answer) {
+void TableServer::Ask(const RowsRequest& question, RowsCallback answer) {
   const FreshTable table = find_table_(question.table);
   const bool has_news = table.mirror != nullptr &&
                         table.mirror->Version() > question.known_version;
-  const Duration longest = table.is_awaited
+  const Duration longest = table.is_loading
                                ? kLongestStart
                                : std::min(kLongestWait, table.fresh_for);
   const Duration wait = std::min(question.wait, longest);
@@ -38,7 +38,7 @@
   });
 }
 
-void TableTeller::OnChange(std::string_view table) {
+void TableServer::OnChange(std::string_view table) {
   std::vector<std::uint64_t> due;
   for (const auto& [number, waiting] : waiting_) {
     if (waiting.table == table) {
@@ -53,7 +53,7 @@
   }
 }
 
-void TableTeller::Answer(const Waiting& waiting) {
+void TableServer::Answer(const Waiting& waiting) {
   const TableMirror* const mirror = find_table_(waiting.table).mirror;
   if (mirror == nullptr) {
     waiting.answer(RowFailure::kRefused);
@@ -62,4 +62,4 @@
   waiting.answer(mirror->Since(waiting.known_version));
 }
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
--- a/lib/libmedlarcroft/source/request_path/crash_ledger.cc
+++ b/lib/libmedlarcroft/source/request_path/crash_tracker.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/request_path/crash_ledger.h"
+#include "medlarcroft/request_path/crash_tracker.h"
 
 #include <algorithm>
 #include <utility>
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-std::optional<Duration> CrashLedger::BlockedFor(RequestFingerprint request,
-                                                MonotonicTime now) const {
+std::optional<Duration> CrashTracker::BlockedFor(RequestFingerprint request,
+                                                 MonotonicTime now) const {
   const auto found = entries_.find(request);
   if (found == entries_.end() || !found->second.blocked_until ||
       now >= *found->second.blocked_until) {
@@ -28,9 +28,9 @@
   return *found->second.blocked_until - now;
 }
 
-void CrashLedger::OnCrash(RequestFingerprint request,
-                          TargetNumber target,
-                          MonotonicTime now) {
+void CrashTracker::OnCrash(RequestFingerprint request,
+                           TargetNumber target,
+                           MonotonicTime now) {
   if (request.IsEmpty()) {
     return;
   }
@@ -42,7 +42,7 @@
   Count(request, entry, target, now);
 }
 
-void CrashLedger::OnAnswered(RequestFingerprint request, MonotonicTime now) {
+void CrashTracker::OnAnswered(RequestFingerprint request, MonotonicTime now) {
   if (request.IsEmpty()) {
     return;
   }
@@ -57,7 +57,7 @@
   }
 }
 
-void CrashLedger::OnReport(const CrashReport& report, MonotonicTime now) {
+void CrashTracker::OnReport(const CrashReport& report, MonotonicTime now) {
   if (report.request.IsEmpty()) {
     return;
   }
@@ -77,11 +77,11 @@
   }
 }
 
-void CrashLedger::Unblock(RequestFingerprint request) {
+void CrashTracker::Unblock(RequestFingerprint request) {
   Clear(request);
 }
 
-void CrashLedger::Advance(MonotonicTime now) {
+void CrashTracker::Advance(MonotonicTime now) {
   std::erase_if(entries_, [&](const auto& kept) {
     const Entry& entry = kept.second;
     return entry.blocked_until
@@ -90,8 +90,8 @@
   });
 }
 
-std::vector<CrashReport> CrashLedger::ReportsToRepeat(std::size_t most,
-                                                      MonotonicTime now) {
+std::vector<CrashReport> CrashTracker::ReportsToRepeat(std::size_t most,
+                                                       MonotonicTime now) {
   std::vector<CrashReport> reports;
   for (const auto& [request, entry] : entries_) {
     if (entry.own_crashes.empty()) {
@@ -124,18 +124,18 @@
   return reports;
 }
 
-std::size_t CrashLedger::CrashesOf(RequestFingerprint request) const {
+std::size_t CrashTracker::CrashesOf(RequestFingerprint request) const {
   const auto found = entries_.find(request);
   return found == entries_.end() ? 0 : found->second.crashed.size();
 }
 
-std::size_t CrashLedger::BlockedRequests() const {
+std::size_t CrashTracker::BlockedRequests() const {
   return static_cast<std::size_t>(std::ranges::count_if(
       entries_,
       [](const auto& kept) { return kept.second.blocked_until.has_value(); }));
 }
 
-CrashLedger::Entry& CrashLedger::EntryOf(RequestFingerprint request) {
+CrashTracker::Entry& CrashTracker::EntryOf(RequestFingerprint request) {
   const auto known = entries_.find(request);
   if (known != entries_.end()) {
     return known->second;
@@ -146,10 +146,10 @@
   return entries_[request];
 }
 
-void CrashLedger::Count(RequestFingerprint request,
-                        Entry& entry,
-                        TargetNumber target,
-                        MonotonicTime now) {
+void CrashTracker::Count(RequestFingerprint request,
+                         Entry& entry,
+                         TargetNumber target,
+                         MonotonicTime now) {
   entry.crashed_at = now;
   if (entry.blocked_until) {
     // The reporting host still sends the request: it missed the block.
@@ -170,10 +170,10 @@
   }
 }
 
-void CrashLedger::Block(RequestFingerprint request,
-                        Entry& entry,
-                        Duration blocked_for,
-                        MonotonicTime now) {
+void CrashTracker::Block(RequestFingerprint request,
+                         Entry& entry,
+                         Duration blocked_for,
+                         MonotonicTime now) {
   entry.crashed_at = now;
   if (entry.blocked_until) {
     return;
@@ -191,8 +191,8 @@
   }
 }
 
-bool CrashLedger::ReportRecentAnswer(RequestFingerprint request,
-                                     MonotonicTime now) {
+bool CrashTracker::ReportRecentAnswer(RequestFingerprint request,
+                                      MonotonicTime now) {
   const auto answered = std::find_if(
       answers_.rbegin(), answers_.rend(), [&](const Answer& answer) {
         return answer.request == request &&
@@ -208,7 +208,7 @@
   return true;
 }
 
-void CrashLedger::Clear(RequestFingerprint request) {
+void CrashTracker::Clear(RequestFingerprint request) {
   const auto found = entries_.find(request);
   if (found == entries_.end()) {
     return;
@@ -220,7 +220,7 @@
   }
 }
 
-void CrashLedger::DropOldest() {
+void CrashTracker::DropOldest() {
   // Requests that are not blocked sort first.
   const auto oldest =
       std::ranges::min_element(entries_, {}, [](const auto& kept) {
@@ -230,7 +230,7 @@
   entries_.erase(oldest);
 }
 
-void CrashLedger::Publish(const CrashReport& report) {
+void CrashTracker::Publish(const CrashReport& report) {
   if (observer_ != nullptr) {
     observer_->OnPublish(report);
   }
--- a/lib/libmedlarcroft/source/request_path/placement_policy.cc
+++ b/lib/libmedlarcroft/source/request_path/placement_policy.cc
@@ -61,10 +61,11 @@
         (!question.excluded.empty() && IsExcluded(*target, question))) {
       continue;
     }
-    candidates.push_back({.target = target,
-                          .order = target->OrderOf(question.object),
-                          .load = target->EstimatedLoad(
-                              usual, question.options.region_load_part, now)});
+    candidates.push_back(
+        {.target = target,
+         .order = target->OrderOf(question.object),
+         .load = target->EstimatedLoad(
+             usual, question.options.region_load_weight, now)});
   }
   std::ranges::sort(candidates, std::greater<>(), &Candidate::order);
   for (std::uint32_t rank = 0; rank < candidates.size(); ++rank) {
@@ -130,14 +131,14 @@
   const double slots = std::max(target.Record().slots, 1U);
   const double ahead =
       std::max(0.0, placement.estimated_load + 1.0 -
-                        question.options.slots_believed_free * slots);
+                        question.options.queueing_threshold * slots);
   const double mean_work =
       ToSeconds(question.times.MeanWork()) * target.RelativeTime();
   const double wait = ahead / slots * mean_work;
 
   double chance = WarmChance(placement, question);
   if (!target.HasBeenUsed()) {
-    chance = std::max(chance, question.options.warm_when_untried);
+    chance = std::max(chance, question.options.warm_when_unused);
   }
   const double work = (chance * ToSeconds(question.times.Work(true)) +
                        (1.0 - chance) * ToSeconds(question.times.Work(false))) *
@@ -148,7 +149,8 @@
   placement.expected_wait = FromSeconds(wait);
   const double time = ToSeconds(round_trip) + wait + work;
   // Squared, so that half empty targets cost next to nothing.
-  const double slot_cost = question.options.slot_price * busy * busy * work;
+  const double slot_cost =
+      question.options.slot_cost_weight * busy * busy * work;
   placement.expected = FromSeconds(time);
   placement.price = FromSeconds(time + slot_cost);
   return placement;
@@ -165,7 +167,7 @@
 std::optional<Placement> ChooseTarget(std::span<const RegionTargets> regions,
                                       const PlacementQuestion& question,
                                       MonotonicTime now,
-                                      const CandidateRule& rule) {
+                                      const CandidateSelector& rule) {
   const std::vector<RegionCandidates> collected =
       Collect(regions, question, now);
   const double busy = BusyPart(collected);
--- a/lib/libmedlarcroft/source/request_path/rate_limits.cc
+++ b/lib/libmedlarcroft/source/request_path/rate_limits.cc
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <utility>
 
-#include "medlarcroft/core/mixed.h"
+#include "medlarcroft/core/mix_bits.h"
 
 namespace medlarcroft::request_path {
 
@@ -28,7 +28,7 @@
 constexpr Duration kDelayedReportWindow = std::chrono::seconds(2);
 
 std::uint64_t OrderOf(std::uint64_t host, TargetNumber target) {
-  return Mixed(host ^ Mixed(static_cast<std::uint64_t>(target)));
+  return MixBits(host ^ MixBits(static_cast<std::uint64_t>(target)));
 }
 
 bool IsUnchanged(double left, double right) {
--- a/lib/libmedlarcroft/source/request_path/region_plan.cc
+++ b/lib/libmedlarcroft/source/request_path/region_plan.cc
@@ -51,7 +51,7 @@
   Decay(elapsed);
   const std::optional<RegionShares> relieved = RelievedShares();
   MoveTowards(relieved ? *relieved : SharesBySlots(slots),
-              options_.most_moved_per_second * ToSeconds(elapsed));
+              options_.max_shift_per_second * ToSeconds(elapsed));
 }
 
 void RegionPlan::Observe(const RegionName& planned,
--- a/lib/libmedlarcroft/source/request_path/request_path.cc
+++ b/lib/libmedlarcroft/source/request_path/request_path.cc
@@ -33,7 +33,7 @@
 
 RequestPath::RequestPath(const Options& options,
                          routing::RouteTable& routes,
-                         TargetBook& targets,
+                         TargetDirectory& targets,
                          ports::RandomSource& random)
     : options_(options),
       routes_(routes),
@@ -43,18 +43,19 @@
       crashes_(options.crashes),
       limits_(options.limits, random) {}
 
-Begun RequestPath::Begin(const CallerRequest& request, MonotonicTime now) {
-  Begun begun;
+RequestStart RequestPath::Begin(const CallerRequest& request,
+                                MonotonicTime now) {
+  RequestStart begun;
   if (!routes_.IsConfigured()) {
-    begun.step = Ending{.reason = EndReason::kNotConfigured,
-                        .retry_after = ReturnTime(Duration(0))};
+    begun.step = RequestFailure{.reason = FailureReason::kNotConfigured,
+                                .retry_after = ReturnTime(Duration(0))};
     return begun;
   }
   begun.route = routes_.Find(request.host, request.target);
   if (!begun.route) {
-    Ending ending{.reason = EndReason::kNoRoute};
+    RequestFailure ending{.reason = FailureReason::kNoRoute};
     if (is_news_doubtful_) {
-      ending = {.reason = EndReason::kNoRouteYet,
+      ending = {.reason = FailureReason::kNoRouteYet,
                 .retry_after = ReturnTime(Duration(0))};
     }
     begun.step = ending;
@@ -65,8 +66,8 @@
                              begun.route->timeout);
   AllowanceOf(begun.service).OnRequest(now);
   if (const auto blocked = crashes_.BlockedFor(request.fingerprint, now)) {
-    begun.step =
-        Ending{.reason = EndReason::kCrashesTargets, .retry_after = blocked};
+    begun.step = RequestFailure{.reason = FailureReason::kRequestBlocked,
+                                .retry_after = blocked};
     return begun;
   }
 
@@ -106,7 +107,7 @@
 }
 
 Duration RequestPath::LongestWait(const Request& request) const {
-  return FromSeconds(options_.longest_wait *
+  return FromSeconds(options_.max_queue_wait *
                      ToSeconds(request.route->latency_objective));
 }
 
@@ -121,7 +122,7 @@
 std::optional<Placement> RequestPath::PlaceByPlan(const Request& request,
                                                   MonotonicTime now) {
   const auto& allowed = request.route->allowed_regions;
-  if (!allowed.empty() || !options_.plans_regions) {
+  if (!allowed.empty() || !options_.uses_region_plan) {
     return Place(request, allowed, now);
   }
   if (targets_.Usable(request.service).empty()) {
@@ -137,14 +138,14 @@
   const RegionName region = plan.Choose(key);
   const std::optional<Placement> planned =
       Place(request, std::span(&region, 1), now);
-  const Duration longest_wait = LongestWait(request);
-  if (planned && planned->expected_wait <= longest_wait) {
+  const Duration max_queue_wait = LongestWait(request);
+  if (planned && planned->expected_wait <= max_queue_wait) {
     plan.Observe(region, std::nullopt);
     return planned;
   }
   const std::optional<Placement> best = Place(request, {}, now);
   std::optional<RegionName> with_room;
-  if (best && best->expected_wait <= longest_wait) {
+  if (best && best->expected_wait <= max_queue_wait) {
     with_room = best->target->Region();
   }
   plan.Observe(region, with_room);
@@ -154,22 +155,22 @@
 Step RequestPath::SendFirst(Request& request, MonotonicTime now) {
   const std::optional<Placement> placement = PlaceByPlan(request, now);
   if (!placement) {
-    return Ending{.reason = EndReason::kNoTarget,
-                  .retry_after = ReturnTime(Duration(0))};
+    return RequestFailure{.reason = FailureReason::kNoTarget,
+                          .retry_after = ReturnTime(Duration(0))};
   }
   // Failure: refusing by the expected time denies routes of short time limits
   // altogether while nothing of them is warm. Symptom: a route that was added
   // serves nobody. So only what can't be in time at best is refused.
   if (placement->soonest > request.deadline - now) {
-    return Ending{.reason = EndReason::kTooLate,
-                  .retry_after = ReturnTime(placement->expected_wait),
-                  .best = placement};
-  }
-  const Duration longest_wait = LongestWait(request);
-  if (placement->expected_wait > longest_wait) {
-    return Ending{
-        .reason = EndReason::kNoRoom,
-        .retry_after = ReturnTime(placement->expected_wait - longest_wait),
+    return RequestFailure{.reason = FailureReason::kDeadlineUnreachable,
+                          .retry_after = ReturnTime(placement->expected_wait),
+                          .best = placement};
+  }
+  const Duration max_queue_wait = LongestWait(request);
+  if (placement->expected_wait > max_queue_wait) {
+    return RequestFailure{
+        .reason = FailureReason::kOverloaded,
+        .retry_after = ReturnTime(placement->expected_wait - max_queue_wait),
         .best = placement};
   }
   return Send(request, *placement, now);
@@ -192,11 +193,12 @@
       .time_left = std::max(request.deadline - now - kAnswerMargin,
                             Duration(std::chrono::milliseconds(1))),
       .may_repeat = may_repeat,
-      .is_news = request.route->is_sticky && target.IsNews(request.object, now),
+      .should_announce =
+          request.route->is_sticky && target.IsNews(request.object, now),
       .placement = placement,
       .report_age = target.ReportAge(now)};
   if (may_repeat) {
-    send.slow_after =
+    send.hedge_after =
         std::max(FromSeconds(kSlowOverExpected * ToSeconds(placement.expected)),
                  kLeastSlow);
   }
@@ -215,13 +217,13 @@
 
 Step RequestPath::SendAgain(Request& request, MonotonicTime now) {
   if (const auto blocked = crashes_.BlockedFor(request.fingerprint, now)) {
-    return Ending{.reason = EndReason::kCrashesTargets,
-                  .is_not_run = !request.may_have_run,
-                  .retry_after = blocked};
+    return RequestFailure{.reason = FailureReason::kRequestBlocked,
+                          .is_not_run = !request.may_have_run,
+                          .retry_after = blocked};
   }
-  const Ending spent{.reason = EndReason::kRetriesSpent,
-                     .is_not_run = !request.may_have_run,
-                     .retry_after = ReturnTime(Duration(0))};
+  const RequestFailure spent{.reason = FailureReason::kRetriesExhausted,
+                             .is_not_run = !request.may_have_run,
+                             .retry_after = ReturnTime(Duration(0))};
   if (request.arrivals >= request.route->max_attempts) {
     return spent;
   }
@@ -275,8 +277,9 @@
   const bool has_run =
       request.may_have_run || request.failed_answer.has_value();
   if (has_run && !may_repeat) {
-    return Conclude(ticket, request,
-                    {.reason = EndReason::kMayHaveRun, .is_not_run = false});
+    return Conclude(
+        ticket, request,
+        {.reason = FailureReason::kMayHaveRun, .is_not_run = false});
   }
   const bool has_open =
       std::any_of(request.attempts.begin(), request.attempts.end(),
@@ -285,7 +288,7 @@
     return AwaitAttempt{};
   }
   Step step = SendAgain(request, now);
-  if (const auto* const ending = std::get_if<Ending>(&step)) {
+  if (const auto* const ending = std::get_if<RequestFailure>(&step)) {
     return Conclude(ticket, request, *ending);
   }
   return step;
@@ -293,7 +296,7 @@
 
 Step RequestPath::Conclude(RequestTicket ticket,
                            Request& request,
-                           const Ending& ending) {
+                           const RequestFailure& ending) {
   // A target's own answer, though it reports a failure, says more than ours.
   Step step = ending;
   if (request.failed_answer) {
@@ -318,19 +321,19 @@
   }
   const std::optional<Placement> placement =
       Place(request, request.route->allowed_regions, now);
-  const Duration longest_wait = LongestWait(request);
+  const Duration max_queue_wait = LongestWait(request);
   if (!placement || placement->expected > request.deadline - now ||
-      placement->expected_wait > longest_wait ||
+      placement->expected_wait > max_queue_wait ||
       !AllowanceOf(request.service).TryTake(host_count_, now)) {
     return AwaitAttempt{};
   }
   return Send(request, *placement, now);
 }
 
-Ending RequestPath::OnTimeout(RequestTicket ticket, MonotonicTime now) {
+RequestFailure RequestPath::OnTimeout(RequestTicket ticket, MonotonicTime now) {
   const auto found = requests_.find(ticket);
   if (found == requests_.end()) {
-    return {.reason = EndReason::kTimedOut, .is_not_run = false};
+    return {.reason = FailureReason::kTimedOut, .is_not_run = false};
   }
   Request& request = found->second;
   for (Attempt& attempt : request.attempts) {
@@ -340,7 +343,7 @@
     }
   }
   requests_.erase(found);
-  return {.reason = EndReason::kTimedOut, .is_not_run = false};
+  return {.reason = FailureReason::kTimedOut, .is_not_run = false};
 }
 
 void RequestPath::OnCallerGone(RequestTicket ticket) {
@@ -367,8 +370,8 @@
   return abandoned;
 }
 
-AttemptAllowance& RequestPath::AllowanceOf(const ServiceName& service) {
-  return allowances_.try_emplace(service, options_.attempt_bound).first->second;
+RetryBudgetShare& RequestPath::AllowanceOf(const ServiceName& service) {
+  return allowances_.try_emplace(service, options_.retry_limit).first->second;
 }
 
 double RequestPath::AttemptsLeft(const ServiceName& service,
--- a/lib/libmedlarcroft/source/request_path/request_path_reports.cc
+++ b/lib/libmedlarcroft/source/request_path/request_path_reports.cc
@@ -35,20 +35,20 @@
     }
   }
   target->OnEnded(end, relative, now);
-  if (end == AttemptEnd::kOtherTarget) {
+  if (end == AttemptEnd::kWrongTarget) {
     targets_.MarkReplaced(attempt.target);
   }
 }
 
-void RequestPath::OnPlacedByOther(TargetNumber target, ObjectKey object) {
+void RequestPath::OnPlacedByOtherHost(TargetNumber target, ObjectKey object) {
   if (TargetState* const state = targets_.Find(target)) {
-    state->OnSentByOther(object);
+    state->OnSentByOtherHost(object);
   }
 }
 
-void RequestPath::OnToldLoad(TargetNumber target,
-                             std::uint32_t requests,
-                             MonotonicTime now) {
+void RequestPath::OnReportedLoad(TargetNumber target,
+                                 std::uint32_t requests,
+                                 MonotonicTime now) {
   if (TargetState* const state = targets_.Find(target)) {
     TakeReport(*state, {.running = requests}, now);
   }
--- a/lib/libmedlarcroft/source/request_path/attempt_allowance.cc
+++ b/lib/libmedlarcroft/source/request_path/retry_budget_share.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/request_path/attempt_allowance.h"
+#include "medlarcroft/request_path/retry_budget_share.h"
 
 #include <algorithm>
 
@@ -12,17 +12,17 @@
 
 }  // namespace
 
-AttemptAllowance::AttemptAllowance(const AttemptBound& bound)
+RetryBudgetShare::RetryBudgetShare(const RetryLimit& bound)
     : bound_(bound), requests_(bound.window), further_sends_(bound.window) {}
 
-double AttemptAllowance::Left(std::uint32_t hosts, MonotonicTime now) const {
+double RetryBudgetShare::Left(std::uint32_t hosts, MonotonicTime now) const {
   const double granted =
       kUsedPart * (bound_.ratio * requests_.Count(now) +
                    bound_.fixed / static_cast<double>(std::max(hosts, 1U)));
   return granted - further_sends_.Count(now);
 }
 
-bool AttemptAllowance::TryTake(std::uint32_t hosts, MonotonicTime now) {
+bool RetryBudgetShare::TryTake(std::uint32_t hosts, MonotonicTime now) {
   if (Left(hosts, now) < 1.0) {
     return false;
   }
--- a/lib/libmedlarcroft/source/request_path/target_book.cc
+++ b/lib/libmedlarcroft/source/request_path/target_directory.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/request_path/target_book.h"
+#include "medlarcroft/request_path/target_directory.h"
 
 #include <algorithm>
 #include <utility>
@@ -21,13 +21,14 @@
   return grouped;
 }
 
-TargetBook::TargetBook(DomainRegions regions, BookObserver& observer)
+TargetDirectory::TargetDirectory(DomainRegions regions,
+                                 TargetDirectoryObserver& observer)
     : regions_(std::move(regions)), observer_(observer) {}
 
-void TargetBook::ReplaceAll(std::span<const TargetRecord> targets,
-                            std::span<const TargetName> unreadable,
-                            std::optional<MonotonicTime> doubted_until,
-                            MonotonicTime now) {
+void TargetDirectory::ReplaceAll(std::span<const TargetRecord> targets,
+                                 std::span<const TargetName> unreadable,
+                                 std::optional<MonotonicTime> doubted_until,
+                                 MonotonicTime now) {
   std::set<TargetName> listed(unreadable.begin(), unreadable.end());
   for (const TargetRecord& target : targets) {
     listed.insert(target.id);
@@ -48,7 +49,7 @@
   is_first_list_ = false;
 }
 
-void TargetBook::Put(const TargetRecord& target, MonotonicTime now) {
+void TargetDirectory::Put(const TargetRecord& target, MonotonicTime now) {
   const auto found = targets_.find(target.id);
   if (found == targets_.end()) {
     if (!IsOlderThanDeparture(target)) {
@@ -73,12 +74,14 @@
   Update(entry, std::move(updated), now);
 }
 
-void TargetBook::Update(Entry& entry, TargetRecord target, MonotonicTime now) {
+void TargetDirectory::Update(Entry& entry,
+                             TargetRecord target,
+                             MonotonicTime now) {
   if (entry.doubted_until || entry.is_unreadable) {
     entry.doubted_until.reset();
     entry.is_unreadable = false;
     usable_.clear();
-    observer_.OnTargetChange(BookChange::kReturned, target);
+    observer_.OnTargetChange(TargetChange::kReturned, target);
   }
   const TargetRecord& known = entry.state->Record();
   target.is_leaving = target.is_leaving || known.is_leaving;
@@ -92,28 +95,29 @@
   entry.state->Update(target);
   usable_.clear();
   observer_.OnTargetChange(
-      leaves_now ? BookChange::kLeaving : BookChange::kUpdated, target);
+      leaves_now ? TargetChange::kLeaving : TargetChange::kUpdated, target);
 }
 
-void TargetBook::Restart(Entry& entry,
-                         const TargetRecord& target,
-                         MonotonicTime now) {
+void TargetDirectory::Restart(Entry& entry,
+                              const TargetRecord& target,
+                              MonotonicTime now) {
   numbers_.erase(NumberOf(entry.state->Record().Identity()));
   entry = {.state = MakeStarted(target, now)};
   numbers_[NumberOf(target.Identity())] = entry.state.get();
   usable_.clear();
-  observer_.OnTargetChange(BookChange::kRestarted, target);
+  observer_.OnTargetChange(TargetChange::kRestarted, target);
 }
 
-std::unique_ptr<TargetState> TargetBook::MakeStarted(const TargetRecord& target,
-                                                     MonotonicTime now) const {
+std::unique_ptr<TargetState> TargetDirectory::MakeStarted(
+    const TargetRecord& target,
+    MonotonicTime now) const {
   auto state = std::make_unique<TargetState>(target, RegionOf(target.domain));
   state->MarkCold(now +
                   std::max(target.cold_remaining, ColdTimeOf(target.service)));
   return state;
 }
 
-bool TargetBook::IsOlderThanDeparture(const TargetRecord& target) const {
+bool TargetDirectory::IsOlderThanDeparture(const TargetRecord& target) const {
   const auto found = departed_.find(target.id);
   if (found == departed_.end()) {
     return false;
@@ -126,7 +130,7 @@
          target.incarnation < departure.incarnation;
 }
 
-void TargetBook::Add(const TargetRecord& target, MonotonicTime now) {
+void TargetDirectory::Add(const TargetRecord& target, MonotonicTime now) {
   // A target that appears while this host runs has just started, whatever its
   // first entry says.
   auto state = MakeStarted(target, now);
@@ -139,22 +143,23 @@
   usable_.clear();
   departed_.erase(target.id);
   observer_.OnTargetChange(
-      target.is_leaving ? BookChange::kLeaving : BookChange::kAdded, target);
+      target.is_leaving ? TargetChange::kLeaving : TargetChange::kAdded,
+      target);
 }
 
-void TargetBook::Suspend(const TargetName& target) {
+void TargetDirectory::Suspend(const TargetName& target) {
   const auto found = targets_.find(target);
   if (found == targets_.end() || found->second.is_unreadable) {
     return;
   }
   found->second.is_unreadable = true;
   usable_.clear();
-  observer_.OnTargetChange(BookChange::kUnreadable,
+  observer_.OnTargetChange(TargetChange::kUnreadable,
                            found->second.state->Record());
 }
 
-void TargetBook::Remove(const TargetName& target,
-                        std::optional<MonotonicTime> doubted_until) {
+void TargetDirectory::Remove(const TargetName& target,
+                             std::optional<MonotonicTime> doubted_until) {
   const auto found = targets_.find(target);
   if (found == targets_.end()) {
     return;
@@ -163,16 +168,17 @@
   if (doubted_until && !entry.state->Record().is_leaving) {
     if (!entry.doubted_until) {
       entry.doubted_until = doubted_until;
-      observer_.OnTargetChange(BookChange::kDoubted, entry.state->Record());
+      observer_.OnTargetChange(TargetChange::kDoubted, entry.state->Record());
     }
     return;
   }
   Erase(target);
 }
 
-void TargetBook::Erase(const TargetName& target) {
+void TargetDirectory::Erase(const TargetName& target) {
   const auto found = targets_.find(target);
-  observer_.OnTargetChange(BookChange::kRemoved, found->second.state->Record());
+  observer_.OnTargetChange(TargetChange::kRemoved,
+                           found->second.state->Record());
   const TargetRecord& record = found->second.state->Record();
   if (record.is_leaving || record.incarnation != kUnknownIncarnation) {
     departed_[target] = {.incarnation = record.incarnation,
@@ -183,7 +189,7 @@
   usable_.clear();
 }
 
-void TargetBook::Advance(MonotonicTime now) {
+void TargetDirectory::Advance(MonotonicTime now) {
   std::vector<TargetName> ended;
   for (const auto& [id, entry] : targets_) {
     if (entry.doubted_until && now >= *entry.doubted_until) {
@@ -195,8 +201,8 @@
   }
 }
 
-void TargetBook::SetEvacuated(std::set<FailureDomainName> domains,
-                              MonotonicTime now) {
+void TargetDirectory::SetEvacuated(std::set<FailureDomainName> domains,
+                                   MonotonicTime now) {
   for (const auto& [id, entry] : targets_) {
     const TargetRecord& record = entry.state->Record();
     if (evacuated_.contains(record.domain) &&
@@ -208,11 +214,13 @@
   usable_.clear();
 }
 
-void TargetBook::SetColdTime(const ServiceName& service, Duration cold_time) {
+void TargetDirectory::SetColdTime(const ServiceName& service,
+                                  Duration cold_time) {
   cold_times_[service] = cold_time;
 }
 
-std::span<const RegionTargets> TargetBook::Usable(const ServiceName& service) {
+std::span<const RegionTargets> TargetDirectory::Usable(
+    const ServiceName& service) {
   const auto [found, is_new] = usable_.try_emplace(service);
   if (is_new) {
     found->second = GatherUsable(service);
@@ -220,7 +228,7 @@
   return found->second;
 }
 
-std::vector<RegionTargets> TargetBook::GatherUsable(
+std::vector<RegionTargets> TargetDirectory::GatherUsable(
     const ServiceName& service) const {
   std::vector<TargetState*> usable;
   for (const auto& [id, entry] : targets_) {
@@ -236,14 +244,14 @@
   return GroupByRegion(usable);
 }
 
-void TargetBook::MarkReplaced(const TargetIdentity& target) {
+void TargetDirectory::MarkReplaced(const TargetIdentity& target) {
   if (TargetState* const state = Find(target)) {
     state->MarkReplaced();
     usable_.clear();
   }
 }
 
-TargetState* TargetBook::Find(const TargetIdentity& target) {
+TargetState* TargetDirectory::Find(const TargetIdentity& target) {
   const auto found = targets_.find(target.name);
   if (found == targets_.end() ||
       found->second.state->Record().incarnation != target.incarnation) {
@@ -252,17 +260,17 @@
   return found->second.state.get();
 }
 
-TargetState* TargetBook::Find(TargetNumber target) {
+TargetState* TargetDirectory::Find(TargetNumber target) {
   const auto found = numbers_.find(target);
   return found == numbers_.end() ? nullptr : found->second;
 }
 
-RegionName TargetBook::RegionOf(const FailureDomainName& domain) const {
+RegionName TargetDirectory::RegionOf(const FailureDomainName& domain) const {
   const auto found = regions_.find(domain);
   return found == regions_.end() ? RegionName() : found->second;
 }
 
-Duration TargetBook::ColdTimeOf(const ServiceName& service) const {
+Duration TargetDirectory::ColdTimeOf(const ServiceName& service) const {
   const auto found = cold_times_.find(service);
   return found == cold_times_.end() ? Duration(0) : found->second;
 }
--- a/lib/libmedlarcroft/source/request_path/target_state.cc
+++ b/lib/libmedlarcroft/source/request_path/target_state.cc
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <utility>
 
-#include "medlarcroft/core/mixed.h"
+#include "medlarcroft/core/mix_bits.h"
 
 namespace medlarcroft::request_path {
 
@@ -56,7 +56,7 @@
       region_(std::move(region)) {}
 
 std::uint64_t TargetState::OrderOf(ObjectKey object) const {
-  return Mixed(name_hash_ ^ Mixed(object.Value()));
+  return MixBits(name_hash_ ^ MixBits(object.Value()));
 }
 
 void TargetState::OnSent(ObjectKey object, MonotonicTime now) {
@@ -69,7 +69,7 @@
   NoteObject(object);
 }
 
-void TargetState::OnSentByOther(ObjectKey object) {
+void TargetState::OnSentByOtherHost(ObjectKey object) {
   has_been_used_ = true;
   NoteObject(object);
 }
--- a/lib/libmedlarcroft/source/routing/route_table.cc
+++ b/lib/libmedlarcroft/source/routing/route_table.cc
@@ -68,20 +68,23 @@
 }
 
 ServiceName RouteTable::ChoosePart(const Route& route) {
-  if (route.parts.size() == 1) {
-    return route.parts.front().service;
+  if (route.weighted_services.size() == 1) {
+    return route.weighted_services.front().service;
   }
   const double total = std::accumulate(
-      route.parts.begin(), route.parts.end(), 0.0,
-      [](double sum, const ServicePart& part) { return sum + part.weight; });
+      route.weighted_services.begin(), route.weighted_services.end(), 0.0,
+      [](double sum, const WeightedService& part) {
+        return sum + part.weight;
+      });
   std::vector<double>& owed = owed_[route.name];
-  owed.resize(route.parts.size());
+  owed.resize(route.weighted_services.size());
   for (std::size_t i = 0; i < owed.size(); ++i) {
-    owed[i] += total > 0 ? route.parts[i].weight / total : 0;
+    owed[i] += total > 0 ? route.weighted_services[i].weight / total : 0;
   }
   const auto most = std::max_element(owed.begin(), owed.end());
   *most -= 1.0;
-  return route.parts[static_cast<std::size_t>(most - owed.begin())].service;
+  return route.weighted_services[static_cast<std::size_t>(most - owed.begin())]
+      .service;
 }
 
 const ServiceRules* RouteTable::FindService(const ServiceName& name) const {
--- a/lib/libmedlarcroft/source/steering/block_map_codec.cc
+++ b/lib/libmedlarcroft/source/steering/block_map_codec.cc
@@ -3,7 +3,7 @@
 #include <optional>
 #include <utility>
 
-#include "block_map_object.h"
+#include "block_map_format.h"
 
 namespace medlarcroft::steering {
 
--- a/lib/libmedlarcroft/source/steering/block_map_encoder.cc
+++ b/lib/libmedlarcroft/source/steering/block_map_encoder.cc
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "block_map_object.h"
+#include "block_map_format.h"
 #include "medlarcroft/steering/block_map_codec.h"
 
 namespace medlarcroft::steering {
--- a/lib/libmedlarcroft/source/steering/block_map_object.cc
+++ b/lib/libmedlarcroft/source/steering/block_map_format.cc
@@ -1,4 +1,4 @@
-#include "block_map_object.h"
+#include "block_map_format.h"
 
 #include <xxhash.h>
 
--- a/lib/libmedlarcroft/source/steering/block_map_object.h
+++ b/lib/libmedlarcroft/source/steering/block_map_format.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_STEERING_BLOCK_MAP_OBJECT_H_
-#define MEDLARCROFT_STEERING_BLOCK_MAP_OBJECT_H_
+#ifndef MEDLARCROFT_STEERING_BLOCK_MAP_FORMAT_H_
+#define MEDLARCROFT_STEERING_BLOCK_MAP_FORMAT_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -66,4 +66,4 @@
 
 }  // namespace medlarcroft::steering::block_map_object
 
-#endif  // MEDLARCROFT_STEERING_BLOCK_MAP_OBJECT_H_
+#endif  // MEDLARCROFT_STEERING_BLOCK_MAP_FORMAT_H_
--- a/lib/libmedlarcroft/source/steering/handed_out_demand.cc
+++ b/lib/libmedlarcroft/source/steering/lookup_demand_tracker.cc
@@ -1,19 +1,19 @@
-#include "medlarcroft/steering/handed_out_demand.h"
+#include "medlarcroft/steering/lookup_demand_tracker.h"
 
 #include <algorithm>
 
 namespace medlarcroft::steering {
 
-HandedOutDemand::HandedOutDemand(HandedOutOptions options)
+LookupDemandTracker::LookupDemandTracker(HandedOutOptions options)
     : options_(options),
       bucket_width_(std::max(options.longest_ttl / kSpannedBuckets,
                              Duration(std::chrono::milliseconds(1)))) {}
 
-std::int64_t HandedOutDemand::BucketOf(MonotonicTime time) const {
+std::int64_t LookupDemandTracker::BucketOf(MonotonicTime time) const {
   return time.time_since_epoch() / bucket_width_;
 }
 
-double HandedOutDemand::Sum(const Series& series, MonotonicTime now) const {
+double LookupDemandTracker::Sum(const Series& series, MonotonicTime now) const {
   const std::int64_t current = BucketOf(now);
   double sum = 0.0;
 
@@ -26,13 +26,13 @@
   return sum;
 }
 
-void HandedOutDemand::DropExpired(MonotonicTime now) {
+void LookupDemandTracker::DropExpired(MonotonicTime now) {
   std::erase_if(series_,
                 [&](const auto& item) { return Sum(item.second, now) <= 0.0; });
 }
 
-HandedOutDemand::Series* HandedOutDemand::FindOrAdd(const Key& key,
-                                                    MonotonicTime now) {
+LookupDemandTracker::Series* LookupDemandTracker::FindOrAdd(const Key& key,
+                                                            MonotonicTime now) {
   if (const auto found = series_.find(key); found != series_.end()) {
     return &found->second;
   }
@@ -48,11 +48,11 @@
   return &series_[key];
 }
 
-void HandedOutDemand::Record(const ServiceName& service,
-                             const FailureDomainName& domain,
-                             double demand_per_second,
-                             Duration ttl,
-                             MonotonicTime now) {
+void LookupDemandTracker::Record(const ServiceName& service,
+                                 const FailureDomainName& domain,
+                                 double demand_per_second,
+                                 Duration ttl,
+                                 MonotonicTime now) {
   Series* series = FindOrAdd({service, domain}, now);
   if (series == nullptr) {
     ++uncounted_;
@@ -71,14 +71,14 @@
   series->demand[index] += demand_per_second;
 }
 
-double HandedOutDemand::Pending(const ServiceName& service,
-                                const FailureDomainName& domain,
-                                MonotonicTime now) const {
+double LookupDemandTracker::Pending(const ServiceName& service,
+                                    const FailureDomainName& domain,
+                                    MonotonicTime now) const {
   const auto found = series_.find({service, domain});
   return found == series_.end() ? 0.0 : Sum(found->second, now);
 }
 
-std::vector<PendingDemand> HandedOutDemand::All(MonotonicTime now) const {
+std::vector<PendingDemand> LookupDemandTracker::All(MonotonicTime now) const {
   std::vector<PendingDemand> pending;
 
   for (const auto& [key, series] : series_) {
--- a/lib/libmedlarcroft/source/steering/shift_admission.cc
+++ b/lib/libmedlarcroft/source/steering/shift_admission.cc
@@ -4,7 +4,7 @@
 
 namespace medlarcroft::steering {
 
-Result<Success, ShiftAdmissionRefusal> AdmitShifted(
+Result<Success, ShiftAdmissionRefusal> AdmitForwarded(
     const ReceiverState& state) {
   if (state.is_leaving) {
     return ShiftAdmissionRefusal::kLeaving;
--- a/lib/libmedlarcroft/source/steering/shift_planner.cc
+++ b/lib/libmedlarcroft/source/steering/shift_planner.cc
@@ -199,7 +199,7 @@
   if (!since) {
     since = now;
   }
-  return now - *since >= options.steady_time;
+  return now - *since >= options.return_hold_time;
 }
 
 /// Takes back a step of the shift that gains most by it. One shift of a source
--- a/lib/libmedlarcroft/source/steering/weighted_draw.cc
+++ b/lib/libmedlarcroft/source/steering/weighted_sampler.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/steering/weighted_draw.h"
+#include "medlarcroft/steering/weighted_sampler.h"
 
 #include <algorithm>
 
--- a/lib/libmedlarcroft/source/telemetry/request_line_budget.cc
+++ b/lib/libmedlarcroft/source/telemetry/request_log_sampler.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/telemetry/request_line_budget.h"
+#include "medlarcroft/telemetry/request_log_sampler.h"
 
 #include <xxhash.h>
 
@@ -19,9 +19,9 @@
 
 constexpr std::array<OutcomeRule, 4> kRules = {{
     {"served", 0},
-    {"late", RequestLineBudget::kAtEnd / 4},
-    {"failed", RequestLineBudget::kAtEnd / 2},
-    {"order-failed", RequestLineBudget::kAtEnd},
+    {"late", RequestLogSampler::kAtEnd / 4},
+    {"failed", RequestLogSampler::kAtEnd / 2},
+    {"order-failed", RequestLogSampler::kAtEnd},
 }};
 
 const OutcomeRule& RuleOf(RequestOutcome outcome) {
@@ -36,7 +36,7 @@
 
 // The share of requests follows the demand of the second before, so that those
 // logged lie all over a second; where demand jumps, the count bounds them.
-void RequestLineBudget::Advance(MonotonicTime now) {
+void RequestLogSampler::Advance(MonotonicTime now) {
   if (now - began_ < kWindow) {
     return;
   }
@@ -50,7 +50,7 @@
   chosen_at_end_ = 0;
 }
 
-bool RequestLineBudget::ChooseById(std::string_view id, MonotonicTime now) {
+bool RequestLogSampler::SampleById(std::string_view id, MonotonicTime now) {
   Advance(now);
   ++arrived_;
   if (chosen_by_id_ >= kById ||
@@ -61,7 +61,7 @@
   return true;
 }
 
-bool RequestLineBudget::ChooseAtEnd(RequestOutcome outcome, MonotonicTime now) {
+bool RequestLogSampler::SampleAtEnd(RequestOutcome outcome, MonotonicTime now) {
   Advance(now);
   if (chosen_at_end_ >= RuleOf(outcome).taken_until) {
     ++left_out_;
--- a/programs/emulate/main.cc
+++ b/programs/emulate/main.cc
@@ -38,7 +38,7 @@
   const auto deployment = adapters::LoadSettings(
       adapters::EmulatedDeploymentSchema(), options.deployment_file);
   if (!IsOk(deployment)) {
-    adapters::PrintFaults(ErrorOf(deployment), std::cerr);
+    adapters::PrintSettingsErrors(ErrorOf(deployment), std::cerr);
     return adapters::kExitBadSettings;
   }
   const auto policies = ChoosePolicies(options);
--- a/programs/load/main.cc
+++ b/programs/load/main.cc
@@ -22,7 +22,7 @@
 std::optional<LoadPlan> ReadPlan(const std::string& file) {
   auto plan = adapters::LoadSettings(adapters::LoadPlanSchema(), file);
   if (!IsOk(plan)) {
-    adapters::PrintFaults(ErrorOf(plan), std::cerr);
+    adapters::PrintSettingsErrors(ErrorOf(plan), std::cerr);
     return std::nullopt;
   }
   if (ValueOf(plan).classes.empty() || ValueOf(plan).brands.empty()) {
@@ -38,7 +38,7 @@
   }
   const auto text = adapters::ReadSettingsFile(options.deployment_file);
   if (!IsOk(text)) {
-    adapters::PrintFaults(ErrorOf(text), std::cerr);
+    adapters::PrintSettingsErrors(ErrorOf(text), std::cerr);
     return std::nullopt;
   }
   auto deployment = adapters::ParseDeployment(ValueOf(text));
@@ -53,7 +53,7 @@
 std::optional<LoadReport> ReadReport(const std::string& file) {
   const auto text = adapters::ReadSettingsFile(file);
   if (!IsOk(text)) {
-    adapters::PrintFaults(ErrorOf(text), std::cerr);
+    adapters::PrintSettingsErrors(ErrorOf(text), std::cerr);
     return std::nullopt;
   }
   auto report = load_generator::ParseReportJson(ValueOf(text));
--- a/programs/node/crash_sharing.cc
+++ b/programs/node/crash_sharing.cc
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "adapters/process/log.h"
-#include "medlarcroft/news/news_pace.h"
+#include "medlarcroft/peer_updates/update_timing.h"
 #include "platform/blocked_request_entry.h"
 #include "platform/host_entry.h"
 
@@ -49,10 +49,10 @@
 }
 
 void CrashSharing::Start() {
-  parts_.loop.Every(news::kGlobalRepeatPeriod, [this] { Tick(); });
+  parts_.loop.Every(peer_updates::kGlobalRepeatPeriod, [this] { Tick(); });
 }
 
-void CrashSharing::OnCrash(const adapters::BrokenSend& broken) {
+void CrashSharing::OnCrash(const adapters::InterruptedSend& broken) {
   crashes_.Add();
   parts_.ledger.OnCrash(broken.fingerprint,
                         request_path::NumberOf(broken.target),
@@ -70,7 +70,7 @@
 }
 
 void CrashSharing::OnPublish(const request_path::CrashReport& report) {
-  parts_.peers.TellCrashes(std::span(&report, 1));
+  parts_.peers.BroadcastCrashes(std::span(&report, 1));
   const auto stored = stored_rows_.find(report.request);
   if (report.kind == request_path::CrashReportKind::kAnswered &&
       stored != stored_rows_.end()) {
@@ -98,8 +98,8 @@
   own_rows_.erase(request);
 }
 
-void CrashSharing::OnRow(const rows::Row& row) {
-  const auto request = platform::BlockedRequestOf(row.key);
+void CrashSharing::OnRow(const replication::Row& row) {
+  const auto request = platform::ParseBlockedRequestKey(row.key);
   if (!request) {
     return;
   }
@@ -151,7 +151,7 @@
   const MonotonicTime now = parts_.loop.Now();
   const WallTime wall = parts_.loop.Clock().WallNow();
   parts_.ledger.Advance(now);
-  parts_.peers.TellCrashes(
+  parts_.peers.BroadcastCrashes(
       parts_.ledger.ReportsToRepeat(kMostRepeatedReports, now));
   std::erase_if(own_rows_,
                 [wall](const auto& own) { return own.second.until < wall; });
@@ -178,20 +178,20 @@
   const auto stored = stored_rows_.find(request);
   parts_.store.Write(
       {.table = std::string(platform::kHostTable),
-       .key = platform::KeyOfBlockedRequest(request),
+       .key = platform::FormatBlockedRequestKey(request),
        .value = platform::EncodeBlockedRequest(
            {.request = request, .until = row.until}),
        .expected_version =
            stored == stored_rows_.end() ? 0 : stored->second.version},
-      [](const Result<Success, rows::RowFailure>&) {});
+      [](const Result<Success, replication::RowFailure>&) {});
 }
 
 void CrashSharing::RemoveRow(RequestFingerprint request,
                              std::uint64_t version) {
   parts_.store.Write({.table = std::string(platform::kHostTable),
-                      .key = platform::KeyOfBlockedRequest(request),
+                      .key = platform::FormatBlockedRequestKey(request),
                       .expected_version = version},
-                     [](const Result<Success, rows::RowFailure>&) {});
+                     [](const Result<Success, replication::RowFailure>&) {});
 }
 
 }  // namespace medlarcroft::node
--- a/programs/node/crash_sharing.h
+++ b/programs/node/crash_sharing.h
@@ -6,8 +6,8 @@
 
 #include "adapters/event/event_loop.h"
 #include "adapters/forward/crash_probe.h"
-#include "medlarcroft/request_path/crash_ledger.h"
-#include "medlarcroft/rows/row.h"
+#include "medlarcroft/replication/row.h"
+#include "medlarcroft/request_path/crash_tracker.h"
 #include "medlarcroft/telemetry/metrics.h"
 #include "peer_group.h"
 #include "platform/store_client.h"
@@ -22,7 +22,7 @@
   struct Parts {
     adapters::EventLoop& loop;
     platform::StoreClient& store;
-    request_path::CrashLedger& ledger;
+    request_path::CrashTracker& ledger;
     PeerGroup& peers;
     ports::RandomSource& random;
     telemetry::MetricsRegistry& metrics;
@@ -36,11 +36,11 @@
   void Start();
 
   /// @brief Handles a target crash during a send of this host.
-  void OnCrash(const adapters::BrokenSend& broken);
+  void OnCrash(const adapters::InterruptedSend& broken);
   /// @brief Handles a report of another host.
   void OnReport(const request_path::CrashReport& report);
   /// @brief Handles a written or removed row of a blocked request.
-  void OnRow(const rows::Row& row);
+  void OnRow(const replication::Row& row);
 
   void OnPublish(const request_path::CrashReport& report) override;
   void OnBlocked(request_path::RequestFingerprint request,
--- a/programs/node/limit_sharing.cc
+++ b/programs/node/limit_sharing.cc
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "adapters/process/log.h"
-#include "medlarcroft/news/news_pace.h"
+#include "medlarcroft/peer_updates/update_timing.h"
 
 namespace medlarcroft::node {
 
@@ -31,13 +31,14 @@
 }
 
 void LimitSharing::Start() {
-  parts_.loop.Every(news::kGlobalRepeatPeriod, [this] {
-    parts_.peers.TellLimits(parts_.limits.ReportsToRepeat(parts_.loop.Now()));
+  parts_.loop.Every(peer_updates::kGlobalRepeatPeriod, [this] {
+    parts_.peers.BroadcastLimits(
+        parts_.limits.ReportsToRepeat(parts_.loop.Now()));
   });
 }
 
 void LimitSharing::OnPublish(const request_path::LimitReport& report) {
-  parts_.peers.TellLimits(std::span(&report, 1));
+  parts_.peers.BroadcastLimits(std::span(&report, 1));
 }
 
 void LimitSharing::OnLimited(request_path::TargetNumber target,
--- a/programs/node/limit_sharing.h
+++ b/programs/node/limit_sharing.h
@@ -2,7 +2,7 @@
 #define MEDLARCROFT_PROGRAMS_NODE_LIMIT_SHARING_H_
 
 #include "medlarcroft/request_path/rate_limits.h"
-#include "medlarcroft/request_path/target_book.h"
+#include "medlarcroft/request_path/target_directory.h"
 #include "medlarcroft/telemetry/metrics.h"
 #include "peer_group.h"
 
@@ -15,7 +15,7 @@
   struct Parts {
     adapters::EventLoop& loop;
     request_path::RateLimits& limits;
-    request_path::TargetBook& targets;
+    request_path::TargetDirectory& targets;
     PeerGroup& peers;
     telemetry::MetricsRegistry& metrics;
   };
--- a/programs/node/logged_table.h
+++ b/programs/node/logging_table_listener.h
@@ -1,21 +1,21 @@
-#ifndef MEDLARCROFT_PROGRAMS_NODE_LOGGED_TABLE_H_
-#define MEDLARCROFT_PROGRAMS_NODE_LOGGED_TABLE_H_
+#ifndef MEDLARCROFT_PROGRAMS_NODE_LOGGING_TABLE_LISTENER_H_
+#define MEDLARCROFT_PROGRAMS_NODE_LOGGING_TABLE_LISTENER_H_
 
 #include <string_view>
 
 #include "adapters/process/log.h"
-#include "medlarcroft/rows/table_follower.h"
+#include "medlarcroft/replication/table_follower.h"
 
 namespace medlarcroft::node {
 
 /// @brief Writes a line when a table's news stops coming, comes again, or has
 /// to be read by this host itself.
-class LoggedTable : public rows::TableListener {
+class LoggingTableListener : public replication::TableListener {
  public:
   /// @param name of the table, in the log.
-  explicit LoggedTable(std::string_view name) : name_(name) {}
+  explicit LoggingTableListener(std::string_view name) : name_(name) {}
 
-  void OnCallFailed(const rows::FailedCall& call) override {
+  void OnCallFailed(const replication::FailedCall& call) override {
     adapters::Log(adapters::LogLevel::kWarning,
                   call.is_first ? "store-lost" : "store-call-failed",
                   {{"table", name_},
@@ -23,11 +23,11 @@
                    {"call_ms", ToMilliseconds(call.call_time)},
                    {"known_version", call.known_version}});
   }
-  void OnStoreBack(Duration away) override {
+  void OnStoreRecovered(Duration away) override {
     adapters::Log(adapters::LogLevel::kInfo, "store-back",
                   {{"table", name_}, {"away_ms", ToMilliseconds(away)}});
   }
-  void OnReaderLost(rows::RowFailure failure,
+  void OnReaderLost(replication::RowFailure failure,
                     std::uint64_t known_version) override {
     adapters::Log(adapters::LogLevel::kInfo, "reader-lost",
                   {{"table", name_},
@@ -41,4 +41,4 @@
 
 }  // namespace medlarcroft::node
 
-#endif  // MEDLARCROFT_PROGRAMS_NODE_LOGGED_TABLE_H_
+#endif  // MEDLARCROFT_PROGRAMS_NODE_LOGGING_TABLE_LISTENER_H_
--- a/programs/node/main.cc
+++ b/programs/node/main.cc
@@ -24,7 +24,7 @@
   const auto again =
       adapters::LoadSettings(adapters::NodeSchema(), start.settings_file);
   if (!IsOk(again)) {
-    adapters::PrintFaults(medlarcroft::ErrorOf(again), std::cerr);
+    adapters::PrintSettingsErrors(medlarcroft::ErrorOf(again), std::cerr);
     adapters::Log(adapters::LogLevel::kError, "settings-refused");
     return;
   }
--- a/programs/node/metrics_page.h
+++ b/programs/node/metrics_handler.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_PROGRAMS_NODE_METRICS_PAGE_H_
-#define MEDLARCROFT_PROGRAMS_NODE_METRICS_PAGE_H_
+#ifndef MEDLARCROFT_PROGRAMS_NODE_METRICS_HANDLER_H_
+#define MEDLARCROFT_PROGRAMS_NODE_METRICS_HANDLER_H_
 
 #include <memory>
 
@@ -9,19 +9,19 @@
 namespace medlarcroft::node {
 
 /// @brief Serves all metrics as Prometheus text.
-class MetricsPage final : public adapters::HttpCallHandler {
+class MetricsHandler final : public adapters::HttpRequestHandler {
  public:
-  explicit MetricsPage(const telemetry::MetricsRegistry& metrics)
+  explicit MetricsHandler(const telemetry::MetricsRegistry& metrics)
       : metrics_(metrics) {}
 
-  void OnCall(
+  void OnRequest(
       adapters::HttpRequest request,
       const std::shared_ptr<adapters::HttpExchange>& exchange) override {
     if (request.raw_target != "/metrics") {
-      exchange->Answer({.status = 404});
+      exchange->Respond({.status = 404});
       return;
     }
-    exchange->Answer(
+    exchange->Respond(
         {.status = 200,
          .headers = {{"Content-Type", "text/plain; version=0.0.4"}},
          .body = metrics_.FormatPrometheus()});
@@ -33,4 +33,4 @@
 
 }  // namespace medlarcroft::node
 
-#endif  // MEDLARCROFT_PROGRAMS_NODE_METRICS_PAGE_H_
+#endif  // MEDLARCROFT_PROGRAMS_NODE_METRICS_HANDLER_H_
--- a/programs/node/node.cc
+++ b/programs/node/node.cc
@@ -15,7 +15,7 @@
 using adapters::LogLevel;
 using membership::HostPhase;
 using process::StopPhase;
-using request_path::BookChange;
+using request_path::TargetChange;
 using telemetry::MetricDescription;
 
 constexpr Duration kTickPeriod = std::chrono::milliseconds(250);
@@ -50,7 +50,7 @@
 
 request_path::DomainRegions RegionsOf(const adapters::NodeSettings& settings) {
   request_path::DomainRegions regions;
-  for (const adapters::DomainPlace& place : settings.domains) {
+  for (const adapters::DomainRegion& place : settings.domains) {
     regions[FailureDomainName(place.domain)] = RegionName(place.region);
   }
   regions[FailureDomainName(settings.failure_domain)] =
@@ -62,14 +62,14 @@
     const adapters::NodeSettings& settings) {
   const adapters::NodeBounds& bounds = settings.bounds;
   return {.own_region = RegionName(settings.region),
-          .attempt_bound = {.ratio = bounds.attempt_ratio,
-                            .fixed = static_cast<double>(bounds.attempt_extra),
-                            .window = bounds.attempt_window},
+          .retry_limit = {.ratio = bounds.attempt_ratio,
+                          .fixed = static_cast<double>(bounds.attempt_extra),
+                          .window = bounds.attempt_window},
           .cold_over = bounds.cold_over,
           .cold_extra = static_cast<double>(bounds.cold_extra),
-          .region_plan = {.most_moved_per_second = kPlannedShift *
-                                                   bounds.shift_most /
-                                                   ToSeconds(kShiftWindow)}};
+          .region_plan = {.max_shift_per_second = kPlannedShift *
+                                                  bounds.shift_most /
+                                                  ToSeconds(kShiftWindow)}};
 }
 
 process::StopSequence::Options StopOptions(
@@ -101,29 +101,30 @@
               random_,
               spans_.Exporter(),
               settings_.telemetry.trace_sampling),
-      runner_(
-          {.loop = loop,
-           .caller = caller_,
-           .path = path_,
-           .codec = codec_,
-           .telemetry = telemetry_,
-           .tracer = tracer_,
-           .on_placed =
-               [this](const request_path::TargetIdentity& target,
-                      const std::string& object) {
-                 peers_.TellPlaced({.target = request_path::NumberOf(target),
-                                    .object = request_path::ObjectKey(object)});
-               },
-           .on_report =
-               [this](const request_path::TargetIdentity& target,
-                      const request_path::LoadReport& report) {
-                 peers_.TellLoad({.target = request_path::NumberOf(target),
-                                  .requests = report.running + report.waiting});
-               },
-           .on_crash =
-               [this](const adapters::BrokenSend& broken) {
-                 crash_sharing_.OnCrash(broken);
-               }}),
+      runner_({.loop = loop,
+               .caller = caller_,
+               .path = path_,
+               .codec = codec_,
+               .telemetry = telemetry_,
+               .tracer = tracer_,
+               .on_placed =
+                   [this](const request_path::TargetIdentity& target,
+                          const std::string& object) {
+                     peers_.BroadcastPlacement(
+                         {.target = request_path::NumberOf(target),
+                          .object = request_path::ObjectKey(object)});
+                   },
+               .on_report =
+                   [this](const request_path::TargetIdentity& target,
+                          const request_path::LoadReport& report) {
+                     peers_.BroadcastLoad(
+                         {.target = request_path::NumberOf(target),
+                          .requests = report.running + report.waiting});
+                   },
+               .on_crash =
+                   [this](const adapters::InterruptedSend& broken) {
+                     crash_sharing_.OnCrash(broken);
+                   }}),
       store_(loop, {.address = settings.store_address}, metrics_),
       peers_(settings_,
              {.loop = loop,
@@ -131,12 +132,13 @@
               .random = random_,
               .regions = regions_,
               .on_placed =
-                  [this](const news::PlacedObject& placed) {
-                    path_.OnPlacedByOther(placed.target, placed.object);
+                  [this](const peer_updates::PlacedObject& placed) {
+                    path_.OnPlacedByOtherHost(placed.target, placed.object);
                   },
               .on_load =
-                  [this](const news::ToldLoad& load) {
-                    path_.OnToldLoad(load.target, load.requests, loop_.Now());
+                  [this](const peer_updates::ReportedLoad& load) {
+                    path_.OnReportedLoad(load.target, load.requests,
+                                         loop_.Now());
                   },
               .on_crash_report =
                   [this](const request_path::CrashReport& report) {
@@ -147,7 +149,9 @@
                     path_.OnLimitReport(report, loop_.Now());
                   },
               .on_blocked_row =
-                  [this](const rows::Row& row) { crash_sharing_.OnRow(row); }}),
+                  [this](const replication::Row& row) {
+                    crash_sharing_.OnRow(row);
+                  }}),
       crash_sharing_({.loop = loop,
                       .store = store_,
                       .ledger = path_.Crashes(),
@@ -210,7 +214,7 @@
   }
   crash_sharing_.Start();
   limit_sharing_.Start();
-  for (rows::TableFollower* const watch :
+  for (replication::TableFollower* const watch :
        {&operator_watch_, &target_watch_, &peers_.Watch()}) {
     watch->Mirror().OnChange(
         [this, watch] { teller_.OnChange(watch->Table()); });
@@ -221,17 +225,19 @@
   return std::nullopt;
 }
 
-rows::TableFollower::Options Node::WatchOptions(const std::string& table) {
+replication::TableFollower::Options Node::WatchOptions(
+    const std::string& table) {
   return {.table = table,
-          .pace = rows::PaceOf(1, settings_.bounds.in_touch_after),
+          .timing =
+              replication::FollowTimingFor(1, settings_.bounds.in_touch_after),
           .ask_peer =
-              [this](const rows::PeerQuestion& question,
-                     rows::RowsCallback callback) {
+              [this](const replication::RowsRequest& question,
+                     replication::RowsCallback callback) {
                 peers_.Readers().AskSomeReader(question, std::move(callback));
               },
           .ask_reader =
-              [this](const rows::PeerQuestion& question,
-                     rows::RowsCallback callback) {
+              [this](const replication::RowsRequest& question,
+                     replication::RowsCallback callback) {
                 return peers_.Readers().AskReader(question,
                                                   std::move(callback));
               }};
@@ -248,11 +254,11 @@
   target_watch_.Start();
 }
 
-rows::FreshTable Node::FindMirror(std::string_view table) {
-  for (rows::TableFollower* const watch :
+replication::FreshTable Node::FindMirror(std::string_view table) {
+  for (replication::TableFollower* const watch :
        {&operator_watch_, &target_watch_, &peers_.Watch()}) {
     if (watch->Table() == table) {
-      return watch->TellOthers();
+      return watch->ServeFollowers();
     }
   }
   return {};
@@ -284,17 +290,18 @@
   // Failure: news of the operator stops coming. Symptom: a route that was added
   // meanwhile is denied, and callers do not ask again after that. While an
   // answer of the store is due, a missing route may be news that has not come.
-  path_.SetNewsDoubtful(operator_watch_.IsOverdue());
+  path_.SetConfigurationStale(operator_watch_.IsOverdue());
   SetPaceOfWatches();
   UpdatePhase();
   AdvanceStop();
 }
 
 void Node::SetPaceOfWatches() {
-  const rows::FollowPace pace =
-      rows::PaceOf(peers_.HostsInRegion(), settings_.bounds.in_touch_after);
-  for (rows::TableFollower* const watch : {&operator_watch_, &target_watch_}) {
-    watch->SetPace(pace);
+  const replication::FollowTiming timing = replication::FollowTimingFor(
+      peers_.HostsInRegion(), settings_.bounds.in_touch_after);
+  for (replication::TableFollower* const watch :
+       {&operator_watch_, &target_watch_}) {
+    watch->SetTiming(timing);
   }
 }
 
@@ -331,7 +338,7 @@
        .idle_timeout = limits.idle_timeout});
 }
 
-void Node::OnTargetChange(BookChange change,
+void Node::OnTargetChange(TargetChange change,
                           const request_path::TargetRecord& target) {
   Log(LogLevel::kInfo, "target-changed",
       {{"change", kChangeNames.at(static_cast<std::size_t>(change))},
--- a/programs/node/node.h
+++ b/programs/node/node.h
@@ -5,9 +5,9 @@
 #include <optional>
 #include <string_view>
 
-#include "adapters/event/http_caller.h"
+#include "adapters/event/event_http_client.h"
 #include "adapters/event/http_listener.h"
-#include "adapters/forward/request_runner.h"
+#include "adapters/forward/request_forwarder.h"
 #include "adapters/process/node_settings.h"
 #include "adapters/process/span_output.h"
 #include "adapters/process/system_random.h"
@@ -17,12 +17,12 @@
 #include "medlarcroft/request_path/request_path.h"
 #include "medlarcroft/telemetry/metrics.h"
 #include "medlarcroft/telemetry/tracer.h"
-#include "metrics_page.h"
+#include "metrics_handler.h"
 #include "peer_group.h"
-#include "platform/mirror_page.h"
+#include "platform/mirror_handler.h"
 #include "platform/platform_codec.h"
-#include "platform/platform_pages.h"
-#include "routing_news.h"
+#include "platform/platform_handlers.h"
+#include "routing_table_listeners.h"
 
 namespace medlarcroft::node {
 
@@ -40,7 +40,7 @@
 
 /// @brief One host on the platform: look-ups, readiness, and callers' requests
 /// from arrival to answer, in one process and on one thread.
-class Node final : public request_path::BookObserver {
+class Node final : public request_path::TargetDirectoryObserver {
  public:
   Node(const adapters::NodeSettings& settings, adapters::EventLoop& loop);
 
@@ -49,21 +49,21 @@
   /// @param signals that asked for it so far.
   void RequestStop(int signals);
 
-  void OnTargetChange(request_path::BookChange change,
+  void OnTargetChange(request_path::TargetChange change,
                       const request_path::TargetRecord& target) override;
 
  private:
   struct ListenerPlan {
     const std::string& address;
-    adapters::HttpCallHandler& handler;
+    adapters::HttpRequestHandler& handler;
     std::unique_ptr<adapters::HttpListener>& listener;
     StartFailure failure;
   };
 
-  [[nodiscard]] rows::TableFollower::Options WatchOptions(
+  [[nodiscard]] replication::TableFollower::Options WatchOptions(
       const std::string& table);
   /// @return the rows of a table while this host hears from the store itself.
-  [[nodiscard]] rows::FreshTable FindMirror(std::string_view table);
+  [[nodiscard]] replication::FreshTable FindMirror(std::string_view table);
   /// @brief Begins to read once the hosts that may read for this one are known.
   void StartWatches(MonotonicTime deadline);
   [[nodiscard]] bool IsReady() const;
@@ -80,27 +80,27 @@
   telemetry::MetricsRegistry metrics_;
   request_path::DomainRegions regions_;
   routing::RouteTable routes_;
-  request_path::TargetBook targets_;
+  request_path::TargetDirectory targets_;
   request_path::RequestPath path_;
   platform::PlatformCodec codec_;
-  adapters::HttpCaller caller_;
+  adapters::EventHttpClient caller_;
   adapters::RequestTelemetry telemetry_;
   adapters::SpanOutput spans_;
   telemetry::Tracer tracer_;
-  adapters::RequestRunner runner_;
+  adapters::RequestForwarder runner_;
   platform::StoreClient store_;
   PeerGroup peers_;
   CrashSharing crash_sharing_;
   LimitSharing limit_sharing_;
-  OperatorNews operator_news_;
-  TargetNews target_news_;
-  rows::TableFollower operator_watch_;
-  rows::TableFollower target_watch_;
-  platform::ReadinessPage readiness_page_;
-  platform::LookupPage lookup_page_;
-  MetricsPage metrics_page_;
-  rows::TableTeller teller_;
-  platform::MirrorPage mirror_page_;
+  OperatorTableListener operator_news_;
+  TargetTableListener target_news_;
+  replication::TableFollower operator_watch_;
+  replication::TableFollower target_watch_;
+  platform::ReadinessHandler readiness_page_;
+  platform::LookupHandler lookup_page_;
+  MetricsHandler metrics_page_;
+  replication::TableServer teller_;
+  platform::MirrorHandler mirror_page_;
   process::StopSequence stop_;
   std::unique_ptr<adapters::HttpListener> caller_listener_;
   std::unique_ptr<adapters::HttpListener> readiness_listener_;
--- a/programs/node/peer_group.cc
+++ b/programs/node/peer_group.cc
@@ -5,9 +5,9 @@
 
 #include "adapters/process/log.h"
 #include "medlarcroft/membership/lookup_answer.h"
-#include "medlarcroft/news/news_pace.h"
+#include "medlarcroft/peer_updates/update_timing.h"
 #include "platform/host_entry.h"
-#include "platform/mirror_page.h"
+#include "platform/mirror_handler.h"
 
 namespace medlarcroft::node {
 
@@ -36,7 +36,7 @@
   return self;
 }
 
-void LogRelay(const news::RelayChange& change) {
+void LogRelay(const peer_updates::RelayChange& change) {
   Log(LogLevel::kInfo, "news-relay-changed",
       {{"domain", change.failure_domain.Value()},
        {"relay", change.relay.Value()},
@@ -45,19 +45,19 @@
 
 // A host that starts knows of no reader yet. Were its first call held as long
 // as later ones, it would miss the rows of all that start with it.
-rows::FollowPace PaceWhileHostsMeet() {
-  rows::FollowPace pace = rows::kPaceOfHostList;
-  pace.wait = kHoldWhileHostsMeet;
-  return pace;
+replication::FollowTiming PaceWhileHostsMeet() {
+  replication::FollowTiming timing = replication::kHostListTiming;
+  timing.wait = kHoldWhileHostsMeet;
+  return timing;
 }
 
 }  // namespace
 
 PeerGroup::PeerGroup(const adapters::NodeSettings& settings, const Parts& parts)
-    : LoggedTable("hosts"),
+    : LoggingTableListener("hosts"),
       settings_(settings),
       parts_(parts),
-      table_({.suspect_after = news::kUnheardLimit,
+      table_({.suspect_after = peer_updates::kLivenessTimeout,
               .dead_after = kTableLimit,
               .unknown_after = kTableLimit,
               .forget_after = kLostAfter},
@@ -66,13 +66,13 @@
       caller_(parts.loop, {.max_idle_per_address = 1}),
       readers_({.host = HostName(settings.host),
                 .failure_domain = FailureDomainName(settings.failure_domain),
-                .other_readers_asked = rows::OtherReadersAsked(
+                .other_readers_asked = replication::OtherReadersAsked(
                     settings.bounds.target_left_within)},
                {.directory = *this,
                 .ask_host =
                     [this](const std::string& address,
-                           const rows::PeerQuestion& question,
-                           rows::RowsCallback callback) {
+                           const replication::RowsRequest& question,
+                           replication::RowsCallback callback) {
                       platform::AskPeer(caller_, address, question,
                                         std::move(callback));
                     },
@@ -84,37 +84,38 @@
               .random = parts.random,
               .listener = *this},
              {.table = std::string(platform::kHostTable),
-              .pace = PaceWhileHostsMeet(),
-              .ask_reader = [this](const rows::PeerQuestion& question,
-                                   rows::RowsCallback callback) {
+              .timing = PaceWhileHostsMeet(),
+              .ask_reader = [this](const replication::RowsRequest& question,
+                                   replication::RowsCallback callback) {
                 return readers_.AskReader(question, std::move(callback));
               }}) {}
 
 bool PeerGroup::Start() {
   auto channel = adapters::PeerChannel::Open(
       parts_.loop, settings_.peer_listen,
-      [this](const news::PeerNews& news) { OnNews(news); });
+      [this](const peer_updates::PeerUpdate& news) { OnUpdate(news); });
   if (!IsOk(channel)) {
     return false;
   }
   channel_ = TakeValue(std::move(channel));
-  news_.emplace(news::RegionNews::Options{.host = HostName(settings_.host),
-                                          .failure_domain = FailureDomainName(
-                                              settings_.failure_domain),
-                                          .link_mbps = settings_.link_mbps,
-                                          .on_relay = LogRelay},
-                parts_.loop, *channel_);
+  news_.emplace(
+      peer_updates::RegionBroadcaster::Options{
+          .host = HostName(settings_.host),
+          .failure_domain = FailureDomainName(settings_.failure_domain),
+          .link_mbps = settings_.link_mbps,
+          .on_relay_changed = LogRelay},
+      parts_.loop, *channel_);
   global_news_.emplace(HostName(settings_.host),
-                       news::GlobalNews::Parts{
+                       peer_updates::GlobalBroadcaster::Parts{
                            .region = *news_,
                            .sender = *channel_,
                            .random = parts_.random,
                            .remote_hosts = [this] { return RemoteHosts(); }});
   news_->Start();
   watch_.Start();
-  parts_.loop.Every(news::kBeatPeriod, [this] { SendBeats(); });
+  parts_.loop.Every(peer_updates::kHeartbeatPeriod, [this] { SendBeats(); });
   parts_.loop.After(kHostsMeet,
-                    [this] { watch_.SetPace(rows::kPaceOfHostList); });
+                    [this] { watch_.SetTiming(replication::kHostListTiming); });
   parts_.loop.Every(kLostAfter, [this] {
     RemoveLostHosts();
     KeepOwnRow();
@@ -127,18 +128,18 @@
     return;
   }
   table_.UpdateSelf([&](membership::HostState& self) { self.phase = phase; });
-  news_->TellState(table_.Self());
+  news_->BroadcastState(table_.Self());
 }
 
-bool PeerGroup::IsLive(const membership::HeardHost& host) const {
-  return host.age < news::kUnheardLimit && !host.is_leaving &&
+bool PeerGroup::IsLive(const membership::HostStateView& host) const {
+  return host.age < peer_updates::kLivenessTimeout && !host.is_leaving &&
          host.state.phase != HostPhase::kLeaving &&
          IsInOwnRegion(host.state.failure_domain);
 }
 
 std::vector<std::string> PeerGroup::CallableAddresses(
     const FailureDomainName& domain) const {
-  std::vector<membership::CallableHost> callable;
+  std::vector<membership::LookupCandidate> callable;
   const auto add = [&](const membership::HostState& state) {
     const auto entry = entries_.find(state.host);
     callable.push_back(
@@ -149,16 +150,17 @@
   if (table_.Self().phase == HostPhase::kReady) {
     add(table_.Self());
   }
-  table_.VisitHeard([&](const membership::HeardHost& host) {
+  table_.VisitHostStates([&](const membership::HostStateView& host) {
     if (IsLive(host) && host.state.phase == HostPhase::kReady) {
       add(host.state);
     }
   });
-  return membership::ChooseNamedHosts(callable, domain, parts_.random);
+  return membership::ChooseLookupHosts(callable, domain, parts_.random);
 }
 
-rows::ReaderCandidate PeerGroup::CandidateOf(const membership::HostState& state,
-                                             const std::string& address) const {
+replication::ReaderCandidate PeerGroup::CandidateOf(
+    const membership::HostState& state,
+    const std::string& address) const {
   const auto entry = entries_.find(state.host);
   return {.host = state.host,
           .address = address,
@@ -166,10 +168,10 @@
           .link_mbps = entry == entries_.end() ? 0 : entry->second.link_mbps};
 }
 
-std::vector<rows::ReaderCandidate> PeerGroup::LiveHosts() const {
-  std::vector<rows::ReaderCandidate> live = {
+std::vector<replication::ReaderCandidate> PeerGroup::LiveHosts() const {
+  std::vector<replication::ReaderCandidate> live = {
       CandidateOf(table_.Self(), settings_.peer_listen)};
-  table_.VisitHeard([&](const membership::HeardHost& host) {
+  table_.VisitHostStates([&](const membership::HostStateView& host) {
     if (IsLive(host) && !host.state.peer_address.empty()) {
       live.push_back(CandidateOf(host.state, host.state.peer_address));
     }
@@ -177,8 +179,9 @@
   return live;
 }
 
-std::vector<rows::ReaderCandidate> PeerGroup::HostsElsewhere() const {
-  std::vector<rows::ReaderCandidate> elsewhere;
+std::vector<replication::ReaderCandidate> PeerGroup::HostsInOtherRegions()
+    const {
+  std::vector<replication::ReaderCandidate> elsewhere;
   for (const auto& [name, entry] : entries_) {
     if (!IsInOwnRegion(entry.host.failure_domain)) {
       elsewhere.push_back({.host = name,
@@ -190,8 +193,8 @@
   return elsewhere;
 }
 
-std::vector<news::RemoteHost> PeerGroup::RemoteHosts() const {
-  std::vector<news::RemoteHost> hosts;
+std::vector<peer_updates::RemoteHost> PeerGroup::RemoteHosts() const {
+  std::vector<peer_updates::RemoteHost> hosts;
   for (const auto& [name, entry] : entries_) {
     const auto region = parts_.regions.find(entry.host.failure_domain);
     if (region != parts_.regions.end() &&
@@ -208,7 +211,7 @@
 }
 
 bool PeerGroup::IsLargeRegion() const {
-  return HostsInRegion() > rows::kHostsThatReadThemselves;
+  return HostsInRegion() > replication::kMaxDirectReaders;
 }
 
 // Where all hosts start together a large region looks small at first: few have
@@ -232,31 +235,32 @@
   const membership::HostState& self = table_.Self();
   const auto heartbeat =
       membership::MakeHeartbeat(self.host, self.number, Duration(0));
-  if (news_->IsRelayed()) {
-    news_->TellStateInTurn(self);
+  if (news_->UsesRelays()) {
+    news_->SendStateToNextPeers(self);
   } else if (++beats_ % kWholeStateEvery == 0) {
-    news_->TellState(self);
+    news_->BroadcastState(self);
   }
   if (heartbeat) {
-    news_->TellBeat(*heartbeat);
+    news_->BroadcastHeartbeat(*heartbeat);
   }
 }
 
-void PeerGroup::TellPlaced(const news::PlacedObject& placed) {
-  news_->TellPlaced(placed);
+void PeerGroup::BroadcastPlacement(const peer_updates::PlacedObject& placed) {
+  news_->BroadcastPlacement(placed);
 }
 
-void PeerGroup::TellLoad(const news::ToldLoad& load) {
-  news_->TellLoad(load);
+void PeerGroup::BroadcastLoad(const peer_updates::ReportedLoad& load) {
+  news_->BroadcastLoad(load);
 }
 
-void PeerGroup::TellCrashes(
+void PeerGroup::BroadcastCrashes(
     std::span<const request_path::CrashReport> reports) {
-  global_news_->TellCrashes(reports);
+  global_news_->BroadcastCrashes(reports);
 }
 
-void PeerGroup::TellLimits(std::span<const request_path::LimitReport> reports) {
-  global_news_->TellLimits(reports);
+void PeerGroup::BroadcastLimits(
+    std::span<const request_path::LimitReport> reports) {
+  global_news_->BroadcastLimits(reports);
 }
 
 request_path::LimitHosts PeerGroup::LimitHosts() const {
@@ -266,7 +270,7 @@
       .known_in_region = HostsInRegion(),
       .known_hosts = KnownHosts()};
   hosts.live_in_region.push_back(hosts.own_hash);
-  table_.VisitHeard([&](const membership::HeardHost& host) {
+  table_.VisitHostStates([&](const membership::HostStateView& host) {
     if (IsLive(host) && host.state.phase == HostPhase::kReady) {
       hosts.live_in_region.push_back(membership::HashOf(host.state.host));
     }
@@ -274,19 +278,19 @@
   return hosts;
 }
 
-void PeerGroup::OnNews(const news::PeerNews& news) {
-  news_->OnNews(news);
-  global_news_->OnNews(news);
+void PeerGroup::OnUpdate(const peer_updates::PeerUpdate& news) {
+  news_->OnUpdate(news);
+  global_news_->OnUpdate(news);
   if (news.state) {
     OnState(*news.state);
   }
   for (const membership::Heartbeat& heartbeat : news.heartbeats) {
     table_.Receive(heartbeat);
   }
-  for (const news::PlacedObject& placed : news.placed) {
+  for (const peer_updates::PlacedObject& placed : news.placed) {
     parts_.on_placed(placed);
   }
-  for (const news::ToldLoad& load : news.loads) {
+  for (const peer_updates::ReportedLoad& load : news.loads) {
     parts_.on_load(load);
   }
   for (const request_path::CrashReport& report : news.crashes) {
--- a/programs/node/peer_group.h
+++ b/programs/node/peer_group.h
@@ -11,22 +11,23 @@
 #include "adapters/event/event_loop.h"
 #include "adapters/peer/peer_channel.h"
 #include "adapters/process/node_settings.h"
-#include "logged_table.h"
+#include "logging_table_listener.h"
 #include "medlarcroft/membership/membership_table.h"
-#include "medlarcroft/news/global_news.h"
-#include "medlarcroft/news/region_news.h"
+#include "medlarcroft/peer_updates/global_broadcaster.h"
+#include "medlarcroft/peer_updates/region_broadcaster.h"
 #include "medlarcroft/ports/host_list.h"
 #include "medlarcroft/ports/random_source.h"
-#include "medlarcroft/request_path/target_book.h"
-#include "medlarcroft/rows/peer_readers.h"
-#include "platform/decode_fault.h"
+#include "medlarcroft/replication/peer_readers.h"
+#include "medlarcroft/request_path/target_directory.h"
+#include "platform/decode_error.h"
 #include "platform/store_client.h"
 
 namespace medlarcroft::node {
 
 /// @brief The other hosts: found through rows of the system's own table, heard
 /// through datagrams within the region.
-class PeerGroup final : public LoggedTable, public rows::PeerDirectory {
+class PeerGroup final : public LoggingTableListener,
+                        public replication::PeerDirectory {
  public:
   struct Parts {
     adapters::EventLoop& loop;
@@ -34,15 +35,15 @@
     ports::RandomSource& random;
     const request_path::DomainRegions& regions;
     /// Told what other hosts of the region placed.
-    std::function<void(const news::PlacedObject&)> on_placed;
+    std::function<void(const peer_updates::PlacedObject&)> on_placed;
     /// Told what other hosts of the region heard of targets' load.
-    std::function<void(const news::ToldLoad&)> on_load;
+    std::function<void(const peer_updates::ReportedLoad&)> on_load;
     /// Called for each crash report from a host of any region.
     std::function<void(const request_path::CrashReport&)> on_crash_report;
     /// Called for each rate limit report from a host of any region.
     std::function<void(const request_path::LimitReport&)> on_limit_report;
     /// Called when the row of a blocked request changes.
-    std::function<void(const rows::Row&)> on_blocked_row;
+    std::function<void(const replication::Row&)> on_blocked_row;
   };
 
   PeerGroup(const adapters::NodeSettings& settings, const Parts& parts);
@@ -52,15 +53,15 @@
 
   void SetPhase(membership::HostPhase phase);
   /// @brief Tells the other hosts of the region what was placed.
-  void TellPlaced(const news::PlacedObject& placed);
+  void BroadcastPlacement(const peer_updates::PlacedObject& placed);
   /// @brief Tells the other hosts of the region a target's load. Each host
   /// hears from a target a few times a second at most, and the others' work
   /// there changes meanwhile: with this it hears as often as all of them
   /// together.
-  void TellLoad(const news::ToldLoad& load);
+  void BroadcastLoad(const peer_updates::ReportedLoad& load);
   /// @brief Sends the reports to the hosts of all regions.
-  void TellCrashes(std::span<const request_path::CrashReport> reports);
-  void TellLimits(std::span<const request_path::LimitReport> reports);
+  void BroadcastCrashes(std::span<const request_path::CrashReport> reports);
+  void BroadcastLimits(std::span<const request_path::LimitReport> reports);
   /// @return the hosts among which rate limits are divided.
   [[nodiscard]] request_path::LimitHosts LimitHosts() const;
   /// @param domain of the callers; empty: unknown.
@@ -69,7 +70,7 @@
       const FailureDomainName& domain) const;
   /// @return all hosts that have a row, this one included.
   [[nodiscard]] std::uint32_t KnownHosts() const;
-  [[nodiscard]] rows::PeerReaders& Readers() { return readers_; }
+  [[nodiscard]] replication::PeerReaders& Readers() { return readers_; }
   /// @return how many hosts of the region have a row, this one included.
   [[nodiscard]] std::size_t HostsInRegion() const override;
   /// @return whether one host reads each table for all of the region, as soon
@@ -77,14 +78,15 @@
   [[nodiscard]] bool IsLargeRegion() const;
   /// @return whether the hosts that may read for this one are known.
   [[nodiscard]] bool HasFoundReaders() const;
-  [[nodiscard]] rows::TableFollower& Watch() { return watch_; }
+  [[nodiscard]] replication::TableFollower& Watch() { return watch_; }
 
-  [[nodiscard]] std::vector<rows::ReaderCandidate> LiveHosts() const override;
-  [[nodiscard]] std::vector<rows::ReaderCandidate> HostsElsewhere()
+  [[nodiscard]] std::vector<replication::ReaderCandidate> LiveHosts()
+      const override;
+  [[nodiscard]] std::vector<replication::ReaderCandidate> HostsInOtherRegions()
       const override;
 
-  void OnTable(std::span<const rows::Row> rows) override;
-  void OnRows(std::span<const rows::Row> rows) override;
+  void OnTable(std::span<const replication::Row> rows) override;
+  void OnRows(std::span<const replication::Row> rows) override;
 
  private:
   // A row without a living host is taken away after this; until then the host
@@ -100,9 +102,10 @@
     bool is_introduced = false;
   };
 
-  void Apply(const rows::Row& row);
+  void Apply(const replication::Row& row);
   /// @brief What was known of the host holds; its own row it writes anew.
-  void OnUnreadable(const rows::Row& row, const platform::DecodeFault& fault);
+  void OnUnreadable(const replication::Row& row,
+                    const platform::DecodeError& fault);
   void PublishList();
   /// @brief Writes this host's row unless it stands there as it would be.
   void KeepOwnRow();
@@ -110,13 +113,13 @@
   /// @brief Tells what this host is to those that have not heard it.
   void Introduce();
   void SendBeats();
-  void OnNews(const news::PeerNews& news);
+  void OnUpdate(const peer_updates::PeerUpdate& news);
   void OnState(const membership::HostState& state);
   /// @return whether that host of the region is alive and does not leave.
-  [[nodiscard]] bool IsLive(const membership::HeardHost& host) const;
+  [[nodiscard]] bool IsLive(const membership::HostStateView& host) const;
   void RemoveLostHosts();
-  [[nodiscard]] std::vector<news::RemoteHost> RemoteHosts() const;
-  [[nodiscard]] rows::ReaderCandidate CandidateOf(
+  [[nodiscard]] std::vector<peer_updates::RemoteHost> RemoteHosts() const;
+  [[nodiscard]] replication::ReaderCandidate CandidateOf(
       const membership::HostState& state,
       const std::string& address) const;
   [[nodiscard]] bool IsInOwnRegion(const FailureDomainName& domain) const;
@@ -124,12 +127,12 @@
   const adapters::NodeSettings& settings_;
   Parts parts_;
   membership::MembershipTable table_;
-  adapters::HttpCaller caller_;
+  adapters::EventHttpClient caller_;
   std::unique_ptr<adapters::PeerChannel> channel_;
-  rows::PeerReaders readers_;
-  rows::TableFollower watch_;
-  std::optional<news::RegionNews> news_;
-  std::optional<news::GlobalNews> global_news_;
+  replication::PeerReaders readers_;
+  replication::TableFollower watch_;
+  std::optional<peer_updates::RegionBroadcaster> news_;
+  std::optional<peer_updates::GlobalBroadcaster> global_news_;
   std::map<HostName, Entry> entries_;
   std::uint32_t beats_ = 0;
   bool is_writing_ = false;
--- a/programs/node/peer_group_rows.cc
+++ b/programs/node/peer_group_rows.cc
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-void PeerGroup::OnTable(std::span<const rows::Row> rows) {
+void PeerGroup::OnTable(std::span<const replication::Row> rows) {
   std::set<HostName> listed;
-  for (const rows::Row& row : rows) {
+  for (const replication::Row& row : rows) {
     listed.emplace(row.key);
     Apply(row);
   }
@@ -33,8 +33,8 @@
   Introduce();
 }
 
-void PeerGroup::OnRows(std::span<const rows::Row> rows) {
-  for (const rows::Row& row : rows) {
+void PeerGroup::OnRows(std::span<const replication::Row> rows) {
+  for (const replication::Row& row : rows) {
     Apply(row);
   }
   PublishList();
@@ -62,8 +62,8 @@
   }
 }
 
-void PeerGroup::Apply(const rows::Row& row) {
-  if (platform::BlockedRequestOf(row.key)) {
+void PeerGroup::Apply(const replication::Row& row) {
+  if (platform::ParseBlockedRequestKey(row.key)) {
     parts_.on_blocked_row(row);
     return;
   }
@@ -91,8 +91,8 @@
 // others would divide what all may send among fewer hosts than send. So they
 // keep what they knew, and the host itself takes its row for gone and writes it
 // again.
-void PeerGroup::OnUnreadable(const rows::Row& row,
-                             const platform::DecodeFault& fault) {
+void PeerGroup::OnUnreadable(const replication::Row& row,
+                             const platform::DecodeError& fault) {
   Log(LogLevel::kWarning, "host-entry-unreadable",
       {{"peer", row.key},
        {"row_version", row.version},
@@ -110,7 +110,7 @@
 
 void PeerGroup::PublishList() {
   std::vector<ports::ListedHost> hosts;
-  std::vector<news::Peer> peers;
+  std::vector<peer_updates::Peer> peers;
   for (const auto& [name, entry] : entries_) {
     hosts.push_back(entry.host);
     if (name.Value() != settings_.host &&
@@ -145,23 +145,23 @@
                .failure_domain = FailureDomainName(settings_.failure_domain),
                .address = settings_.peer_listen},
       .link_mbps = settings_.link_mbps};
-  parts_.store.Write({.table = std::string(platform::kHostTable),
-                      .key = settings_.host,
-                      .value = platform::EncodeHostEntry(self)},
-                     [this](const Result<Success, rows::RowFailure>& result) {
-                       // Writing it twice does no harm.
-                       if (!IsOk(result)) {
-                         parts_.loop.After(kWriteAgain,
-                                           [this] { WriteOwnRow(); });
-                         return;
-                       }
-                       is_writing_ = false;
-                       written_at_ = parts_.loop.Now();
-                     });
+  parts_.store.Write(
+      {.table = std::string(platform::kHostTable),
+       .key = settings_.host,
+       .value = platform::EncodeHostEntry(self)},
+      [this](const Result<Success, replication::RowFailure>& result) {
+        // Writing it twice does no harm.
+        if (!IsOk(result)) {
+          parts_.loop.After(kWriteAgain, [this] { WriteOwnRow(); });
+          return;
+        }
+        is_writing_ = false;
+        written_at_ = parts_.loop.Now();
+      });
 }
 
 void PeerGroup::RemoveLostHosts() {
-  if (watch_.IsAway()) {
+  if (watch_.IsDisconnected()) {
     return;
   }
   const MonotonicTime now = parts_.loop.Now();
@@ -181,7 +181,7 @@
     parts_.store.Write({.table = std::string(platform::kHostTable),
                         .key = name.Value(),
                         .expected_version = entry.row_version},
-                       [](const Result<Success, rows::RowFailure>&) {});
+                       [](const Result<Success, replication::RowFailure>&) {});
   }
 }
 
--- a/programs/node/routing_news.cc
+++ b/programs/node/routing_table_listeners.cc
@@ -1,4 +1,4 @@
-#include "routing_news.h"
+#include "routing_table_listeners.h"
 
 #include <string_view>
 #include <utility>
@@ -20,8 +20,8 @@
 constexpr Duration kRegisteredAgain = std::chrono::milliseconds(2200);
 
 void LogUnreadable(std::string_view event,
-                   const rows::Row& row,
-                   const platform::DecodeFault& fault) {
+                   const replication::Row& row,
+                   const platform::DecodeError& fault) {
   Log(LogLevel::kError, event,
       {{"key", row.key},
        {"row_version", row.version},
@@ -31,27 +31,27 @@
 
 }  // namespace
 
-void OperatorNews::OnTable(std::span<const rows::Row> rows) {
+void OperatorTableListener::OnTable(std::span<const replication::Row> rows) {
   evacuated_.clear();
-  for (const rows::Row& row : rows) {
+  for (const replication::Row& row : rows) {
     Apply(row);
   }
   PublishEvacuated();
 }
 
-void OperatorNews::OnRows(std::span<const rows::Row> rows) {
-  for (const rows::Row& row : rows) {
+void OperatorTableListener::OnRows(std::span<const replication::Row> rows) {
+  for (const replication::Row& row : rows) {
     Apply(row);
   }
   PublishEvacuated();
 }
 
-void OperatorNews::Apply(const rows::Row& row) {
+void OperatorTableListener::Apply(const replication::Row& row) {
   if (platform::IsConfigurationKey(row.key)) {
     ApplyConfiguration(row);
     return;
   }
-  const auto domain = platform::EvacuatedDomainOf(row.key);
+  const auto domain = platform::ParseEvacuationKey(row.key);
   if (!domain) {
     return;
   }
@@ -64,7 +64,7 @@
   }
 }
 
-void OperatorNews::ApplyConfiguration(const rows::Row& row) {
+void OperatorTableListener::ApplyConfiguration(const replication::Row& row) {
   // Nobody takes a configuration away: what is in force stays.
   if (row.is_removed) {
     return;
@@ -87,14 +87,14 @@
   on_configuration_();
 }
 
-void OperatorNews::PublishEvacuated() {
+void OperatorTableListener::PublishEvacuated() {
   targets_.SetEvacuated(evacuated_, loop_.Now());
 }
 
-void TargetNews::OnTable(std::span<const rows::Row> rows) {
+void TargetTableListener::OnTable(std::span<const replication::Row> rows) {
   std::vector<request_path::TargetRecord> targets;
   std::vector<TargetName> unreadable;
-  for (const rows::Row& row : rows) {
+  for (const replication::Row& row : rows) {
     if (auto target = Decode(row)) {
       targets.push_back(std::move(*target));
     } else {
@@ -104,9 +104,9 @@
   targets_.ReplaceAll(targets, unreadable, DoubtedUntil(), loop_.Now());
 }
 
-void TargetNews::OnRows(std::span<const rows::Row> rows) {
+void TargetTableListener::OnRows(std::span<const replication::Row> rows) {
   const MonotonicTime now = loop_.Now();
-  for (const rows::Row& row : rows) {
+  for (const replication::Row& row : rows) {
     if (row.is_removed) {
       unreadable_.erase(row.key);
       targets_.Remove(TargetName(row.key), DoubtedUntil());
@@ -118,8 +118,8 @@
   }
 }
 
-std::optional<request_path::TargetRecord> TargetNews::Decode(
-    const rows::Row& row) {
+std::optional<request_path::TargetRecord> TargetTableListener::Decode(
+    const replication::Row& row) {
   auto target = platform::DecodeTargetEntry(row.key, row.value);
   if (IsOk(target)) {
     unreadable_.erase(row.key);
@@ -133,16 +133,16 @@
   return std::nullopt;
 }
 
-std::optional<MonotonicTime> TargetNews::DoubtedUntil() const {
+std::optional<MonotonicTime> TargetTableListener::DoubtedUntil() const {
   if (!back_at_ || loop_.Now() - *back_at_ > kRegisteredAgain) {
     return std::nullopt;
   }
   return *back_at_ + kRegisteredAgain;
 }
 
-void TargetNews::OnStoreBack(Duration away) {
+void TargetTableListener::OnStoreRecovered(Duration away) {
   back_at_ = loop_.Now();
-  LoggedTable::OnStoreBack(away);
+  LoggingTableListener::OnStoreRecovered(away);
 }
 
 }  // namespace medlarcroft::node
--- a/tests/fakes/fake_store_server.h
+++ b/tests/fakes/fake_store_server.h
@@ -11,13 +11,13 @@
 
 #include "adapters/event/http_listener.h"
 #include "platform/json_reader.h"
-#include "platform/platform_pages.h"
+#include "platform/platform_handlers.h"
 
 namespace medlarcroft::fakes {
 
 /// @brief The platform's store, one table, on the event loop of a test: rows,
 /// conditions and feed as its pages tell, with the faults that a test sets.
-class FakeStoreServer final : public adapters::HttpCallHandler {
+class FakeStoreServer final : public adapters::HttpRequestHandler {
  public:
   explicit FakeStoreServer(adapters::EventLoop& loop) : loop_(loop) {
     Listen("127.0.0.1:0");
@@ -46,35 +46,35 @@
   void Compact() { oldest_ = version + 1; }
 
   // Faults.
-  std::optional<int> refuse_with;  ///< Status of every answer.
-  bool is_silent = false;          ///< Calls get no answer.
-  bool loses_answers = false;      ///< Writes are done and not answered.
+  std::optional<int> forced_status;    ///< Status of every answer.
+  bool is_unresponsive = false;        ///< Calls get no answer.
+  bool drops_write_responses = false;  ///< Writes are done and not answered.
   /// Calls are taken up so much later; one that waits no longer is not told.
-  Duration slow_by{0};
+  Duration processing_delay{0};
   /// Writes are done so much later, and not answered.
-  Duration writes_late_by{0};
-  std::uint64_t behind_by = 0;  ///< Lists tell an older version.
-  std::size_t page_rows = 500;
+  Duration write_delay{0};
+  std::uint64_t reported_version_lag = 0;  ///< Lists tell an older version.
+  std::size_t rows_per_page = 500;
 
   std::uint64_t version = 0;
   std::map<std::string, int> calls;
 
-  void OnCall(
+  void OnRequest(
       adapters::HttpRequest request,
       const std::shared_ptr<adapters::HttpExchange>& exchange) override {
     const std::string path =
         request.raw_target.substr(0, request.raw_target.find('?'));
     ++calls[path];
-    if (is_silent) {
+    if (is_unresponsive) {
       hanging_.push_back(exchange);
       return;
     }
-    if (refuse_with) {
-      exchange->Answer({.status = *refuse_with});
+    if (forced_status) {
+      exchange->Respond({.status = *forced_status});
       return;
     }
-    if (slow_by > Duration(0)) {
-      loop_.After(slow_by, [this, path, request, exchange] {
+    if (processing_delay > Duration(0)) {
+      loop_.After(processing_delay, [this, path, request, exchange] {
         TakeUp(path, request, exchange);
       });
       return;
@@ -99,9 +99,9 @@
       List(request.raw_target, *exchange);
     } else if (path.ends_with("rows-feed")) {
       Feed(request.raw_target, exchange);
-    } else if (writes_late_by > Duration(0)) {
+    } else if (write_delay > Duration(0)) {
       hanging_.push_back(exchange);
-      loop_.After(writes_late_by,
+      loop_.After(write_delay,
                   [this, request, exchange] { Write(request.body, exchange); });
     } else {
       Write(request.body, exchange);
@@ -114,10 +114,10 @@
                        std::string(platform::FindParameter(target, name)));
   }
 
-  void Answer(adapters::HttpExchange& exchange, nlohmann::json body) {
+  void Respond(adapters::HttpExchange& exchange, nlohmann::json body) {
     const auto now = ToMilliseconds(loop_.Now().time_since_epoch());
     body["now"] = std::to_string(now) + "ms";
-    exchange.Answer({.status = 200, .body = body.dump()});
+    exchange.Respond({.status = 200, .body = body.dump()});
   }
 
   static nlohmann::json RowOf(
@@ -142,26 +142,26 @@
       if (key < from || (is_after && key == from)) {
         continue;
       }
-      if (rows.size() == page_rows) {
+      if (rows.size() == rows_per_page) {
         has_more = true;
         break;
       }
       rows.push_back(RowOf(key, row));
     }
-    Answer(exchange, {{"rows", rows},
-                      {"has_more", has_more},
-                      {"schema_version", version - behind_by}});
+    Respond(exchange, {{"rows", rows},
+                       {"has_more", has_more},
+                       {"schema_version", version - reported_version_lag}});
   }
 
   void Feed(const std::string& target,
             const std::shared_ptr<adapters::HttpExchange>& exchange) {
     const std::uint64_t after = NumberOf(target, "after");
     if (after + 1 < oldest_) {
-      exchange->Answer({.status = 410});
+      exchange->Respond({.status = 410});
       return;
     }
     if (after < version) {
-      Answer(*exchange, ChangesAfter(after));
+      Respond(*exchange, ChangesAfter(after));
       return;
     }
     feeds_.push_back({exchange, after});
@@ -170,9 +170,9 @@
     // Only the first answer counts, if a change came before.
     loop_.After(wait, [this, exchange, after] {
       if (after + 1 < oldest_) {
-        exchange->Answer({.status = 410});
+        exchange->Respond({.status = 410});
       } else {
-        Answer(*exchange, ChangesAfter(after));
+        Respond(*exchange, ChangesAfter(after));
       }
     });
   }
@@ -198,11 +198,11 @@
   }
 
   void WakeFeeds() {
-    if (is_silent) {
+    if (is_unresponsive) {
       return;
     }
     for (const Waiting& waiting : std::exchange(feeds_, {})) {
-      Answer(*waiting.exchange, ChangesAfter(waiting.after));
+      Respond(*waiting.exchange, ChangesAfter(waiting.after));
     }
   }
 
@@ -225,7 +225,7 @@
       const auto found = rows_.find(condition.at("key").get<std::string>());
       const std::uint64_t has = found == rows_.end() ? 0 : found->second.second;
       if (has != condition.at("schema_version").get<std::uint64_t>()) {
-        exchange->Answer({.status = 412, .body = ConditionRows(transaction)});
+        exchange->Respond({.status = 412, .body = ConditionRows(transaction)});
         return;
       }
     }
@@ -236,11 +236,11 @@
     for (const nlohmann::json& row : transaction.at("remove")) {
       Remove(row.at("key"));
     }
-    if (loses_answers || writes_late_by > Duration(0)) {
+    if (drops_write_responses || write_delay > Duration(0)) {
       hanging_.push_back(exchange);
       return;
     }
-    Answer(*exchange, {{"schema_version", version}});
+    Respond(*exchange, {{"schema_version", version}});
   }
 
   adapters::EventLoop& loop_;
--- a/tests/fakes/fake_table_store.h
+++ b/tests/fakes/fake_table_store.h
@@ -19,9 +19,9 @@
 /// @brief What becomes of the next commit.
 enum class CommitFault {
   kNone,
-  kAnswerLost,   ///< Takes effect, but the answer is `kOutcomeUnknown`.
-  kRequestLost,  ///< Takes no effect; the answer is `kOutcomeUnknown`.
-  kLate,         ///< `kOutcomeUnknown`; takes effect at `DeliverLate`.
+  kResponseLost,  ///< Takes effect, but the answer is `kOutcomeUnknown`.
+  kRequestLost,   ///< Takes no effect; the answer is `kOutcomeUnknown`.
+  kDelayed,  ///< `kOutcomeUnknown`; takes effect at `DeliverDelayedCommits`.
 };
 
 /// @brief A transactional table in memory, with the platform's ways to fail.
@@ -35,25 +35,25 @@
   void SetDown(bool is_down) { is_down_ = is_down; }
 
   /// @brief While reads fail, commits still work; `kOutcomeUnknown`.
-  void SetReadsLost(bool are_lost) { are_reads_lost_ = are_lost; }
+  void SetReadsFailing(bool are_lost) { are_reads_lost_ = are_lost; }
 
   /// @brief Every call moves `clock` by `latency` before it is answered.
-  void SetSlow(ManualClock* clock, Duration latency) {
+  void SetLatency(ManualClock* clock, Duration latency) {
     slow_clock_ = clock;
     latency_ = latency;
   }
 
-  /// @brief Reads and scans show the table as it is now until `ThawReads`.
+  /// @brief Reads and scans show the table as it is now until `UnfreezeReads`.
   void FreezeReads() { frozen_ = rows_; }
-  void ThawReads() { frozen_.reset(); }
+  void UnfreezeReads() { frozen_.reset(); }
 
   /// @brief Sets the fault of the next commits, in order.
   void FailNextCommits(std::vector<CommitFault> faults) {
     faults_ = std::move(faults);
   }
 
-  /// @brief Lets commits of kind `kLate` reach the table now.
-  void DeliverLate() {
+  /// @brief Lets commits of kind `kDelayed` reach the table now.
+  void DeliverDelayedCommits() {
     for (const ports::Transaction& transaction :
          std::exchange(late_, std::vector<ports::Transaction>())) {
       Apply(transaction);
@@ -114,14 +114,14 @@
       hook();
     }
     const CommitFault fault = NextFault();
-    if (fault == CommitFault::kLate) {
+    if (fault == CommitFault::kDelayed) {
       late_.push_back(transaction);
     }
-    if (fault == CommitFault::kLate || fault == CommitFault::kRequestLost) {
+    if (fault == CommitFault::kDelayed || fault == CommitFault::kRequestLost) {
       return ports::StoreFailure::kOutcomeUnknown;
     }
     ports::TransactionOutcome outcome = Apply(transaction);
-    if (fault == CommitFault::kAnswerLost) {
+    if (fault == CommitFault::kResponseLost) {
       return ports::StoreFailure::kOutcomeUnknown;
     }
     return outcome;
--- a/tests/fakes/virtual_time.h
+++ b/tests/fakes/virtual_time.h
@@ -16,7 +16,7 @@
 /// a dead one's are dropped.
 class VirtualTime {
  public:
-  static constexpr int kNobody = -1;
+  static constexpr int kNoHost = -1;
 
   [[nodiscard]] MonotonicTime Now() const { return now_; }
 
@@ -56,7 +56,7 @@
   struct Event {
     MonotonicTime at;
     std::uint64_t number = 0;
-    int host = kNobody;
+    int host = kNoHost;
     std::uint64_t life = 0;
     std::function<void()> task;
 
--- a/tests/fuzz/key_fuzzer.cc
+++ b/tests/fuzz/key_fuzzer.cc
@@ -17,8 +17,8 @@
 
   const auto key = idempotency::ParseKey(text);
   if (medlarcroft::IsOk(key)) {
-    const auto again =
-        idempotency::ParseKey(idempotency::ToText(medlarcroft::ValueOf(key)));
+    const auto again = idempotency::ParseKey(
+        idempotency::FormatKey(medlarcroft::ValueOf(key)));
     if (!medlarcroft::IsOk(again) ||
         medlarcroft::ValueOf(again) != medlarcroft::ValueOf(key)) {
       std::abort();
--- a/tests/fuzz/peer_message_fuzzer.cc
+++ b/tests/fuzz/peer_message_fuzzer.cc
@@ -11,7 +11,7 @@
 #include "adapters/peer/frame.h"
 #include "adapters/peer/peer_channel.h"
 #include "adapters/peer/wire_conversion.h"
-#include "adapters/platform/catalogue_wire.h"
+#include "adapters/platform/catalogue_wire_conversion.h"
 
 namespace {
 
@@ -44,7 +44,7 @@
   }
 
   static_cast<void>(
-      adapters::DecodePeerNews({reinterpret_cast<const char*>(data), size}));
+      adapters::DecodePeerUpdate({reinterpret_cast<const char*>(data), size}));
 
   wire::Exchange exchange;
   if (Read(bytes, exchange)) {
--- a/tests/fuzz/settings_fuzzer.cc
+++ b/tests/fuzz/settings_fuzzer.cc
@@ -21,8 +21,8 @@
     (void)FormatSettings(schema, ValueOf(result));
     return;
   }
-  for (const SettingsFault& fault : ErrorOf(result)) {
-    if (FormatFault(fault).empty() || fault.allowed.empty()) {
+  for (const SettingsError& fault : ErrorOf(result)) {
+    if (FormatSettingsError(fault).empty() || fault.allowed.empty()) {
       std::abort();
     }
   }
--- a/tests/property/at_most_once_property_test.cc
+++ b/tests/property/at_most_once_property_test.cc
@@ -127,14 +127,15 @@
       case Event::kRestart:
         return Restart(host);
       case Event::kLoseAnswer:
-        return store_.FailNextCommits({CommitFault::kAnswerLost});
+        return store_.FailNextCommits({CommitFault::kResponseLost});
       case Event::kLoseRequest:
         return store_.FailNextCommits(
             {CommitFault::kRequestLost, CommitFault::kRequestLost});
       case Event::kDelayWrite:
-        return store_.FailNextCommits({CommitFault::kLate, CommitFault::kLate});
+        return store_.FailNextCommits(
+            {CommitFault::kDelayed, CommitFault::kDelayed});
       case Event::kDeliverLate:
-        return store_.DeliverLate();
+        return store_.DeliverDelayedCommits();
       case Event::kPlatformDown:
         return store_.SetDown(true);
       case Event::kPlatformUp:
@@ -174,7 +175,7 @@
   void Attempt(Host& host, std::size_t index) {
     const BeginResult result =
         host.ledger->Begin(keys_[index], Fingerprint{}, 100, 1);
-    if (std::holds_alternative<RunIt>(result)) {
+    if (std::holds_alternative<DispatchRequest>(result)) {
       host.begun.insert(index);
     } else if (const auto* refused = std::get_if<Refused>(&result)) {
       Say(index, refused->outcome);
--- a/tests/property/catalogue_property_test.cc
+++ b/tests/property/catalogue_property_test.cc
@@ -82,10 +82,11 @@
   bool is_deletion = *rc::gen::weightedElement<bool>({{4, false}, {1, true}});
   std::vector<CommitFault> faults =
       *rc::gen::container<std::vector<CommitFault>>(
-          rc::gen::weightedElement<CommitFault>({{4, CommitFault::kNone},
-                                                 {1, CommitFault::kAnswerLost},
-                                                 {1, CommitFault::kRequestLost},
-                                                 {1, CommitFault::kLate}}));
+          rc::gen::weightedElement<CommitFault>(
+              {{4, CommitFault::kNone},
+               {1, CommitFault::kResponseLost},
+               {1, CommitFault::kRequestLost},
+               {1, CommitFault::kDelayed}}));
 
   void run(const Model&, System& system) const override {
     const std::string id = "c" + std::to_string(++system.changes);
@@ -120,7 +121,7 @@
       return;
     }
     // Told "not made": it must not be there, nor appear when late commits land.
-    system.platform.table.DeliverLate();
+    system.platform.table.DeliverDelayedCommits();
     RC_ASSERT(!system.platform.table.Rows().contains(ChangeIdKey(id)));
   }
 
@@ -143,11 +144,11 @@
         table.FreezeReads();
         break;
       case 2:
-        table.DeliverLate();
+        table.DeliverDelayedCommits();
         break;
       default:
         table.SetDown(false);
-        table.ThawReads();
+        table.UnfreezeReads();
     }
   }
 
@@ -248,8 +249,8 @@
                                           ChangeWeather>());
 
     system.platform.table.SetDown(false);
-    system.platform.table.ThawReads();
-    system.platform.table.DeliverLate();
+    system.platform.table.UnfreezeReads();
+    system.platform.table.DeliverDelayedCommits();
     const auto changes = ChangesIn(system);
     const std::uint64_t last = changes.empty() ? 0 : changes.rbegin()->first;
     RC_ASSERT(last == changes.size());
--- a/tests/property/decision_scheduler_test.cc
+++ b/tests/property/decision_scheduler_test.cc
@@ -86,7 +86,7 @@
     const auto outcome = static_cast<AttemptOutcome>(*rc::gen::inRange(0, 10));
     attempts_of_[target].erase(id);
     // A target that may not have heard the end works on to the deadline.
-    if (RulesOf(outcome).release == SlotRelease::kAfterDeadline) {
+    if (RulesFor(outcome).release == SlotRelease::kAfterDeadline) {
       working_on_[target].push_back(deadline);
     }
     attempts_.erase(chosen);
@@ -99,7 +99,7 @@
     }
     Tracked& request = tracked->second;
     request.running.erase(id);
-    if (RulesOf(outcome).run_state != RunState::kNotRun) {
+    if (RulesFor(outcome).run_state != RunState::kNotRun) {
       ++request.possible_runs;
     }
     Take(id.ticket, step);
--- a/tests/property/decision_target_table_test.cc
+++ b/tests/property/decision_target_table_test.cc
@@ -71,7 +71,7 @@
     if (*rc::gen::arbitrary<bool>()) {
       table_.Release(taken.target, taken.service, now_);
     } else {
-      table_.ReleaseLater(taken.target, taken.service, now_ + milliseconds(20));
+      table_.ReleaseAt(taken.target, taken.service, now_ + milliseconds(20));
     }
   }
 
@@ -119,7 +119,7 @@
                                               &TargetMembership::service);
     if (target.outstanding >= target.usable)
       return false;
-    if (!membership->is_long || target.usable < 2)
+    if (!membership->is_long_running || target.usable < 2)
       return true;
     return membership->outstanding <
            target.usable - std::max(1U, target.usable / 4);
--- a/tests/property/domain_model.h
+++ b/tests/property/domain_model.h
@@ -13,7 +13,7 @@
 #include "fakes/fake_table_store.h"
 #include "fakes/seeded_random.h"
 #include "medlarcroft/capacity/seat_holder.h"
-#include "medlarcroft/capacity/share_book.h"
+#include "medlarcroft/capacity/share_allocator.h"
 #include "medlarcroft/capacity/split.h"
 #include "medlarcroft/capacity/split_transition.h"
 
@@ -53,8 +53,8 @@
             .self = {.host = host.name, .incarnation = host.incarnation},
             .failure_domain = FailureDomainName("d")},
         store_, host.clock);
-    host.book = std::make_unique<capacity::ShareBook>(
-        capacity::ShareBookOptions{
+    host.book = std::make_unique<capacity::ShareAllocator>(
+        capacity::ShareAllocatorOptions{
             .host = host.name,
             .incarnation = host.incarnation,
             .return_idle_after = std::chrono::seconds(i % 2 == 0 ? 0 : 2)},
@@ -123,9 +123,9 @@
     bool had_seat = false;
     std::size_t revision = 1;
     std::unique_ptr<capacity::SeatHolder> holder;
-    std::unique_ptr<capacity::ShareBook> book;
+    std::unique_ptr<capacity::ShareAllocator> book;
     capacity::SplitTransition transition{capacity::LeaseRules{}};
-    std::vector<std::pair<capacity::Use, Duration>> uses;
+    std::vector<std::pair<capacity::AcquiredUnit, Duration>> uses;
     std::vector<std::pair<Duration, std::function<void()>>> mailbox;
     std::map<std::uint32_t, capacity::PeerEvidence> answers;
     std::map<std::uint32_t, MonotonicTime> failed_since;
@@ -148,7 +148,7 @@
     if (IsBusy(host)) {
       Dispatch(host);  // Before anything tells it that it was paused.
     }
-    host.holder->Beat();
+    host.holder->RecordHeartbeat();
     ReadMail(host);
     Probe(host);
     Control(host);
@@ -208,8 +208,8 @@
     }
     const std::uint32_t seats = seats_of_revision_[host.revision - 1];
     host.holder->Step(seats, host.revision, evidence);
-    const auto standing = host.holder->Standing();
-    counts_.doubts += standing == capacity::SeatStanding::kDoubtful ? 1 : 0;
+    const auto standing = host.holder->State();
+    counts_.doubts += standing == capacity::SeatState::kUnconfirmed ? 1 : 0;
     const auto seat = host.holder->Seat();
     const auto unanimous = host.holder->UnanimousRevision();
     const std::uint32_t amount =
@@ -228,19 +228,20 @@
   void Lending(std::uint32_t i) {
     Host& host = *hosts_[i];
     const auto lender = static_cast<std::uint32_t>(random_.NextBelow(kHosts));
-    if (lender != i && host.book->Standing(kLimitName).Free() == 0) {
+    if (lender != i && host.book->State(kLimitName).Free() == 0) {
       SendAsk(i, host.book->Borrow(kLimitName, 1, hosts_[lender]->name));
     }
-    for (const capacity::Ask& ask : host.book->Renewals()) {
+    for (const capacity::OutgoingShareRequest& ask : host.book->Renewals()) {
       SendAsk(i, ask);
     }
-    for (const capacity::Ask& ask : host.book->Returns()) {
+    for (const capacity::OutgoingShareRequest& ask : host.book->Returns()) {
       const std::uint32_t to = IndexOf(ask.lender);
-      Send(to, [this, to, ask] { hosts_[to]->book->TakeBack(ask.request); });
+      Send(to,
+           [this, to, ask] { hosts_[to]->book->AcceptReturn(ask.request); });
     }
   }
 
-  void SendAsk(std::uint32_t from, const capacity::Ask& ask) {
+  void SendAsk(std::uint32_t from, const capacity::OutgoingShareRequest& ask) {
     const std::uint32_t to = IndexOf(ask.lender);
     const std::uint64_t incarnation = hosts_[from]->incarnation;
     Send(to, [this, from, to, ask, incarnation] {
--- a/tests/property/exchange_freshness_test.cc
+++ b/tests/property/exchange_freshness_test.cc
@@ -51,7 +51,7 @@
         targets({}, clock) {}
 
   MembershipTable table;
-  TargetSigns targets;
+  TargetStatusTable targets;
   ExchangeSelector selector;
   PeerRotation rotation;
   std::vector<HostName> others;
--- a/tests/property/hung_store_property_test.cc
+++ b/tests/property/hung_store_property_test.cc
@@ -4,7 +4,7 @@
 
 #include "table_following_schedule.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 namespace {
 
 void TreatAll(const Region& region,
@@ -61,7 +61,7 @@
   VirtualTime time;
   ModelStore store;
   ModelNetwork network(time, store, 1);
-  Region region(time, network, 2, PaceOf(2, seconds(4)), 2);
+  Region region(time, network, 2, FollowTimingFor(2, seconds(4)), 2);
   const MonotonicTime start = time.Now();
   time.RunUntil(start + seconds(1));
   store.Put("configuration");
@@ -89,7 +89,7 @@
   VirtualTime time;
   ModelStore store;
   ModelNetwork network(time, store, 1);
-  Region region(time, network, 2, kPaceOfHostList, 2);
+  Region region(time, network, 2, kHostListTiming, 2);
   time.RunUntil(time.Now() + seconds(1));
   store.Put("host");
   network.OnCommit();
@@ -120,8 +120,9 @@
   VirtualTime time;
   ModelStore store;
   ModelNetwork network(time, store, 1);
-  Region region(time, network, GetParam(),
-                PaceOf(static_cast<std::size_t>(GetParam()), seconds(4)), 2);
+  Region region(
+      time, network, GetParam(),
+      FollowTimingFor(static_cast<std::size_t>(GetParam()), seconds(4)), 2);
   time.RunUntil(time.Now() + seconds(1));
   for (Duration passed{0}; passed < kCalm; passed += milliseconds(50)) {
     time.RunUntil(time.Now() + milliseconds(50));
@@ -144,4 +145,4 @@
                          });
 
 }  // namespace
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
--- a/tests/property/model_store.h
+++ b/tests/property/model_store.h
@@ -12,14 +12,14 @@
 
 #include "fakes/seeded_random.h"
 #include "fakes/virtual_time.h"
-#include "medlarcroft/rows/row_source.h"
-#include "medlarcroft/rows/table_teller.h"
+#include "medlarcroft/replication/row_source.h"
+#include "medlarcroft/replication/table_server.h"
 
 /// @file
 /// @brief A store with history, and a network on which calls are late, lost or
 /// refused, in virtual time.
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 using fakes::VirtualTime;
 using std::chrono::milliseconds;
@@ -143,7 +143,7 @@
         Begin(host, wait + kStoreAnswerMargin, std::move(callback));
     Deliver(host, call, [this, host, version, wait, call] {
       if (store_.IsForgotten(version)) {
-        Answer(host, call, RowFailure::kForgotten);
+        Answer(host, call, RowFailure::kHistoryUnavailable);
         return;
       }
       if (store_.Newest() > version) {
@@ -153,7 +153,7 @@
       const MonotonicTime until = time_.Now() + wait;
       held_.push_back(
           {.host = host, .version = version, .until = until, .call = call});
-      time_.At(VirtualTime::kNobody, until, [this] { AnswerHeld(); });
+      time_.At(VirtualTime::kNoHost, until, [this] { AnswerHeld(); });
     });
   }
 
@@ -161,12 +161,11 @@
   void OnCommit() { AnswerHeld(); }
 
   /// @brief Brings a question from one host to another one's teller.
-  void AskHost(
-      int from,
-      int to,
-      const PeerQuestion& question,
-      const std::function<void(const PeerQuestion&, RowsCallback)>& ask,
-      RowsCallback callback) {
+  void AskHost(int from,
+               int to,
+               const RowsRequest& question,
+               const std::function<void(const RowsRequest&, RowsCallback)>& ask,
+               RowsCallback callback) {
     const auto call = Begin(from, question.wait + question.answer_margin,
                             std::move(callback));
     time_.At(
@@ -246,7 +245,7 @@
     Result<RowBatch, RowFailure> told = result;
     if (IsOk(told)) {
       RowBatch batch = TakeValue(std::move(told));
-      batch.told_at = time_.Now().time_since_epoch();
+      batch.store_time = time_.Now().time_since_epoch();
       told = std::move(batch);
     }
     Carry(host, call, time_.Now() + kProbedFor, [this, host, call, told] {
@@ -260,7 +259,7 @@
              const std::shared_ptr<Call>& call,
              MonotonicTime found_dead_at,
              std::function<void()> arrive) {
-    time_.At(VirtualTime::kNobody, time_.Now() + OneWay(),
+    time_.At(VirtualTime::kNoHost, time_.Now() + OneWay(),
              [this, host, call, found_dead_at, arrive = std::move(arrive)] {
                if (TreatmentOf(host) != Treatment::kSilent) {
                  arrive();
@@ -307,6 +306,6 @@
   int host_;
 };
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
 
 #endif  // MEDLARCROFT_TESTS_PROPERTY_MODEL_STORE_H_
--- a/tests/property/seat_shares_property_test.cc
+++ b/tests/property/seat_shares_property_test.cc
@@ -85,11 +85,11 @@
     case Event::kPlatformUp:
       return store.SetDown(false);
     case Event::kLoseAnswer:
-      return store.FailNextCommits({fakes::CommitFault::kAnswerLost});
+      return store.FailNextCommits({fakes::CommitFault::kResponseLost});
     case Event::kDelayWrite:
-      return store.FailNextCommits({fakes::CommitFault::kLate});
+      return store.FailNextCommits({fakes::CommitFault::kDelayed});
     case Event::kDeliverLate:
-      return store.DeliverLate();
+      return store.DeliverDelayedCommits();
     case Event::kDeclare:
       return model.Declare(2 + command.number);
     case Event::kLearn:
--- a/tests/property/share_utilisation_test.cc
+++ b/tests/property/share_utilisation_test.cc
@@ -11,7 +11,7 @@
 
 #include "fakes/manual_clock.h"
 #include "fakes/seeded_random.h"
-#include "medlarcroft/capacity/share_book.h"
+#include "medlarcroft/capacity/share_allocator.h"
 #include "medlarcroft/capacity/split.h"
 
 namespace medlarcroft::capacity {
@@ -98,9 +98,9 @@
       book.SetOwnValidUntil(MonotonicTime::max());
     }
     HostName name;
-    ShareBook book;
+    ShareAllocator book;
     std::deque<MonotonicTime> queue;
-    std::vector<std::pair<Use, MonotonicTime>> uses;
+    std::vector<std::pair<AcquiredUnit, MonotonicTime>> uses;
     std::size_t asks = 0;
   };
 
@@ -148,18 +148,21 @@
         return;
       }
       ++host.asks;
-      Ask(host, host.book.Borrow(limit, 1, hosts_[lender]->name), true);
+      OutgoingShareRequest(
+          host, host.book.Borrow(limit, 1, hosts_[lender]->name), true);
     }
     for (const auto& ask : host.book.Renewals()) {
-      Ask(host, ask, false);
+      OutgoingShareRequest(host, ask, false);
     }
     for (const auto& ask : host.book.Returns()) {
       ++messages_;
-      Lender(ask).book.TakeBack(ask.request);
+      Lender(ask).book.AcceptReturn(ask.request);
     }
   }
 
-  void Ask(Host& host, const capacity::Ask& ask, bool is_new) {
+  void OutgoingShareRequest(Host& host,
+                            const capacity::OutgoingShareRequest& ask,
+                            bool is_new) {
     messages_ += 2;
     mail_.push_back([this, &host, ask, is_new] {
       host.book.Apply(ask, Lender(ask).book.Lend(ask.request));
@@ -167,7 +170,7 @@
     });
   }
 
-  [[nodiscard]] Host& Lender(const capacity::Ask& ask) {
+  [[nodiscard]] Host& Lender(const capacity::OutgoingShareRequest& ask) {
     return *hosts_[std::stoul(ask.lender.Value())];
   }
 
--- a/tests/property/table_following_property_test.cc
+++ b/tests/property/table_following_property_test.cc
@@ -5,13 +5,13 @@
 
 #include "table_following_schedule.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 namespace {
 
 class TableFollowing : public testing::TestWithParam<int> {
  protected:
   static bool Holds(std::uint64_t seed) {
-    return medlarcroft::rows::Holds(seed, {.hosts = GetParam()});
+    return medlarcroft::replication::Holds(seed, {.hosts = GetParam()});
   }
 };
 
@@ -83,8 +83,8 @@
   TableFollower follower(
       {.timers = timers, .store = source, .random = random, .listener = heard},
       {.table = "t",
-       .pace = kPaceAlone,
-       .ask_peer = [&](const PeerQuestion&, RowsCallback callback) {
+       .timing = kDirectReadTiming,
+       .ask_peer = [&](const RowsRequest&, RowsCallback callback) {
          ++questions;
          timers.RunAfter(milliseconds(1), [callback = std::move(callback)] {
            callback(RowFailure::kRefused);
@@ -105,4 +105,4 @@
                          });
 
 }  // namespace
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
--- a/tests/property/table_following_schedule.h
+++ b/tests/property/table_following_schedule.h
@@ -18,7 +18,7 @@
 /// @brief Drawn schedules of changes and faults around hosts that follow a
 /// table, and what each host must know meanwhile.
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 inline constexpr Duration kTroubles = seconds(24);
 inline constexpr Duration kQuiet = seconds(10);
@@ -45,8 +45,8 @@
         region_(time_,
                 network_,
                 options.hosts,
-                PaceOf(static_cast<std::size_t>(options.hosts),
-                       options.in_touch_after),
+                FollowTimingFor(static_cast<std::size_t>(options.hosts),
+                                options.in_touch_after),
                 seed + 2,
                 OtherReadersAsked(options.known_within)) {
     troubled_until_.resize(static_cast<std::size_t>(options.hosts),
@@ -75,7 +75,7 @@
   static constexpr std::uint64_t kKeys = 14;
 
   void Plan(MonotonicTime at, std::function<void()> task) {
-    time_.At(VirtualTime::kNobody, at, std::move(task));
+    time_.At(VirtualTime::kNoHost, at, std::move(task));
   }
   void Tell(const char* what, int host, MonotonicTime at, Duration time) {
     story_ << ToSeconds(at - start_) << " s: " << what << ' ' << host << " for "
@@ -212,7 +212,7 @@
     const Treatment treatment =
         random_.NextUnit() < 0.5 ? Treatment::kSilent : Treatment::kRefused;
     Tell(treatment == Treatment::kSilent ? "store silent" : "store refuses",
-         VirtualTime::kNobody, at, time);
+         VirtualTime::kNoHost, at, time);
     TreatAll(at, time, treatment);
   }
   void TreatAll(MonotonicTime at, Duration time, Treatment treatment) {
@@ -232,7 +232,7 @@
       const MonotonicTime at =
           time_.Now() + Between(0, ToSeconds(end - time_.Now()) - 6);
       const Duration time = Between(0.05, 6);
-      Tell("store hangs", VirtualTime::kNobody, at, time);
+      Tell("store hangs", VirtualTime::kNoHost, at, time);
       TreatAll(at, time, Treatment::kHung);
     }
     if (random_.NextUnit() < 0.5) {
@@ -241,7 +241,7 @@
     }
   }
   void Compact(MonotonicTime at) {
-    Tell("history forgotten", VirtualTime::kNobody, at, Duration(0));
+    Tell("history forgotten", VirtualTime::kNoHost, at, Duration(0));
     Plan(at, [this] { store_.Forget(); });
   }
 
@@ -266,6 +266,6 @@
   return !testing::Test::HasFailure();
 }
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
 
 #endif  // MEDLARCROFT_TESTS_PROPERTY_TABLE_FOLLOWING_SCHEDULE_H_
--- a/tests/property/table_following_world.h
+++ b/tests/property/table_following_world.h
@@ -11,15 +11,15 @@
 
 #include "fakes/seeded_random.h"
 #include "fakes/virtual_time.h"
-#include "medlarcroft/rows/peer_readers.h"
-#include "medlarcroft/rows/table_follower.h"
+#include "medlarcroft/replication/peer_readers.h"
+#include "medlarcroft/replication/table_follower.h"
 #include "model_store.h"
 
 /// @file
 /// @brief Hosts of one region that follow a table in virtual time, pause, die
 /// and start again. One seed is one schedule.
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 using fakes::HostTimers;
 
@@ -53,7 +53,7 @@
     }
   }
   void OnCallFailed(const FailedCall&) override {}
-  void OnStoreBack(Duration) override {}
+  void OnStoreRecovered(Duration) override {}
   void OnReaderLost(RowFailure, std::uint64_t) override { ++readers_lost; }
 
   std::map<std::string, std::uint64_t> versions;
@@ -67,12 +67,12 @@
   Region(VirtualTime& time,
          ModelNetwork& network,
          int hosts,
-         const FollowPace& pace,
+         const FollowTiming& timing,
          std::uint64_t seed,
          int other_readers_asked = 0)
       : time_(time),
         network_(network),
-        pace_(pace),
+        pace_(timing),
         other_readers_asked_(other_readers_asked),
         random_(seed) {
     hosts_.resize(static_cast<std::size_t>(hosts));
@@ -96,9 +96,9 @@
   }
   void Start(int host) {
     auto life = std::make_unique<Life>(*this, host);
-    life->teller = std::make_unique<TableTeller>(
+    life->teller = std::make_unique<TableServer>(
         life->timers, [follower = &life->follower](std::string_view) {
-          return *follower ? (*follower)->TellOthers() : FreshTable{};
+          return *follower ? (*follower)->ServeFollowers() : FreshTable{};
         });
     life->follower = std::make_unique<TableFollower>(
         TableFollower::Parts{.timers = life->timers,
@@ -126,7 +126,7 @@
                   {.directory = *this,
                    .ask_host =
                        [&region, host](const std::string& address,
-                                       const PeerQuestion& question,
+                                       const RowsRequest& question,
                                        RowsCallback callback) {
                          region.Ask(host, std::stoi(address), question,
                                     std::move(callback));
@@ -138,7 +138,8 @@
     [[nodiscard]] std::vector<ReaderCandidate> LiveHosts() const override {
       return region.HeardBeside(host);
     }
-    [[nodiscard]] std::vector<ReaderCandidate> HostsElsewhere() const override {
+    [[nodiscard]] std::vector<ReaderCandidate> HostsInOtherRegions()
+        const override {
       return {};
     }
     [[nodiscard]] std::size_t HostsInRegion() const override {
@@ -152,7 +153,7 @@
     PeerReaders readers;
     HeardRows heard;
     std::unique_ptr<TableFollower> follower;
-    std::unique_ptr<TableTeller> teller;
+    std::unique_ptr<TableServer> teller;
     std::optional<MonotonicTime> silent_since;
   };
 
@@ -178,7 +179,7 @@
   }
 
   // As medlar-node has it, see programs/node/peer_group.cc.
-  static constexpr Duration kUnheardLimit = milliseconds(2600);
+  static constexpr Duration kLivenessTimeout = milliseconds(2600);
 
   [[nodiscard]] const Life* At(int host) const {
     return hosts_[static_cast<std::size_t>(host)].get();
@@ -187,13 +188,13 @@
   TableFollower::Options OptionsOf(int host) {
     return {
         .table = "t",
-        .pace = pace_,
+        .timing = pace_,
         .ask_peer =
-            [this, host](const PeerQuestion& question, RowsCallback callback) {
+            [this, host](const RowsRequest& question, RowsCallback callback) {
               LifeOf(host).readers.AskSomeReader(question, std::move(callback));
             },
         .ask_reader =
-            [this, host](const PeerQuestion& question, RowsCallback callback) {
+            [this, host](const RowsRequest& question, RowsCallback callback) {
               return LifeOf(host).readers.AskReader(question,
                                                     std::move(callback));
             }};
@@ -212,16 +213,16 @@
     if (!life.silent_since) {
       life.silent_since = time_.Now();
     }
-    return time_.Now() - *life.silent_since < kUnheardLimit;
+    return time_.Now() - *life.silent_since < kLivenessTimeout;
   }
 
   void Ask(int from,
            int to,
-           const PeerQuestion& question,
+           const RowsRequest& question,
            RowsCallback callback) {
     network_.AskHost(
         from, to, question,
-        [this, to](const PeerQuestion& asked, RowsCallback answer) {
+        [this, to](const RowsRequest& asked, RowsCallback answer) {
           if (IsAlive(to)) {
             At(to)->teller->Ask(asked, std::move(answer));
           }
@@ -231,7 +232,7 @@
 
   VirtualTime& time_;
   ModelNetwork& network_;
-  FollowPace pace_;
+  FollowTiming pace_;
   int other_readers_asked_;
   const std::map<FailureDomainName, RegionName> regions_{
       {kDomain, RegionName("r")}};
@@ -239,6 +240,6 @@
   std::vector<std::unique_ptr<Life>> hosts_;
 };
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
 
 #endif  // MEDLARCROFT_TESTS_PROPERTY_TABLE_FOLLOWING_WORLD_H_
--- a/tests/property/target_restart_property_test.cc
+++ b/tests/property/target_restart_property_test.cc
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "fakes/seeded_random.h"
-#include "medlarcroft/request_path/target_book.h"
+#include "medlarcroft/request_path/target_directory.h"
 
 namespace medlarcroft::request_path {
 namespace {
@@ -17,9 +17,9 @@
 const ServiceName kService("desk");
 const TargetName kTarget("t");
 
-class NoObserver final : public BookObserver {
+class NoObserver final : public TargetDirectoryObserver {
  public:
-  void OnTargetChange(BookChange /*change*/,
+  void OnTargetChange(TargetChange /*change*/,
                       const TargetRecord& /*target*/) override {}
 };
 
@@ -63,12 +63,12 @@
   return ObjectKey("object-" + std::to_string(incarnation));
 }
 
-void Hear(TargetBook& book, const News& news) {
+void Hear(TargetDirectory& book, const News& news) {
   if (news.is_bad_entry) {
     book.Suspend(kTarget);
   } else if (news.handled) {
     if (TargetState* const state = book.Find(*news.handled)) {
-      state->OnSentByOther(ObjectOf(news.handled->incarnation));
+      state->OnSentByOtherHost(ObjectOf(news.handled->incarnation));
     }
   } else if (news.entry) {
     book.Put(*news.entry, kStart);
@@ -122,7 +122,8 @@
 
   for (int host = 0; host < 3; ++host) {
     NoObserver observer;
-    TargetBook book({{FailureDomainName("a"), RegionName("north")}}, observer);
+    TargetDirectory book({{FailureDomainName("a"), RegionName("north")}},
+                         observer);
     book.ReplaceAll({}, {}, std::nullopt, kStart);
     for (const News& news : HeardBy(registry, last, random)) {
       Hear(book, news);
--- a/tests/scenarios/scenario.cc
+++ b/tests/scenarios/scenario.cc
@@ -36,8 +36,8 @@
 decision::SchedulerOptions Options(const YAML::Node& node) {
   using decision::PlacementKind;
   static const std::map<std::string, PlacementKind, std::less<>> placements{
-      {"two-choices", PlacementKind::kTwoChoices},
-      {"optimistic", PlacementKind::kOptimisticTwoChoices},
+      {"two-choices", PlacementKind::kPowerOfTwoChoices},
+      {"optimistic", PlacementKind::kOptimisticPowerOfTwoChoices},
       {"random", PlacementKind::kRandom},
       {"round-robin", PlacementKind::kRoundRobin},
       {"least-reported", PlacementKind::kLeastReportedLoad}};
--- a/tests/scenarios/steering/shift_loop.cc
+++ b/tests/scenarios/steering/shift_loop.cc
@@ -37,7 +37,7 @@
 }
 
 ShiftLoop::ShiftLoop(const Scenario& scenario,
-                     const MakePolicy& make_policy,
+                     const PolicyFactory& make_policy,
                      std::uint64_t seed)
     : scenario_(scenario), random_(seed) {
   const Deployment& deployment = scenario_.deployment;
@@ -447,11 +447,11 @@
   const Duration latency = link_entries_[LinkIndex(from, domain)]->latency;
   const bool is_admitted =
       !domains_[domain].is_lost && CanReach(from, domain) &&
-      IsOk(AdmitShifted({.usable_slots = pool.slots,
-                         .outstanding = static_cast<double>(pool.busy),
-                         .queued = static_cast<double>(pool.queue.size()),
-                         .reserved_headroom = entry.reserved_headroom,
-                         .is_leaving = domains_[domain].is_drained}));
+      IsOk(AdmitForwarded({.usable_slots = pool.slots,
+                           .outstanding = static_cast<double>(pool.busy),
+                           .queued = static_cast<double>(pool.queue.size()),
+                           .reserved_headroom = entry.reserved_headroom,
+                           .is_leaving = domains_[domain].is_drained}));
 
   domains_[from].limiter->OnAnswer(
       entry.service, scenario_.deployment.domains[domain].failure_domain,
--- a/tests/scenarios/steering/shift_loop.h
+++ b/tests/scenarios/steering/shift_loop.h
@@ -11,7 +11,7 @@
 
 #include "fakes/manual_clock.h"
 #include "fakes/seeded_random.h"
-#include "medlarcroft/steering/handed_out_demand.h"
+#include "medlarcroft/steering/lookup_demand_tracker.h"
 #include "medlarcroft/steering/lookup_planner.h"
 #include "medlarcroft/steering/shift_limiter.h"
 #include "scenarios/steering/shift_policy.h"
@@ -54,7 +54,7 @@
 class ShiftLoop {
  public:
   ShiftLoop(const Scenario& scenario,
-            const MakePolicy& make_policy,
+            const PolicyFactory& make_policy,
             std::uint64_t seed);
   Outcome Run();
 
@@ -109,7 +109,7 @@
     std::unique_ptr<ShiftPolicy> policy;
     std::unique_ptr<LookupPlanner> lookups;
     std::unique_ptr<ShiftLimiter> limiter;
-    HandedOutDemand handed_out;
+    LookupDemandTracker handed_out;
     ShiftPlan plan;
     std::deque<std::pair<MonotonicTime, DomainLoad>> history;
     /// What it last heard of each domain, and when that was measured.
--- a/tests/scenarios/steering/shift_policy.h
+++ b/tests/scenarios/steering/shift_policy.h
@@ -18,7 +18,7 @@
                          const FailureDomainName& own_domain) = 0;
 };
 
-using MakePolicy =
+using PolicyFactory =
     std::function<std::unique_ptr<ShiftPolicy>(const ports::Clock&)>;
 
 class PlannerPolicy final : public ShiftPolicy {
--- a/tests/scenarios/steering/shift_scenarios_test.cc
+++ b/tests/scenarios/steering/shift_scenarios_test.cc
@@ -54,7 +54,7 @@
 // shifts.yaml, with the bounds on the figures of the fixed seeds.
 TEST_P(ShiftScenarios, KeepsEveryLimitAndItsFigures) {
   const Scenario& scenario = GetParam();
-  const MakePolicy make_policy = [](const ports::Clock& clock) {
+  const PolicyFactory make_policy = [](const ports::Clock& clock) {
     return std::make_unique<PlannerPolicy>(clock);
   };
 
--- a/tests/standins/platform/fault_switch.h
+++ b/tests/standins/platform/fault_switch.h
@@ -16,7 +16,7 @@
   bool is_down = false;              ///< Refuses with its word "not done".
   std::chrono::milliseconds slow{};  ///< Effect and answer both come late.
   /// So many commits and puts take effect, and their answer is lost.
-  std::uint64_t answers_to_lose = 0;
+  std::uint64_t responses_to_drop = 0;
   bool has_stale_host_list = false;
 };
 
@@ -32,10 +32,10 @@
     faults.has_stale_host_list = value.value("stale_host_list", false);
     const json lost = value.value("answer_lost_after_effect", json(false));
     if (lost.is_boolean()) {
-      faults.answers_to_lose =
+      faults.responses_to_drop =
           lost.get<bool>() ? std::numeric_limits<std::uint64_t>::max() : 0;
     } else {
-      faults.answers_to_lose = lost.get<std::uint64_t>();
+      faults.responses_to_drop = lost.get<std::uint64_t>();
     }
     return faults;
   } catch (const json::exception&) {
@@ -59,10 +59,10 @@
   /// @return whether the answer to the write just done is to be lost.
   bool TakeLostAnswer() {
     const std::lock_guard lock(mutex_);
-    if (faults_.answers_to_lose == 0) {
+    if (faults_.responses_to_drop == 0) {
       return false;
     }
-    --faults_.answers_to_lose;
+    --faults_.responses_to_drop;
     return true;
   }
 
--- a/tests/standins/platform/platform_handler.h
+++ b/tests/standins/platform/platform_handler.h
@@ -48,7 +48,7 @@
   }
 
   MemoryPlatform& Platform() { return platform_; }
-  FaultSwitch& FaultsInForce() { return faults_; }
+  FaultSwitch& ActiveFaults() { return faults_; }
 
  private:
   using Request = adapters::HttpRequest;
--- a/tests/standins/target/work_queue.cc
+++ b/tests/standins/target/work_queue.cc
@@ -11,7 +11,7 @@
 constexpr auto kLookInterval = std::chrono::milliseconds(5);
 
 WorkEnd EndOf(const Work& work, SteadyTime now) {
-  if (work.responder->IsCallerGone()) {
+  if (work.responder->IsClientDisconnected()) {
     return WorkEnd::kCancelled;
   }
   return now >= work.deadline_at && work.deadline_at < work.ends_at
@@ -82,7 +82,7 @@
   for (auto work = active_.begin(); work != active_.end();) {
     const auto next = std::next(work);
     if (now >= std::min(work->ends_at, work->deadline_at) ||
-        work->responder->IsCallerGone()) {
+        work->responder->IsClientDisconnected()) {
       ended.splice(ended.end(), active_, work);
     }
     work = next;
@@ -100,7 +100,7 @@
 
 void WorkQueue::ReleaseAbandoned() {
   silent_.remove_if([](const std::shared_ptr<adapters::Responder>& responder) {
-    if (!responder->IsCallerGone()) {
+    if (!responder->IsClientDisconnected()) {
       return false;
     }
     // Nobody reads this; it lets the listener close its side.
--- a/tests/unit/adapters/entry/attempt_result_test.cc
+++ b/tests/unit/adapters/entry/attempt_result_test.cc
@@ -17,17 +17,17 @@
   bool is_leaving = false;
 };
 
-class JudgeAttemptTest : public testing::TestWithParam<JudgeCase> {};
+class ClassifyAttemptTest : public testing::TestWithParam<JudgeCase> {};
 
-TEST_P(JudgeAttemptTest, SaysWhatIsProved) {
-  const AttemptResult result = JudgeAttempt(GetParam().result, kName);
+TEST_P(ClassifyAttemptTest, SaysWhatIsProved) {
+  const AttemptResult result = ClassifyAttempt(GetParam().result, kName);
   EXPECT_EQ(result.outcome, GetParam().outcome);
   EXPECT_EQ(result.answer.has_value(), GetParam().has_answer);
   EXPECT_EQ(result.is_target_leaving, GetParam().is_leaving);
 }
 
 ClientResult Answer(int status, HttpHeaders headers = {}) {
-  return ClientAnswer{.status = status, .headers = std::move(headers)};
+  return ClientResponse{.status = status, .headers = std::move(headers)};
 }
 
 ClientResult Failure(TransportFailure failure,
@@ -40,7 +40,7 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    JudgeAttemptTest,
+    ClassifyAttemptTest,
     testing::Values(
         JudgeCase{"whole", Answer(200), AttemptOutcome::kAnswered, true},
         JudgeCase{"client_error", Answer(404), AttemptOutcome::kAnswered, true},
--- a/tests/unit/adapters/entry/target_poller_test.cc
+++ b/tests/unit/adapters/entry/target_poller_test.cc
@@ -60,8 +60,8 @@
 class HealthAnswer : public testing::TestWithParam<HealthCase> {};
 
 TEST_P(HealthAnswer, SaysDrainingOnlyInItsOwnWords) {
-  EXPECT_EQ(SaysDraining({.status = GetParam().status,
-                          .body = std::string(GetParam().body)}),
+  EXPECT_EQ(IsDrainingResponse({.status = GetParam().status,
+                                .body = std::string(GetParam().body)}),
             GetParam().is_draining);
 }
 
--- a/tests/unit/adapters/event/http_caller_test.cc
+++ b/tests/unit/adapters/event/event_http_client_test.cc
@@ -1,4 +1,4 @@
-#include "adapters/event/http_caller.h"
+#include "adapters/event/event_http_client.h"
 
 #include <gtest/gtest.h>
 
@@ -6,7 +6,7 @@
 #include <memory>
 #include <vector>
 
-#include "adapters/event/http_text.h"
+#include "adapters/event/http_serialization.h"
 #include "adapters/process/system_clock.h"
 #include "fakes/scripted_server.h"
 
@@ -29,7 +29,7 @@
     request.text = FormatRequest(body.empty() ? "GET" : "POST", "/",
                                  {{"Host", "h"}}, body);
     request.timeout = std::chrono::seconds(5);
-    request.is_own_answer = [](const HttpResponse& answer) {
+    request.is_matching_response = [](const HttpResponse& answer) {
       return answer.headers.Find("Id") == "1";
     };
     return request;
@@ -48,7 +48,7 @@
   SystemClock clock_;
   // One loop runs once, so each exchange of a test gets a new caller's loop.
   EventLoop loop_{clock_};
-  HttpCaller caller_{loop_, {}};
+  EventHttpClient caller_{loop_, {}};
 };
 
 struct AnswerCase {
--- a/tests/unit/adapters/event/http_listener_test.cc
+++ b/tests/unit/adapters/event/http_listener_test.cc
@@ -22,10 +22,10 @@
 using fakes::ScriptedConnection;
 
 /// @brief Keeps every call; a test answers it.
-class KeepCalls final : public HttpCallHandler {
+class KeepCalls final : public HttpRequestHandler {
  public:
-  void OnCall(HttpRequest request,
-              const std::shared_ptr<HttpExchange>& exchange) override {
+  void OnRequest(HttpRequest request,
+                 const std::shared_ptr<HttpExchange>& exchange) override {
     if (request.raw_target == "/hang") {
       exchange->OnCallerGone([this] {
         has_left = true;
@@ -33,7 +33,7 @@
       });
       hanging = exchange;
     } else {
-      exchange->Answer({.status = 200, .body = request.raw_target});
+      exchange->Respond({.status = 200, .body = request.raw_target});
     }
     requests.push_back(std::move(request));
   }
@@ -142,7 +142,7 @@
   });
   EXPECT_TRUE(handler_.has_left);
   // An answer that comes now reaches nobody, and harms nothing.
-  handler_.hanging->Answer({.status = 200});
+  handler_.hanging->Respond({.status = 200});
 }
 
 struct BadRequestCase {
@@ -195,7 +195,7 @@
     if (handler_.hanging) {
       listener_->StartDraining();
       listener_->StopAccepting();
-      handler_.hanging->Answer({.status = 200, .body = "whole"});
+      handler_.hanging->Respond({.status = 200, .body = "whole"});
       handler_.hanging.reset();
     }
   });
--- a/tests/unit/adapters/forward/request_telemetry_test.cc
+++ b/tests/unit/adapters/forward/request_telemetry_test.cc
@@ -43,7 +43,7 @@
 
   /// Two sends, of which the first is refused and the second is lost.
   void PlayOrderThatFails(const std::string& id) {
-    RequestLines lines;
+    RequestLogBuffer lines;
     for (request_path::AttemptNumber number = 1; number <= 2; ++number) {
       const request_path::SendAttempt attempt{
           .attempt = number,
@@ -57,16 +57,16 @@
           number == 1 ? AttemptEnd::kNotRun : AttemptEnd::kLost,
           milliseconds(number));
     }
-    DecodedCall call;
+    DecodedRequest call;
     call.id = id;
-    telemetry_.OnEnding(
-        lines, call, &order_,
-        {.reason = request_path::EndReason::kMayHaveRun, .is_not_run = false},
-        1, milliseconds(2));
+    telemetry_.OnEnding(lines, call, &order_,
+                        {.reason = request_path::FailureReason::kMayHaveRun,
+                         .is_not_run = false},
+                        1, milliseconds(2));
   }
 
   void PlayAnswered(const std::string& id) {
-    RequestLines lines;
+    RequestLogBuffer lines;
     telemetry_.OnSend(lines, id, lookup_, {.attempt = 1});
     telemetry_.OnAnswer(lines, id, lookup_, 200, milliseconds(5));
   }
--- a/tests/unit/adapters/forward/request_trace_test.cc
+++ b/tests/unit/adapters/forward/request_trace_test.cc
@@ -78,7 +78,7 @@
   HttpRequest call = CallWith(kSampled);
   RequestTrace trace(tracer_, call, "r-1");
   trace.OnSend(SendTo("a", 1), call);
-  trace.OnEnding({.reason = request_path::EndReason::kTimedOut});
+  trace.OnEnding({.reason = request_path::FailureReason::kTimedOut});
 
   EXPECT_EQ(kept_.spans.size(), 2U);
 }
--- a/tests/unit/adapters/http/operator_routes_test.cc
+++ b/tests/unit/adapters/http/operator_routes_test.cc
@@ -279,11 +279,11 @@
 // with the change's id and must not read "not run" in it; with that id, asking
 // again finds the change made, once.
 TEST_F(OperatorRoutesTest, AnUnknownOutcomeIsSettledWithItsId) {
-  platform_.table.FailNextCommits({CommitFault::kAnswerLost});
+  platform_.table.FailNextCommits({CommitFault::kResponseLost});
   platform_.table.SetBeforeCommit(
-      [this] { platform_.table.SetReadsLost(true); });
+      [this] { platform_.table.SetReadsFailing(true); });
   const HttpResponse unknown = Create();
-  platform_.table.SetReadsLost(false);
+  platform_.table.SetReadsFailing(false);
 
   EXPECT_EQ(unknown.status, 504);
   EXPECT_EQ(CodeOf(unknown), "outcome-unknown");
--- a/tests/unit/adapters/load/load_files_test.cc
+++ b/tests/unit/adapters/load/load_files_test.cc
@@ -14,7 +14,7 @@
   const std::string file = std::string(MEDLARCROFT_SOURCE_DIR) + "/dist/load/" +
                            GetParam() + ".yaml";
   const auto plan = LoadSettings(LoadPlanSchema(), file);
-  ASSERT_TRUE(IsOk(plan)) << FormatFault(ErrorOf(plan).front());
+  ASSERT_TRUE(IsOk(plan)) << FormatSettingsError(ErrorOf(plan).front());
   EXPECT_EQ(ValueOf(plan).classes.size(), 3U);
   EXPECT_FALSE(ValueOf(plan).brands.empty());
   EXPECT_FALSE(ValueOf(plan).bursts.empty());
--- a/tests/unit/adapters/peer/peer_channel_test.cc
+++ b/tests/unit/adapters/peer/peer_channel_test.cc
@@ -16,12 +16,12 @@
   return state;
 }
 
-using news::NewsWay;
-using news::PeerNews;
+using peer_updates::PeerUpdate;
+using peer_updates::UpdateRoute;
 
-PeerNews MakeNews() {
+PeerUpdate MakeNews() {
   return {
-      .way = NewsWay::kExchange,
+      .way = UpdateRoute::kExchange,
       .sender = 0xF0000001U,
       .state = MakeState(),
       .placed = {{.target = request_path::TargetNumber{0xF0000002U},
@@ -31,7 +31,7 @@
 }
 
 TEST(PeerNewsTest, ReadsTheSameButForTheLoads) {
-  const auto decoded = DecodePeerNews(EncodePeerNews(MakeNews()));
+  const auto decoded = DecodePeerUpdate(EncodePeerUpdate(MakeNews()));
   ASSERT_TRUE(decoded && decoded->state);
   EXPECT_EQ(decoded->state->host, HostName("edge-1"));
   EXPECT_EQ(decoded->state->number, MakeState().number);
@@ -39,29 +39,29 @@
   EXPECT_EQ(decoded->state->entry_address, "127.0.0.1:80");
   EXPECT_TRUE(decoded->state->loads.empty());
   EXPECT_EQ(decoded->heartbeats, MakeNews().heartbeats);
-  EXPECT_EQ(decoded->way, NewsWay::kExchange);
+  EXPECT_EQ(decoded->way, UpdateRoute::kExchange);
   EXPECT_EQ(decoded->sender, MakeNews().sender);
   EXPECT_EQ(decoded->placed, MakeNews().placed);
   EXPECT_EQ(decoded->loads, MakeNews().loads);
 }
 
 TEST(PeerNewsTest, EitherPartMayBeMissing) {
-  EXPECT_FALSE(DecodePeerNews(EncodePeerNews({}))->state);
-  PeerNews placed = MakeNews();
+  EXPECT_FALSE(DecodePeerUpdate(EncodePeerUpdate({}))->state);
+  PeerUpdate placed = MakeNews();
   placed.state.reset();
-  EXPECT_EQ(DecodePeerNews(EncodePeerNews(placed))->placed.size(), 1U);
+  EXPECT_EQ(DecodePeerUpdate(EncodePeerUpdate(placed))->placed.size(), 1U);
 }
 
 TEST(PeerNewsTest, FitsWellIntoOneDatagram) {
-  EXPECT_LT(EncodePeerNews(MakeNews()).size(), 200U);
+  EXPECT_LT(EncodePeerUpdate(MakeNews()).size(), 200U);
 }
 
 TEST(PeerNewsTest, WhatIsCutOrNoneIsRefused) {
-  const std::string datagram = EncodePeerNews(MakeNews());
+  const std::string datagram = EncodePeerUpdate(MakeNews());
   for (std::size_t length = 0; length < datagram.size(); ++length) {
-    EXPECT_FALSE(DecodePeerNews(datagram.substr(0, length))) << length;
+    EXPECT_FALSE(DecodePeerUpdate(datagram.substr(0, length))) << length;
   }
-  EXPECT_FALSE(DecodePeerNews("hello"));
+  EXPECT_FALSE(DecodePeerUpdate("hello"));
 }
 
 }  // namespace
--- a/tests/unit/adapters/platform/catalogue_over_http_test.cc
+++ b/tests/unit/adapters/platform/catalogue_over_http_test.cc
@@ -2,7 +2,7 @@
 
 #include "adapters/platform/http_platform.h"
 #include "fakes/catalogue_platform.h"
-#include "medlarcroft/catalogue/catalogue_relay.h"
+#include "medlarcroft/catalogue/catalogue_poller.h"
 #include "medlarcroft/catalogue/catalogue_store.h"
 #include "standins/platform/platform_handler.h"
 
@@ -42,13 +42,13 @@
 TEST_F(CatalogueOverHttp, LostAnswersAreSettled) {
   std::uint64_t settled = 0;
   for (std::uint64_t i = 0; i < 30; ++i) {
-    handler_.FaultsInForce().Set(
-        {.answers_to_lose = std::uint64_t{i % 3 == 0 ? 1U : 0U}});
+    handler_.ActiveFaults().Set(
+        {.responses_to_drop = std::uint64_t{i % 3 == 0 ? 1U : 0U}});
     const auto result = store_.Accept(DomainChange(
         "c" + std::to_string(i), "a", i, static_cast<std::uint32_t>(1 + i)));
     ASSERT_TRUE(IsOk(result)) << i;
     EXPECT_EQ(ValueOf(result).revision, i + 1);
-    settled += ValueOf(result).was_settled ? 1 : 0;
+    settled += ValueOf(result).was_already_accepted ? 1 : 0;
   }
 
   EXPECT_EQ(settled, 10U);
@@ -62,10 +62,10 @@
   }
   CatalogueReader reader(platform_, platform_);
   CatalogueReplica replica({}, clock_);
-  catalogue::CatalogueRelay relay({}, {.reader = reader,
-                                       .replica = replica,
-                                       .clock = clock_,
-                                       .random = random_});
+  catalogue::CataloguePoller relay({}, {.reader = reader,
+                                        .replica = replica,
+                                        .clock = clock_,
+                                        .random = random_});
 
   relay.Step(true);
 
--- a/tests/unit/adapters/platform/http_platform_test.cc
+++ b/tests/unit/adapters/platform/http_platform_test.cc
@@ -80,7 +80,7 @@
 // The platform refuses with its own word that nothing was done: the caller may
 // retry or say so, because no write can appear later.
 TEST_F(HttpPlatformTest, DownIsUnavailable) {
-  handler_.FaultsInForce().Set({.is_down = true});
+  handler_.ActiveFaults().Set({.is_down = true});
 
   EXPECT_EQ(ErrorOf(platform_.Commit(Insert("k"))), StoreFailure::kUnavailable);
   EXPECT_EQ(ErrorOf(platform_.Read("k")), StoreFailure::kUnavailable);
@@ -95,7 +95,7 @@
 // The write takes effect and something on the way answers 504 instead. The
 // caller must not hear "not done", since a reader finds the row.
 TEST_F(HttpPlatformTest, LostAnswerLeavesTheOutcomeOpen) {
-  handler_.FaultsInForce().Set({.answers_to_lose = 1});
+  handler_.ActiveFaults().Set({.responses_to_drop = 1});
 
   const auto lost = platform_.Commit(Insert("k"));
 
@@ -107,9 +107,9 @@
 // The service is slower than the timeout. The caller gives up while the write
 // is still under way, and it lands afterwards: no "not done" here either.
 TEST_F(HttpPlatformTest, TimeoutLeavesTheOutcomeOpen) {
-  handler_.FaultsInForce().Set({.slow = milliseconds(600)});
+  handler_.ActiveFaults().Set({.delay = milliseconds(600)});
   const auto late = platform_.Commit(Insert("k"));
-  handler_.FaultsInForce().Set({});
+  handler_.ActiveFaults().Set({});
 
   ASSERT_FALSE(IsOk(late));
   EXPECT_EQ(ErrorOf(late), StoreFailure::kOutcomeUnknown);
--- a/tests/unit/adapters/process/settings_schema_test.cc
+++ b/tests/unit/adapters/process/settings_schema_test.cc
@@ -25,7 +25,7 @@
 TEST(SettingsSchemaTest, ReadsWhatIsThereAndKeepsTheOtherDefaults) {
   const auto result = ParseSettings(SteerdSchema(), kGoodSteerd, "s.yaml");
 
-  ASSERT_TRUE(IsOk(result)) << FormatFault(ErrorOf(result).front());
+  ASSERT_TRUE(IsOk(result)) << FormatSettingsError(ErrorOf(result).front());
   const SteerdSettings& settings = ValueOf(result);
   EXPECT_EQ(settings.host, "kg-nyarugenge-1");
   EXPECT_EQ(settings.peers, std::vector<std::string>{"127.31.1.2:17002"});
@@ -46,7 +46,7 @@
 struct FaultCase {
   std::string name;
   std::string extra;  ///< Appended to the good file, from line 11 on.
-  SettingsFaultCode code;
+  SettingsErrorCode code;
   int line;
   std::string field;
 };
@@ -60,7 +60,7 @@
 
   ASSERT_FALSE(IsOk(result));
   ASSERT_EQ(ErrorOf(result).size(), 1U);
-  const SettingsFault& fault = ErrorOf(result).front();
+  const SettingsError& fault = ErrorOf(result).front();
   EXPECT_EQ(fault.code, expected.code);
   EXPECT_EQ(fault.file, "s.yaml");
   EXPECT_EQ(fault.line, expected.line);
@@ -72,36 +72,36 @@
     Faults,
     SettingsFaultTable,
     testing::Values(
-        FaultCase{"UnknownKey", "bogus: 1\n", SettingsFaultCode::kUnknownKey,
+        FaultCase{"UnknownKey", "bogus: 1\n", SettingsErrorCode::kUnknownKey,
                   11, "bogus"},
-        FaultCase{"DuplicateKey", "host: x\n", SettingsFaultCode::kDuplicateKey,
+        FaultCase{"DuplicateKey", "host: x\n", SettingsErrorCode::kDuplicateKey,
                   11, "host"},
         FaultCase{"TextForNumber", "threads: many\n",
-                  SettingsFaultCode::kWrongType, 11, "threads"},
+                  SettingsErrorCode::kWrongType, 11, "threads"},
         FaultCase{"FractionForInteger", "threads: 2.5\n",
-                  SettingsFaultCode::kWrongType, 11, "threads"},
+                  SettingsErrorCode::kWrongType, 11, "threads"},
         FaultCase{"BelowMinimum", "threads: 0\n",
-                  SettingsFaultCode::kOutOfRange, 11, "threads"},
+                  SettingsErrorCode::kOutOfRange, 11, "threads"},
         FaultCase{"TooLongForAnyNumber", "threads: 99999999999999999999\n",
-                  SettingsFaultCode::kOutOfRange, 11, "threads"},
+                  SettingsErrorCode::kOutOfRange, 11, "threads"},
         FaultCase{"ListForNumber", "threads: [1]\n",
-                  SettingsFaultCode::kWrongType, 11, "threads"},
+                  SettingsErrorCode::kWrongType, 11, "threads"},
         FaultCase{"NestedRange", "telemetry:\n  trace_sampling: 1.5\n",
-                  SettingsFaultCode::kOutOfRange, 12,
+                  SettingsErrorCode::kOutOfRange, 12,
                   "telemetry.trace_sampling"},
         FaultCase{"NotANumberAtAll", "telemetry: {trace_sampling: .nan}\n",
-                  SettingsFaultCode::kOutOfRange, 11,
+                  SettingsErrorCode::kOutOfRange, 11,
                   "telemetry.trace_sampling"},
         FaultCase{"UnknownChoice", "telemetry: {log_level: loud}\n",
-                  SettingsFaultCode::kNotAllowed, 11, "telemetry.log_level"},
+                  SettingsErrorCode::kNotAllowed, 11, "telemetry.log_level"},
         FaultCase{"NestedUnknown", "budgets:\n  cpu: 1\n",
-                  SettingsFaultCode::kUnknownKey, 12, "budgets.cpu"},
+                  SettingsErrorCode::kUnknownKey, 12, "budgets.cpu"},
         FaultCase{"MissingInGroup", "lookup_tls: {certificate: a.pem}\n",
-                  SettingsFaultCode::kMissing, 11, "lookup_tls.key"},
+                  SettingsErrorCode::kMissing, 11, "lookup_tls.key"},
         FaultCase{"MappingForText", "entry_address: {a: 1}\n",
-                  SettingsFaultCode::kWrongType, 11, "entry_address"},
+                  SettingsErrorCode::kWrongType, 11, "entry_address"},
         FaultCase{"HostNameForAddress", "entry_address: localhost:80\n",
-                  SettingsFaultCode::kNotAllowed, 11, "entry_address"}),
+                  SettingsErrorCode::kNotAllowed, 11, "entry_address"}),
     [](const auto& info) { return info.param.name; });
 
 TEST(SettingsSchemaTest, ListsAllFaultsAtOnce) {
@@ -116,7 +116,7 @@
 
   ASSERT_FALSE(IsOk(result));
   std::vector<std::string> fields;
-  for (const SettingsFault& fault : ErrorOf(result)) {
+  for (const SettingsError& fault : ErrorOf(result)) {
     fields.push_back(fault.field);
   }
   EXPECT_EQ(fields, (std::vector<std::string>{
@@ -157,7 +157,7 @@
     const auto result = ParseSettings(
         EntrydSchema(), "key_secrets: " + std::string(secrets), "e.yaml");
     ASSERT_FALSE(IsOk(result));
-    EXPECT_EQ(ErrorOf(result).front().code, SettingsFaultCode::kOutOfRange);
+    EXPECT_EQ(ErrorOf(result).front().code, SettingsErrorCode::kOutOfRange);
     EXPECT_EQ(ErrorOf(result).front().allowed, "1 to 2 items");
   }
 }
@@ -167,7 +167,7 @@
       ParseSettings(SteerdSchema(), "host: a\n  b: [\n", "s.yaml");
 
   ASSERT_FALSE(IsOk(result));
-  EXPECT_EQ(ErrorOf(result).front().code, SettingsFaultCode::kNotYaml);
+  EXPECT_EQ(ErrorOf(result).front().code, SettingsErrorCode::kNotYaml);
   EXPECT_GT(ErrorOf(result).front().line, 0);
 }
 
@@ -175,7 +175,7 @@
   const auto result = LoadSettings(SteerdSchema(), "/no/such/file.yaml");
 
   ASSERT_FALSE(IsOk(result));
-  EXPECT_EQ(FormatFault(ErrorOf(result).front()).substr(0, 33),
+  EXPECT_EQ(FormatSettingsError(ErrorOf(result).front()).substr(0, 33),
             "/no/such/file.yaml: unreadable; a");
 }
 
--- a/tests/unit/adapters/steer/steer_telemetry_test.cc
+++ b/tests/unit/adapters/steer/steer_telemetry_test.cc
@@ -24,7 +24,7 @@
                   clock_,
                   random_};
   catalogue::CatalogueReplica replica_{{}, clock_};
-  catalogue::PlatformBudget budget_{{}, clock_};
+  catalogue::PlatformRateLimiter budget_{{}, clock_};
   ExchangeCounters exchanges_;
   HttpServerCounters listener_;
   SteerTelemetry telemetry_{{.core = core_,
@@ -56,8 +56,8 @@
 TEST_F(SteerTelemetryTest, TakesOverCountsOfOthersAtEachReading) {
   exchanges_.failed = 3;
   exchanges_.bytes.sent = 900;
-  static_cast<void>(budget_.TakeRead());
-  budget_.NoteOutcome(true);
+  static_cast<void>(budget_.TryAcquireRead());
+  budget_.RecordOutcome(true);
   replica_.NoteRevision(9, catalogue::RevisionSource::kPeer);
   listener_.client_errors = 2;
   telemetry_.WatchListener(listener_);
--- a/tests/unit/capacity/seat_holder_test.cc
+++ b/tests/unit/capacity/seat_holder_test.cc
@@ -29,7 +29,7 @@
     for (int i = 0; i < seconds; ++i) {
       clock_.Advance(std::chrono::seconds(1));
       for (SeatHolder* holder : holders) {
-        holder->Beat();
+        holder->RecordHeartbeat();
         holder->Step(1, 1, evidence);
       }
     }
@@ -58,10 +58,10 @@
 TEST_F(SeatHolderTest, AHolderServesOnWithoutThePlatform) {
   SeatHolder holder = Make("a");
   Pass({&holder}, 1, {});
-  EXPECT_EQ(holder.Standing(), SeatStanding::kHeld);
+  EXPECT_EQ(holder.State(), SeatState::kHeld);
   store_.SetDown(true);
   Pass({&holder}, 3600, {});
-  EXPECT_EQ(holder.Standing(), SeatStanding::kHeld);
+  EXPECT_EQ(holder.State(), SeatState::kHeld);
   EXPECT_GT(holder.ValidUntil(), clock_.Now());
 }
 
@@ -86,11 +86,11 @@
   const DomainEvidence evidence =
       About("a", GetParam().is_listed, GetParam().is_silent);
   Pass({&second}, 6, evidence);
-  EXPECT_EQ(second.Standing(),
-            GetParam().is_taken ? SeatStanding::kWaiting : SeatStanding::kNone);
+  EXPECT_EQ(second.State(),
+            GetParam().is_taken ? SeatState::kWaiting : SeatState::kNone);
   EXPECT_LT(second.ValidUntil(), clock_.Now());
   Pass({&second}, 9, evidence);
-  EXPECT_EQ(second.Standing() == SeatStanding::kHeld, GetParam().is_taken);
+  EXPECT_EQ(second.State() == SeatState::kHeld, GetParam().is_taken);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -117,13 +117,13 @@
   store_.SetDown(true);
   EXPECT_TRUE(successor.Accept(*handover));
   EXPECT_TRUE(successor.Accept(*handover)) << "a repeat";
-  EXPECT_EQ(successor.Standing(), SeatStanding::kWaiting);
+  EXPECT_EQ(successor.State(), SeatState::kWaiting);
 
   DomainEvidence evidence = About("a", true, false);
   evidence.peers[0].claimed_seat = 0;
   evidence.peers[0].claimed_at = clock_.Now() + std::chrono::seconds(1);
   Pass({&successor}, 1, evidence);
-  EXPECT_EQ(successor.Standing(), SeatStanding::kNone);
+  EXPECT_EQ(successor.State(), SeatState::kNone);
   EXPECT_FALSE(successor.Accept(*handover)) << "its time is over";
 }
 
@@ -139,12 +139,12 @@
   evidence.peers[0].claimed_seat = 0;
   evidence.peers[0].claimed_at = clock_.Now() + std::chrono::seconds(1);
   Pass({&holder}, 1, evidence);
-  EXPECT_EQ(holder.Standing(), SeatStanding::kDoubtful);
+  EXPECT_EQ(holder.State(), SeatState::kUnconfirmed);
   evidence.peers[0].claimed_seat.reset();
   Pass({&holder}, 11, evidence);
-  EXPECT_EQ(holder.Standing(), SeatStanding::kDoubtful);
+  EXPECT_EQ(holder.State(), SeatState::kUnconfirmed);
   Pass({&holder}, 2, evidence);
-  EXPECT_EQ(holder.Standing(), SeatStanding::kHeld);
+  EXPECT_EQ(holder.State(), SeatState::kHeld);
 }
 
 // The other side of it: who took the seat up without the platform yields.
@@ -155,11 +155,11 @@
   clock_.Advance(std::chrono::seconds(20));
   DomainEvidence evidence = About("b", true, true);
   Pass({&holder}, 13, evidence);
-  EXPECT_EQ(holder.Standing(), SeatStanding::kHeld);
+  EXPECT_EQ(holder.State(), SeatState::kHeld);
   evidence.peers[0].claimed_seat = 0;
   evidence.peers[0].claimed_at = clock_.Now() + std::chrono::seconds(1);
   Pass({&holder}, 1, evidence);
-  EXPECT_EQ(holder.Standing(), SeatStanding::kNone);
+  EXPECT_EQ(holder.State(), SeatState::kNone);
 }
 
 // What callers see: refusals, as the shares of all hosts cannot grow. How: a
@@ -171,11 +171,11 @@
   SeatHolder behind = Make("b");
   store_.SetBeforeCommit([&ahead] { ahead.Step(2, 2, {}); });
   behind.Step(2, 1, {});
-  EXPECT_EQ(behind.Standing(), SeatStanding::kNone);
+  EXPECT_EQ(behind.State(), SeatState::kNone);
   behind.Step(2, 1, {});
-  EXPECT_EQ(behind.Standing(), SeatStanding::kNone);
+  EXPECT_EQ(behind.State(), SeatState::kNone);
   behind.Step(2, 2, {});
-  EXPECT_EQ(behind.Standing(), SeatStanding::kHeld);
+  EXPECT_EQ(behind.State(), SeatState::kHeld);
   EXPECT_EQ(store_.Rows().size(), 2U);
 }
 
@@ -186,14 +186,14 @@
   Pass({&own}, 1, {});
   SeatHolder sibling = Make("s", true);
   Pass({&sibling}, 20, About("a", true, true));
-  EXPECT_EQ(sibling.Standing(), SeatStanding::kNone);
+  EXPECT_EQ(sibling.State(), SeatState::kNone);
   Pass({&sibling}, 15, About("a", false, true));
-  EXPECT_EQ(sibling.Standing(), SeatStanding::kHeld);
+  EXPECT_EQ(sibling.State(), SeatState::kHeld);
   Pass({&sibling}, 2, About("b", true, false));
-  EXPECT_EQ(sibling.Standing(), SeatStanding::kNone);
+  EXPECT_EQ(sibling.State(), SeatState::kNone);
   SeatHolder next = Make("b");
   Pass({&next}, 13, {});
-  EXPECT_EQ(next.Standing(), SeatStanding::kHeld);
+  EXPECT_EQ(next.State(), SeatState::kHeld);
 }
 
 }  // namespace
--- a/tests/unit/capacity/seat_pacing_test.cc
+++ b/tests/unit/capacity/seat_pacing_test.cc
@@ -15,7 +15,7 @@
 class SeatPacingTest : public testing::TestWithParam<PacingCase> {};
 
 TEST_P(SeatPacingTest, KeepsRowsASecondBounded) {
-  EXPECT_EQ(SeatPeriodFor(GetParam().inputs), GetParam().period);
+  EXPECT_EQ(SeatPollInterval(GetParam().inputs), GetParam().period);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/unit/catalogue/catalogue_relay_test.cc
+++ b/tests/unit/catalogue/catalogue_poller_test.cc
@@ -1,9 +1,9 @@
-#include "medlarcroft/catalogue/catalogue_relay.h"
+#include "medlarcroft/catalogue/catalogue_poller.h"
 
 #include <gtest/gtest.h>
 
 #include "fakes/catalogue_platform.h"
-#include "medlarcroft/catalogue/platform_budget.h"
+#include "medlarcroft/catalogue/platform_rate_limiter.h"
 
 namespace medlarcroft::catalogue {
 namespace {
@@ -15,20 +15,20 @@
 /// One host: its budget, replica and relay on a shared platform.
 struct Node {
   explicit Node(fakes::CataloguePlatform& shared,
-                PlatformBudget::Options options = {})
+                PlatformRateLimiter::Options options = {})
       : platform(shared), budget(options, shared.clock) {}
 
   fakes::CataloguePlatform& platform;
-  PlatformBudget budget;
-  BudgetedTableStore table{platform.table, budget};
-  BudgetedObjectStore objects{platform.objects, budget};
+  PlatformRateLimiter budget;
+  RateLimitedTableStore table{platform.table, budget};
+  RateLimitedObjectStore objects{platform.objects, budget};
   CatalogueReader reader{table, objects};
   CatalogueReplica replica{{}, platform.clock};
-  CatalogueRelay relay{{},
-                       {.reader = reader,
-                        .replica = replica,
-                        .clock = platform.clock,
-                        .random = platform.random}};
+  CataloguePoller relay{{},
+                        {.reader = reader,
+                         .replica = replica,
+                         .clock = platform.clock,
+                         .random = platform.random}};
 };
 
 class CatalogueRelayTest : public testing::Test {
@@ -96,7 +96,7 @@
   Accept(3);
   Node ahead(platform_);
   platform_.table.FreezeReads();
-  platform_.table.ThawReads();
+  platform_.table.UnfreezeReads();
   ahead.relay.Step(true);
   const Delta all = ahead.replica.ChangesSince(0, 10);
   platform_.table.FreezeReads();
@@ -196,7 +196,7 @@
 TEST_F(CatalogueRelayTest, ASlowPlatformOnlyDelaysTheStep) {
   Accept(2);
   Node node(platform_);
-  platform_.table.SetSlow(&platform_.clock, seconds(4));
+  platform_.table.SetLatency(&platform_.clock, seconds(4));
 
   node.relay.Step(true);
 
@@ -260,12 +260,12 @@
 TEST(PlatformBudgetTest, RefusesBeyondItsRateAndCounts) {
   fakes::ManualClock clock;
   fakes::FakeTableStore table;
-  PlatformBudget budget({.reads_per_second = 2,
-                         .read_burst = 5,
-                         .writes_per_second = 0.5,
-                         .write_burst = 1},
-                        clock);
-  BudgetedTableStore store(table, budget);
+  PlatformRateLimiter budget({.reads_per_second = 2,
+                              .read_burst = 5,
+                              .writes_per_second = 0.5,
+                              .write_burst = 1},
+                             clock);
+  RateLimitedTableStore store(table, budget);
 
   for (int i = 0; i < 400; ++i) {
     (void)store.Read("k");
@@ -273,7 +273,7 @@
     clock.Advance(milliseconds(25));
   }
 
-  const PlatformCounts counts = budget.Counts();
+  const PlatformCallCounts counts = budget.Counts();
   EXPECT_EQ(table.Reads(), counts.reads);
   EXPECT_EQ(table.Commits(), counts.writes);
   EXPECT_NEAR(counts.reads, 5 + 2 * 10, 1);
--- a/tests/unit/catalogue/catalogue_replica_test.cc
+++ b/tests/unit/catalogue/catalogue_replica_test.cc
@@ -138,13 +138,13 @@
 // of another that is at 3. Answering from 3 would bring back what 4 and 5 have
 // changed, so it must not be ready before it holds 5.
 TEST_F(CatalogueReplicaTest, AFreshHostWaitsForTheHighestRevisionShown) {
-  EXPECT_EQ(replica_.Status().not_ready_because,
-            std::vector{NotReadyReason::kNothingHeard});
+  EXPECT_EQ(replica_.Status().not_ready_reasons,
+            std::vector{NotReadyReason::kNoRevisionReceived});
   replica_.NoteRevision(5, RevisionSource::kPeer);
   (void)FromPeer(Changes(1, 3));
 
   EXPECT_FALSE(replica_.IsReady());
-  EXPECT_EQ(replica_.Status().not_ready_because,
+  EXPECT_EQ(replica_.Status().not_ready_reasons,
             std::vector{NotReadyReason::kBehindHighestSeen});
   (void)FromPeer(Changes(4, 5));
   EXPECT_TRUE(replica_.IsReady());
@@ -156,8 +156,8 @@
 TEST_F(CatalogueReplicaTest, FreshHostsDoNotMakeEachOtherReady) {
   replica_.NoteRevision(0, RevisionSource::kPeer);
   EXPECT_FALSE(replica_.IsReady());
-  EXPECT_EQ(replica_.Status().not_ready_because,
-            std::vector{NotReadyReason::kNothingHeard});
+  EXPECT_EQ(replica_.Status().not_ready_reasons,
+            std::vector{NotReadyReason::kNoRevisionReceived});
 
   replica_.NoteRevision(5, RevisionSource::kPeer);
   (void)FromPeer(Changes(1, 2));
@@ -182,7 +182,7 @@
   EXPECT_TRUE(replica_.IsReady());
   EXPECT_FALSE(replica_.IsCurrent());
   EXPECT_EQ(replica_.Status().highest_seen, 4U);
-  EXPECT_EQ(replica_.Status().in_force_for, seconds(12));
+  EXPECT_EQ(replica_.Status().time_in_force, seconds(12));
   EXPECT_EQ(clock_.Now() - *replica_.BehindSince(), seconds(2));
 }
 
--- a/tests/unit/catalogue/catalogue_store_test.cc
+++ b/tests/unit/catalogue/catalogue_store_test.cc
@@ -119,7 +119,7 @@
 struct LostCommit {
   std::string name;
   std::vector<CommitFault> faults;
-  bool was_settled;
+  bool was_already_accepted;
 };
 
 void PrintTo(const LostCommit& lost, std::ostream* out) {
@@ -139,8 +139,9 @@
 
   ASSERT_TRUE(IsOk(result));
   EXPECT_EQ(ValueOf(result).revision, 1U);
-  EXPECT_EQ(ValueOf(result).was_settled, GetParam().was_settled);
-  platform_.table.DeliverLate();
+  EXPECT_EQ(ValueOf(result).was_already_accepted,
+            GetParam().was_already_accepted);
+  platform_.table.DeliverDelayedCommits();
   EXPECT_EQ(Head(), 1U);
   EXPECT_EQ(VersionOf("a"), 1U);
 }
@@ -148,30 +149,31 @@
 INSTANTIATE_TEST_SUITE_P(
     Table,
     LostCommits,
-    testing::Values(LostCommit{"Effect", {CommitFault::kAnswerLost}, true},
+    testing::Values(LostCommit{"Effect", {CommitFault::kResponseLost}, true},
                     LostCommit{"NoEffect", {CommitFault::kRequestLost}, false},
-                    LostCommit{"LateEffect", {CommitFault::kLate}, false},
-                    LostCommit{"TwiceThenEffect",
-                               {CommitFault::kRequestLost, CommitFault::kLate,
-                                CommitFault::kAnswerLost},
-                               true}),
+                    LostCommit{"LateEffect", {CommitFault::kDelayed}, false},
+                    LostCommit{
+                        "TwiceThenEffect",
+                        {CommitFault::kRequestLost, CommitFault::kDelayed,
+                         CommitFault::kResponseLost},
+                        true}),
     [](const auto& tested) { return tested.param.name; });
 
 // The commit takes effect, its answer is lost, and the platform can't be read
 // afterwards. "Not made" would be false and "made" unproved, so the operator
 // gets the change id and asks again with it once the platform is back.
 TEST_F(CatalogueStoreTest, UnsettledChangeIsUnknownAndAskedForAgain) {
-  platform_.table.FailNextCommits({CommitFault::kAnswerLost});
+  platform_.table.FailNextCommits({CommitFault::kResponseLost});
   platform_.table.SetBeforeCommit(
-      [this] { platform_.table.SetReadsLost(true); });
+      [this] { platform_.table.SetReadsFailing(true); });
 
   const auto first = store_.Accept(DomainChange("c1", "a", 0));
-  platform_.table.SetReadsLost(false);
+  platform_.table.SetReadsFailing(false);
   const auto second = store_.Accept(DomainChange("c1", "a", 0));
 
   EXPECT_EQ(FailureOf<ChangeOutcomeUnknown>(first).change_id, "c1");
   ASSERT_TRUE(IsOk(second));
-  EXPECT_TRUE(ValueOf(second).was_settled);
+  EXPECT_TRUE(ValueOf(second).was_already_accepted);
   EXPECT_EQ(Head(), 1U);
 }
 
@@ -180,14 +182,14 @@
 // be false, since the change was made; the commit's own conditions tell.
 TEST_F(CatalogueStoreTest, LaggingReadsDoNotMakeAFalseConflict) {
   (void)store_.Accept(DomainChange("c1", "a", 0));
-  platform_.table.FailNextCommits({CommitFault::kAnswerLost});
+  platform_.table.FailNextCommits({CommitFault::kResponseLost});
   platform_.table.SetBeforeCommit([this] { platform_.table.FreezeReads(); });
 
   const auto result = store_.Accept(DomainChange("c2", "a", 1, 7));
 
   ASSERT_TRUE(IsOk(result));
   EXPECT_EQ(ValueOf(result).revision, 2U);
-  EXPECT_TRUE(ValueOf(result).was_settled);
+  EXPECT_TRUE(ValueOf(result).was_already_accepted);
 }
 
 // The first attempt is still on its way when a rival changes the entry. As the
@@ -196,13 +198,13 @@
 TEST_F(CatalogueStoreTest, ConflictAfterALostCommitIsProved) {
   (void)store_.Accept(DomainChange("c1", "a", 0));
   CatalogueStore rival = platform_.MakeStore();
-  platform_.table.FailNextCommits({CommitFault::kLate});
+  platform_.table.FailNextCommits({CommitFault::kDelayed});
   platform_.on_sleep = [&rival] {
     EXPECT_TRUE(IsOk(rival.Accept(DomainChange("rival", "a", 1, 9))));
   };
 
   const auto result = store_.Accept(DomainChange("c2", "a", 1, 7));
-  platform_.table.DeliverLate();
+  platform_.table.DeliverDelayedCommits();
 
   EXPECT_EQ(FailureOf<VersionConflict>(result).current_version, 2U);
   EXPECT_EQ(Head(), 2U);
@@ -215,7 +217,7 @@
 TEST_F(CatalogueStoreTest, ConflictThatIsNotProvedIsUnknown) {
   (void)store_.Accept(DomainChange("c1", "a", 0));
   CatalogueStore rival = platform_.MakeStore();
-  platform_.table.FailNextCommits({CommitFault::kLate});
+  platform_.table.FailNextCommits({CommitFault::kDelayed});
   platform_.on_sleep = [this, &rival] {
     (void)rival.Accept(DomainChange("rival", "a", 1, 9));
     platform_.table.FailNextCommits(
@@ -238,8 +240,8 @@
 }
 
 TEST_F(CatalogueStoreTest, SlowPlatformEndsWithinTheTimeLimit) {
-  platform_.table.SetSlow(&platform_.clock, std::chrono::seconds(4));
-  platform_.table.SetReadsLost(true);
+  platform_.table.SetLatency(&platform_.clock, std::chrono::seconds(4));
+  platform_.table.SetReadsFailing(true);
   const MonotonicTime start = platform_.clock.Now();
 
   (void)FailureOf<StoreUnavailable>(store_.Accept(DomainChange("c1", "a", 0)));
@@ -269,7 +271,7 @@
   platform_.table.FreezeReads();
   CatalogueStore rival = platform_.MakeStore();
   platform_.on_sleep = [this, &rival] {
-    platform_.table.ThawReads();
+    platform_.table.UnfreezeReads();
     (void)rival.Accept(DomainChange("rival", "b", 0));
   };
   auto change = DomainChange("c2", "a", 1);
