--- a/tests/unit/catalogue/platform_schedule_test.cc
+++ b/tests/unit/catalogue/platform_poll_schedule_test.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/catalogue/platform_schedule.h"
+#include "medlarcroft/catalogue/platform_poll_schedule.h"
 
 #include <gtest/gtest.h>
 
@@ -30,27 +30,27 @@
 // head's reader after that, 0.75 to 1.25 s on, or at the end of its back-off.
 TEST_P(HostListBesideHead, ReadsTheListOnceAPeriodWhateverTheHeadDoes) {
   fakes::SeededRandom random{7};
-  PlatformSchedule schedule;
-  HostListPace pace;
-  schedule.SetDue(PlatformReading::kBlockMap, kStart + std::chrono::hours(1));
+  PlatformPollSchedule schedule;
+  HostListPollTiming pace;
+  schedule.SetDue(PlatformPoll::kBlockMap, kStart + std::chrono::hours(1));
   MonotonicTime now = kStart;
   MonotonicTime last_list = kStart;
   Duration longest_gap{0};
   int lists = 0;
   while (now < kStart + std::chrono::minutes(10)) {
-    if (schedule.IsDue(PlatformReading::kCatalogueHead, now)) {
+    if (schedule.IsDue(PlatformPoll::kCatalogueHead, now)) {
       const Duration spread = GetParam().longest - GetParam().shortest;
-      schedule.SetDue(PlatformReading::kCatalogueHead,
+      schedule.SetDue(PlatformPoll::kCatalogueHead,
                       now + GetParam().shortest +
                           FromSeconds(ToSeconds(spread) * random.NextUnit()));
     }
-    if (schedule.IsDue(PlatformReading::kHostList, now)) {
+    if (schedule.IsDue(PlatformPoll::kHostList, now)) {
       longest_gap = std::max(longest_gap, now - last_list);
       last_list = now;
       ++lists;
-      schedule.SetDue(PlatformReading::kHostList, now + pace.AfterRead(4));
+      schedule.SetDue(PlatformPoll::kHostList, now + pace.AfterRead(4));
     }
-    now += schedule.PauseFrom(now);
+    now += schedule.TimeUntilNextDue(now);
   }
 
   EXPECT_LE(longest_gap, seconds(2));
@@ -69,7 +69,7 @@
     [](const auto& info) { return info.param.name; });
 
 TEST(HostListPaceTest, GrowsWithTheHostsUpToFiveSeconds) {
-  HostListPace pace;
+  HostListPollTiming pace;
 
   EXPECT_EQ(pace.AfterRead(8), seconds(2));
   EXPECT_EQ(pace.AfterRead(528), seconds(3));
@@ -81,7 +81,7 @@
 // leaving: the next read still falls within the promise. While the platform
 // stays away, hosts ask no more often than while it answers.
 TEST(HostListPaceTest, AsksSoonAfterOneFailureAndNoMoreOftenAfterMany) {
-  HostListPace pace;
+  HostListPollTiming pace;
   (void)pace.AfterRead(8);
 
   EXPECT_EQ(pace.AfterFailure(), milliseconds(500));
--- a/tests/unit/decision/attempt_rules_test.cc
+++ b/tests/unit/decision/attempt_rules_test.cc
@@ -16,12 +16,12 @@
 class AttemptRulesTest : public ::testing::TestWithParam<Case> {};
 
 TEST_P(AttemptRulesTest, FollowsTheTable) {
-  const AttemptRules& rules = RulesOf(GetParam().outcome);
+  const AttemptRules& rules = RulesFor(GetParam().outcome);
 
   EXPECT_EQ(rules.run_state, GetParam().run_state);
-  EXPECT_EQ(MayRunAgain(rules, true), GetParam().idempotent_again);
-  EXPECT_EQ(MayRunAgain(rules, false), GetParam().non_idempotent_again);
-  EXPECT_EQ(rules.is_blamed_on_target, GetParam().is_blamed);
+  EXPECT_EQ(MayRetry(rules, true), GetParam().idempotent_again);
+  EXPECT_EQ(MayRetry(rules, false), GetParam().non_idempotent_again);
+  EXPECT_EQ(rules.is_target_failure, GetParam().is_blamed);
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/tests/unit/decision/leaving_mark_test.cc
+++ b/tests/unit/decision/leaving_status_test.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/decision/leaving_mark.h"
+#include "medlarcroft/decision/leaving_status.h"
 
 #include <gtest/gtest.h>
 
@@ -13,8 +13,8 @@
 // The caller sees: no request lands on the target again. In order: it says that
 // it drains; a snapshot made before that still says it stays. Why: the sources
 // lag, so a sign of life may be older than the sign of leaving.
-TEST(LeavingMark, AnOlderSignOfLifeDoesNotUndoIt) {
-  LeavingMark mark;
+TEST(LeavingStatus, AnOlderSignOfLifeDoesNotUndoIt) {
+  LeavingStatus mark;
   mark.OnSign(kNow);
 
   mark.OnSnapshot(/*is_leaving=*/false, kNow + seconds(1));
@@ -22,8 +22,8 @@
   EXPECT_TRUE(mark.IsLeaving(kNow + seconds(1)));
 }
 
-TEST(LeavingMark, TheSnapshotUndoesWhatItConfirmed) {
-  LeavingMark mark;
+TEST(LeavingStatus, TheSnapshotUndoesWhatItConfirmed) {
+  LeavingStatus mark;
   mark.OnSign(kNow);
   mark.OnSnapshot(/*is_leaving=*/true, kNow + seconds(2));
   mark.OnSnapshot(/*is_leaving=*/false, kNow + minutes(2));
@@ -31,8 +31,8 @@
   EXPECT_FALSE(mark.IsLeaving(kNow + minutes(2)));
 }
 
-TEST(LeavingMark, AnUnconfirmedMarkEnds) {
-  LeavingMark mark;
+TEST(LeavingStatus, AnUnconfirmedMarkEnds) {
+  LeavingStatus mark;
   mark.OnSign(kNow);
 
   EXPECT_TRUE(mark.IsLeaving(kNow + minutes(14)));
@@ -43,8 +43,8 @@
 // In order: it says that it drains, the hosts tell each other, it says that it
 // stays. Why: what the snapshot says is no sight of this host's own; reported
 // as such it would confirm itself for ever.
-TEST(LeavingMark, TheSnapshotsWordIsNotReportedAsAnOwnSign) {
-  LeavingMark mark;
+TEST(LeavingStatus, TheSnapshotsWordIsNotReportedAsAnOwnSign) {
+  LeavingStatus mark;
   mark.OnSnapshot(/*is_leaving=*/true, kNow);
 
   EXPECT_TRUE(mark.IsLeaving(kNow));
@@ -54,8 +54,8 @@
 // The caller sees: no request lands on a target that leaves. In order: it is
 // asked, it says that it drains on another connection, then the older answer
 // arrives and says that it stays. Why: only a question put later counts.
-TEST(LeavingMark, OnlyALaterWordOfTheTargetEndsItsSign) {
-  LeavingMark mark;
+TEST(LeavingStatus, OnlyALaterWordOfTheTargetEndsItsSign) {
+  LeavingStatus mark;
   mark.OnSign(kNow);
 
   mark.OnStayingSign(kNow - seconds(1));
@@ -68,8 +68,8 @@
 // The caller sees: no request lands on a target that an operator drains. In
 // order: the snapshot shows the drain, the target itself says that it stays.
 // Why: a target need not know that its operator wants it empty.
-TEST(LeavingMark, TheTargetsWordDoesNotUndoTheSnapshots) {
-  LeavingMark mark;
+TEST(LeavingStatus, TheTargetsWordDoesNotUndoTheSnapshots) {
+  LeavingStatus mark;
   mark.OnSnapshot(/*is_leaving=*/true, kNow);
   mark.OnStayingSign(kNow + seconds(1));
 
--- a/tests/unit/decision/placement_test.cc
+++ b/tests/unit/decision/placement_test.cc
@@ -12,12 +12,12 @@
 
 constexpr MonotonicTime kNow{std::chrono::hours(1)};
 
-TargetState Target(std::uint32_t own, std::uint32_t reported_others) {
+TargetState Target(std::uint32_t own, std::uint32_t reported_by_others) {
   TargetState target;
   target.config = {.slots = 8, .share = 4};
   target.usable = 4;
   target.outstanding = own;
-  target.reported_others = reported_others;
+  target.reported_by_others = reported_by_others;
   target.reported_at = kNow;
   return target;
 }
@@ -76,7 +76,7 @@
   table.Configure(std::vector<ServiceTargets>{{.targets = configs}},
                   Duration(0), kNow);
   fakes::SeededRandom random(1);
-  const auto placement = MakePlacement(GetParam());
+  const auto placement = MakePlacementStrategy(GetParam());
 
   std::map<TargetIndex, int> taken;
   while (!table.Available(0).empty()) {
@@ -91,13 +91,14 @@
     EXPECT_EQ(count, 3);
 }
 
-INSTANTIATE_TEST_SUITE_P(Kinds,
-                         PlacementTest,
-                         ::testing::Values(PlacementKind::kTwoChoices,
-                                           PlacementKind::kOptimisticTwoChoices,
-                                           PlacementKind::kRandom,
-                                           PlacementKind::kRoundRobin,
-                                           PlacementKind::kLeastReportedLoad));
+INSTANTIATE_TEST_SUITE_P(
+    Kinds,
+    PlacementTest,
+    ::testing::Values(PlacementKind::kPowerOfTwoChoices,
+                      PlacementKind::kOptimisticPowerOfTwoChoices,
+                      PlacementKind::kRandom,
+                      PlacementKind::kRoundRobin,
+                      PlacementKind::kLeastReportedLoad));
 
 }  // namespace
 }  // namespace medlarcroft::decision
--- a/tests/unit/decision/request_scheduler_test.cc
+++ b/tests/unit/decision/request_scheduler_test.cc
@@ -210,7 +210,7 @@
   clock_.Advance(seconds(5));
 
   EXPECT_FALSE(std::holds_alternative<Dispatch>(Submit()));
-  EXPECT_EQ(Explain().targets[0].rule, TargetRule::kLeaseLapsed);
+  EXPECT_EQ(Explain().targets[0].rule, TargetUsageRule::kLeaseExpired);
 }
 
 TEST_F(RequestSchedulerTest, SendsNothingToALeavingTarget) {
@@ -359,11 +359,11 @@
 
   scheduler_.OnSilentConnection(TargetName("t0"), clock_.Now());
   fail_at_first(AttemptOutcome::kTimedOut);
-  EXPECT_EQ(Explain().targets[0].rule, TargetRule::kFullShare);
+  EXPECT_EQ(Explain().targets[0].rule, TargetUsageRule::kFullShare);
 
   static_cast<void>(Advance(seconds(2)));
   fail_at_first(AttemptOutcome::kTruncated);
-  EXPECT_EQ(Explain().targets[0].rule, TargetRule::kEjected);
+  EXPECT_EQ(Explain().targets[0].rule, TargetUsageRule::kEjected);
 }
 
 TEST_F(RequestSchedulerTest, NeverEjectsTheLastTargetThatCanServe) {
@@ -376,7 +376,7 @@
         End(SubmitAndDispatch().attempt, AttemptOutcome::kTruncated));
   }
 
-  EXPECT_EQ(Explain().targets[0].rule, TargetRule::kFullShare);
+  EXPECT_EQ(Explain().targets[0].rule, TargetUsageRule::kFullShare);
 }
 
 }  // namespace
--- a/tests/unit/decision/target_table_test.cc
+++ b/tests/unit/decision/target_table_test.cc
@@ -46,7 +46,7 @@
   table.Advance(kNow + seconds(3));
 
   EXPECT_EQ(table.UsableSlots(0), 4U);
-  EXPECT_EQ(table.RuleOf(1, kNow + seconds(3)), TargetRule::kLeaseLapsed);
+  EXPECT_EQ(table.RuleOf(1, kNow + seconds(3)), TargetUsageRule::kLeaseExpired);
 }
 
 // The caller sees: short look-ups are served while long reads fill the same
--- a/tests/unit/dist/deploy_template_test.cc
+++ b/tests/unit/dist/deploy_template_test.cc
@@ -40,7 +40,7 @@
 
   const auto parsed = ParseSettings(NodeSchema(), settings, "node.yaml");
 
-  ASSERT_TRUE(IsOk(parsed)) << FormatFault(ErrorOf(parsed).front());
+  ASSERT_TRUE(IsOk(parsed)) << FormatSettingsError(ErrorOf(parsed).front());
   EXPECT_EQ(ValueOf(parsed).memory_mb, 260U);
   EXPECT_EQ(ValueOf(parsed).link_mbps, 10.5);
   EXPECT_EQ(ValueOf(parsed).bounds.stop_limit, std::chrono::seconds(5));
--- a/tests/unit/forwarding/forward_proof_test.cc
+++ b/tests/unit/forwarding/forward_proof_test.cc
@@ -27,9 +27,9 @@
 
 TEST_P(ForwardProof, BindsSenderRequestAndTime) {
   const ProofCase& example = GetParam();
-  const std::string proof = ProveForward(kClaim, kRequest, kSecret);
-  EXPECT_EQ(IsForwardProved(example.claim, example.request, proof,
-                            example.secret, example.now),
+  const std::string proof = SignForward(kClaim, kRequest, kSecret);
+  EXPECT_EQ(IsForwardProofValid(example.claim, example.request, proof,
+                                example.secret, example.now),
             example.is_proved);
 }
 
--- a/tests/unit/idempotency/durable_claims_test.cc
+++ b/tests/unit/idempotency/durable_claims_test.cc
@@ -37,12 +37,12 @@
 // absent, and the same insert is sent again, so that the late one finds it
 // taken.
 TEST_F(DurableClaimsTest, ALostAnswerIsSettledByTheNonce) {
-  store_.FailNextCommits({CommitFault::kAnswerLost});
+  store_.FailNextCommits({CommitFault::kResponseLost});
   EXPECT_TRUE(std::holds_alternative<Claimed>(a_.Claim(key_)));
   const Key late = authority_.Issue(Mode::kDurable);
-  store_.FailNextCommits({CommitFault::kLate});
+  store_.FailNextCommits({CommitFault::kDelayed});
   EXPECT_TRUE(std::holds_alternative<Claimed>(a_.Claim(late)));
-  store_.DeliverLate();
+  store_.DeliverDelayedCommits();
   EXPECT_TRUE(std::holds_alternative<ClaimedElsewhere>(b_.Claim(late)));
 }
 
@@ -54,7 +54,7 @@
   EXPECT_TRUE(std::holds_alternative<Unsettled>(a_.Claim(key_)));
   EXPECT_FALSE(a_.MarkDispatched(key_));
   store_.SetDown(false);
-  store_.SetReadsLost(false);
+  store_.SetReadsFailing(false);
   EXPECT_TRUE(std::holds_alternative<Claimed>(a_.Claim(key_)));
   EXPECT_TRUE(a_.MarkDispatched(key_));
   EXPECT_FALSE(a_.MarkDispatched(key_));
@@ -76,10 +76,10 @@
 // What the caller sees: "not run", proved. How: a fence takes the place of the
 // claim, so a claim that is still on its way finds the row and fails.
 TEST_F(DurableClaimsTest, AFenceStopsALateClaim) {
-  store_.FailNextCommits({CommitFault::kLate, CommitFault::kLate});
+  store_.FailNextCommits({CommitFault::kDelayed, CommitFault::kDelayed});
   EXPECT_TRUE(std::holds_alternative<Unsettled>(a_.Claim(key_)));
   EXPECT_TRUE(std::holds_alternative<Fenced>(b_.Fence(key_)));
-  store_.DeliverLate();
+  store_.DeliverDelayedCommits();
   EXPECT_TRUE(std::holds_alternative<Fenced>(a_.Claim(key_)));
   EXPECT_FALSE(a_.MarkDispatched(key_));
 }
--- a/tests/unit/idempotency/key_test.cc
+++ b/tests/unit/idempotency/key_test.cc
@@ -25,10 +25,10 @@
   KeyAuthority authority = MakeAuthority(clock, {.issuing = kOldSecret});
   for (const Mode mode : {Mode::kLocal, Mode::kDurable}) {
     const Key key = authority.Issue(mode);
-    const auto read = ParseKey(ToText(key));
+    const auto read = ParseKey(FormatKey(key));
     ASSERT_TRUE(IsOk(read));
     EXPECT_EQ(ValueOf(read), key);
-    EXPECT_LE(ToText(key).size(), kMaxKeyText);
+    EXPECT_LE(FormatKey(key).size(), kMaxKeyText);
   }
 }
 
@@ -92,34 +92,34 @@
   for (std::size_t i = 0; i + 1 < std::size(steps); ++i) {
     KeyAuthority early = MakeAuthority(clock, steps[i]);
     KeyAuthority late = MakeAuthority(clock, steps[i + 1]);
-    EXPECT_EQ(early.Refuse(late.Issue(Mode::kLocal)), std::nullopt) << i;
-    EXPECT_EQ(late.Refuse(early.Issue(Mode::kLocal)), std::nullopt) << i;
+    EXPECT_EQ(early.FindRefusal(late.Issue(Mode::kLocal)), std::nullopt) << i;
+    EXPECT_EQ(late.FindRefusal(early.Issue(Mode::kLocal)), std::nullopt) << i;
   }
   KeyAuthority first = MakeAuthority(clock, steps[0]);
   KeyAuthority last = MakeAuthority(clock, steps[3]);
-  EXPECT_EQ(last.Refuse(first.Issue(Mode::kLocal)), KeyRefusal::kForged);
+  EXPECT_EQ(last.FindRefusal(first.Issue(Mode::kLocal)), KeyRefusal::kForged);
 }
 
 TEST(KeyAuthority, RefusesForgedAndExpiredKeysAndWeakSecrets) {
   fakes::ManualClock clock;
   KeyAuthority authority = MakeAuthority(clock, {.issuing = kOldSecret});
   const Key key = authority.Issue(Mode::kLocal);
-  EXPECT_EQ(authority.Refuse(key), std::nullopt);
+  EXPECT_EQ(authority.FindRefusal(key), std::nullopt);
 
   Key forged = key;
   forged.mode = Mode::kDurable;
-  EXPECT_EQ(authority.Refuse(forged), KeyRefusal::kForged);
+  EXPECT_EQ(authority.FindRefusal(forged), KeyRefusal::kForged);
   forged = key;
   ++forged.id.sequence;
-  EXPECT_EQ(authority.Refuse(forged), KeyRefusal::kForged);
+  EXPECT_EQ(authority.FindRefusal(forged), KeyRefusal::kForged);
 
   clock.Advance(std::chrono::minutes(10));
-  EXPECT_EQ(authority.Refuse(key), KeyRefusal::kExpired);
+  EXPECT_EQ(authority.FindRefusal(key), KeyRefusal::kExpired);
   EXPECT_EQ(ErrorOf(authority.Rotate({.issuing = ""})),
             KeySecretsError::kTooShort);
   EXPECT_EQ(ErrorOf(authority.Rotate(
                 {.issuing = kNewSecret, .also_accepted = kNewSecret})),
-            KeySecretsError::kSameTwice);
+            KeySecretsError::kIdenticalSecrets);
 }
 
 }  // namespace
--- a/tests/unit/idempotency/ledger_test.cc
+++ b/tests/unit/idempotency/ledger_test.cc
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kReserve = 1000;
 Fingerprint Booking(const char* body) {
-  return FingerprintOf({.brand = "b", .method = "POST", .body = body});
+  return ComputeFingerprint({.brand = "b", .method = "POST", .body = body});
 }
 
 class LedgerTest : public ::testing::Test {
@@ -41,17 +41,17 @@
 // names them; later ones get the kept answer.
 TEST_F(LedgerTest, DuplicatesTogetherWaitAndLateOnesGetTheSameAnswer) {
   const Key key = authority_.Issue(Mode::kLocal);
-  EXPECT_TRUE(std::holds_alternative<RunIt>(Begin(key)));
-  EXPECT_TRUE(std::holds_alternative<WaitForIt>(Begin(key, 11)));
-  EXPECT_TRUE(std::holds_alternative<WaitForIt>(Begin(key, 12)));
+  EXPECT_TRUE(std::holds_alternative<DispatchRequest>(Begin(key)));
+  EXPECT_TRUE(std::holds_alternative<AwaitFirstAttempt>(Begin(key, 11)));
+  EXPECT_TRUE(std::holds_alternative<AwaitFirstAttempt>(Begin(key, 12)));
   EXPECT_EQ(RefusedOf(Begin(key, 13)).reason, LedgerRefusal::kTooManyWaiters);
   ledger_.CancelWait(key, 11);
 
   const auto answer = std::make_shared<Answer>(Answer{.status = 201});
   EXPECT_EQ(ledger_.Complete(key, answer), std::vector<WaiterId>{12});
   const BeginResult replay = Begin(key);
-  ASSERT_TRUE(std::holds_alternative<ReplayIt>(replay));
-  EXPECT_EQ(*std::get<ReplayIt>(replay).answer, *answer);
+  ASSERT_TRUE(std::holds_alternative<ReplayAnswer>(replay));
+  EXPECT_EQ(*std::get<ReplayAnswer>(replay).answer, *answer);
   EXPECT_EQ(ledger_.Running(), 0U);
 }
 
@@ -73,7 +73,7 @@
   EXPECT_EQ(ledger_.OutcomeIfRefused(key), Outcome::kUnknown);
 
   (void)ledger_.Complete(key, std::make_shared<Answer>());
-  EXPECT_TRUE(std::holds_alternative<ReplayIt>(Begin(key)));
+  EXPECT_TRUE(std::holds_alternative<ReplayAnswer>(Begin(key)));
 }
 
 TEST_F(LedgerTest, WhatDidNotRunMayBeRetried) {
@@ -82,7 +82,7 @@
   (void)Begin(key, 4);
   EXPECT_EQ(ledger_.MarkNotRun(key), std::vector<WaiterId>{4});
   EXPECT_EQ(ledger_.OutcomeIfRefused(key), Outcome::kNotRun);
-  EXPECT_TRUE(std::holds_alternative<RunIt>(Begin(key)));
+  EXPECT_TRUE(std::holds_alternative<DispatchRequest>(Begin(key)));
 }
 
 // What the caller sees: "not run", try later. Why: room for the answer is
@@ -110,15 +110,15 @@
   const Refused elsewhere = RefusedOf(Begin(other.Issue(Mode::kLocal)));
   EXPECT_EQ(elsewhere.reason, LedgerRefusal::kForeignHost);
   EXPECT_EQ(elsewhere.outcome, Outcome::kUnknown);
-  EXPECT_TRUE(
-      std::holds_alternative<RunIt>(Begin(other.Issue(Mode::kDurable))));
+  EXPECT_TRUE(std::holds_alternative<DispatchRequest>(
+      Begin(other.Issue(Mode::kDurable))));
 }
 
 TEST_F(LedgerTest, ARunThatOutlivesItsKeyIsSettledAndForgotten) {
   const Key key = authority_.Issue(Mode::kLocal);
   (void)Begin(key);
   clock_.Advance(std::chrono::minutes(11));
-  EXPECT_TRUE(std::holds_alternative<WaitForIt>(Begin(key, 9)));
+  EXPECT_TRUE(std::holds_alternative<AwaitFirstAttempt>(Begin(key, 9)));
   EXPECT_EQ(ledger_.Complete(key, std::make_shared<Answer>()),
             std::vector<WaiterId>{9});
   EXPECT_EQ(ledger_.Entries(), 0U);
--- a/tests/unit/load_generator/answer_check_test.cc
+++ b/tests/unit/load_generator/response_check_test.cc
@@ -1,16 +1,16 @@
-#include "medlarcroft/load_generator/answer_check.h"
+#include "medlarcroft/load_generator/response_check.h"
 
 #include <gtest/gtest.h>
 
-#include "medlarcroft/load_generator/claim_book.h"
 #include "medlarcroft/load_generator/lookup_cache.h"
+#include "medlarcroft/load_generator/outcome_auditor.h"
 
 namespace medlarcroft::load_generator {
 namespace {
 
 using idempotency::Outcome;
 
-constexpr ExpectedEcho kEcho{.path_tail = "run-1", .body_hash = "abc"};
+constexpr ExpectedEcho kEcho{.path_suffix = "run-1", .body_hash = "abc"};
 
 ExchangeResult MakeResult(int status,
                           const std::string& outcome,
@@ -30,7 +30,7 @@
 class Answers : public testing::TestWithParam<AnswerCase> {};
 
 TEST_P(Answers, AreJudged) {
-  const AttemptVerdict verdict = JudgeAnswer(GetParam().result, kEcho);
+  const AttemptVerdict verdict = CheckResponse(GetParam().result, kEcho);
   EXPECT_EQ(verdict.outcome, GetParam().outcome);
   EXPECT_EQ(verdict.fault, GetParam().fault);
   EXPECT_EQ(verdict.is_success, GetParam().is_success);
@@ -163,7 +163,7 @@
 class Ttls : public testing::TestWithParam<TtlCase> {};
 
 TEST_P(Ttls, AreBounded) {
-  const auto result = ParseLookupAnswer(
+  const auto result = ParseLookupResponse(
       R"({"entry_hosts":[{"address":"127.0.0.1:1"}],"ttl_ms":)" +
       GetParam().ttl + "}");
   ASSERT_TRUE(IsOk(result));
@@ -189,7 +189,7 @@
 class BadLookups : public testing::TestWithParam<LookupCase> {};
 
 TEST_P(BadLookups, AreRefused) {
-  const auto result = ParseLookupAnswer(GetParam().body);
+  const auto result = ParseLookupResponse(GetParam().body);
   ASSERT_FALSE(IsOk(result));
   EXPECT_EQ(ErrorOf(result), GetParam().error);
 }
--- a/tests/unit/membership/lookup_answer_test.cc
+++ b/tests/unit/membership/lookup_answer_test.cc
@@ -13,10 +13,10 @@
 
 const FailureDomainName kOwn("own");
 
-std::vector<CallableHost> Hosts(const std::string& domain,
-                                int large,
-                                int small) {
-  std::vector<CallableHost> hosts;
+std::vector<LookupCandidate> Hosts(const std::string& domain,
+                                   int large,
+                                   int small) {
+  std::vector<LookupCandidate> hosts;
   hosts.reserve(static_cast<std::size_t>(large) +
                 static_cast<std::size_t>(small));
   for (int number = 0; number < large + small; ++number) {
@@ -27,9 +27,9 @@
   return hosts;
 }
 
-std::vector<CallableHost> LargeRegion() {
-  std::vector<CallableHost> hosts = Hosts("first", 3, 30);
-  for (const CallableHost& host : Hosts("own", 3, 30)) {
+std::vector<LookupCandidate> LargeRegion() {
+  std::vector<LookupCandidate> hosts = Hosts("first", 3, 30);
+  for (const LookupCandidate& host : Hosts("own", 3, 30)) {
     hosts.push_back(host);
   }
   return hosts;
@@ -45,14 +45,14 @@
 TEST(LookupAnswerTest, ASmallRegionIsNamedWhole) {
   fakes::SeededRandom random(1);
   const auto hosts = Hosts("own", 2, 6);
-  EXPECT_EQ(ChooseNamedHosts(hosts, kOwn, random).size(), hosts.size());
+  EXPECT_EQ(ChooseLookupHosts(hosts, kOwn, random).size(), hosts.size());
 }
 
 // Guards against answers of more addresses than callers read, and against
 // requests that cross domains for nothing.
 TEST(LookupAnswerTest, ALargeRegionNamesAFewHostsOfTheCallersDomain) {
   fakes::SeededRandom random(1);
-  const auto named = ChooseNamedHosts(LargeRegion(), kOwn, random);
+  const auto named = ChooseLookupHosts(LargeRegion(), kOwn, random);
   EXPECT_EQ(named.size(), kHostsNamed);
   EXPECT_EQ(CountFrom(named, "own"), kHostsNamed);
   EXPECT_EQ(std::set(named.begin(), named.end()).size(), kHostsNamed);
@@ -61,11 +61,11 @@
 // A domain lost most of its hosts: its callers are told of others beside them.
 TEST(LookupAnswerTest, ADomainWithFewHostsIsHelpedOut) {
   fakes::SeededRandom random(1);
-  std::vector<CallableHost> hosts = Hosts("first", 3, 30);
-  for (const CallableHost& host : Hosts("own", 0, 2)) {
+  std::vector<LookupCandidate> hosts = Hosts("first", 3, 30);
+  for (const LookupCandidate& host : Hosts("own", 0, 2)) {
     hosts.push_back(host);
   }
-  const auto named = ChooseNamedHosts(hosts, kOwn, random);
+  const auto named = ChooseLookupHosts(hosts, kOwn, random);
   EXPECT_EQ(named.size(), kHostsNamed);
   EXPECT_EQ(CountFrom(named, "own"), 2U);
 }
@@ -78,7 +78,7 @@
   std::map<std::string, double> parts;
   constexpr int kLookups = 20000;
   for (int i = 0; i < kLookups; ++i) {
-    const auto named = ChooseNamedHosts(hosts, kOwn, random);
+    const auto named = ChooseLookupHosts(hosts, kOwn, random);
     for (const std::string& address : named) {
       parts[address] += 1.0 / static_cast<double>(named.size()) / kLookups;
     }
@@ -97,13 +97,13 @@
 
 TEST(LookupAnswerTest, HostsOfUnknownSizeAreNamedAllTheSame) {
   fakes::SeededRandom random(1);
-  std::vector<CallableHost> hosts = Hosts("own", 0, 20);
-  for (CallableHost& host : hosts) {
+  std::vector<LookupCandidate> hosts = Hosts("own", 0, 20);
+  for (LookupCandidate& host : hosts) {
     host.link_mbps = 0;
   }
-  EXPECT_EQ(ChooseNamedHosts(hosts, FailureDomainName(), random).size(),
+  EXPECT_EQ(ChooseLookupHosts(hosts, FailureDomainName(), random).size(),
             kHostsNamed);
-  EXPECT_TRUE(ChooseNamedHosts({}, kOwn, random).empty());
+  EXPECT_TRUE(ChooseLookupHosts({}, kOwn, random).empty());
 }
 
 }  // namespace
--- a/tests/unit/membership/target_signs_test.cc
+++ b/tests/unit/membership/target_status_table_test.cc
@@ -1,9 +1,9 @@
-#include "medlarcroft/membership/target_signs.h"
+#include "medlarcroft/membership/target_status_table.h"
 
 #include <gtest/gtest.h>
 
 #include "fakes/manual_clock.h"
-#include "medlarcroft/membership/relays.h"
+#include "medlarcroft/membership/rendezvous_hash.h"
 
 namespace medlarcroft::membership {
 namespace {
@@ -24,7 +24,7 @@
   }
 
   fakes::ManualClock clock_;
-  TargetSigns signs_{{}, clock_};
+  TargetStatusTable signs_{{}, clock_};
 };
 
 // What the caller sees: its work is placed on a target that is about to stop.
@@ -69,10 +69,10 @@
   std::size_t changed = 0;
   for (int duty = 0; duty < 200; ++duty) {
     const std::string name = "duty-" + std::to_string(duty);
-    const auto before = ChooseRelays(name, hosts, 2);
+    const auto before = ChooseHostsByRendezvousHash(name, hosts, 2);
     const std::vector<HostName> fewer(hosts.begin() + 1, hosts.end());
     const bool had_lost = before[0] == hosts[0] || before[1] == hosts[0];
-    EXPECT_EQ(ChooseRelays(name, fewer, 2) != before, had_lost);
+    EXPECT_EQ(ChooseHostsByRendezvousHash(name, fewer, 2) != before, had_lost);
     changed += had_lost ? 1 : 0;
   }
   EXPECT_LT(changed, 30U);
--- a/tests/unit/node/crash_sharing_test.cc
+++ b/tests/unit/node/crash_sharing_test.cc
@@ -39,14 +39,14 @@
     loop_.After(time, [this] { loop_.Finish(0); });
     loop_.Run();
   }
-  [[nodiscard]] rows::Row RowUntil(Duration from_now) const {
-    return {.key = platform::KeyOfBlockedRequest(kRequest),
+  [[nodiscard]] replication::Row RowUntil(Duration from_now) const {
+    return {.key = platform::FormatBlockedRequestKey(kRequest),
             .value = platform::EncodeBlockedRequest(
                 {.request = kRequest, .until = clock_.WallNow() + from_now}),
             .version = 7};
   }
-  [[nodiscard]] static rows::Row RemovedRow() {
-    return {.key = platform::KeyOfBlockedRequest(kRequest),
+  [[nodiscard]] static replication::Row RemovedRow() {
+    return {.key = platform::FormatBlockedRequestKey(kRequest),
             .version = 8,
             .is_removed = true};
   }
@@ -70,14 +70,14 @@
   request_path::DomainRegions regions_{
       {FailureDomainName("z"), RegionName("r")}};
   adapters::NodeSettings settings_;
-  request_path::CrashLedger ledger_{{}};
+  request_path::CrashTracker ledger_{{}};
   PeerGroup peers_{
       settings_,
       PeerGroup::Parts{.loop = loop_,
                        .store = store_,
                        .random = random_,
                        .regions = regions_,
-                       .on_blocked_row = [this](const rows::Row& row) {
+                       .on_blocked_row = [this](const replication::Row& row) {
                          stored_value_ = row.value;
                          sharing_.OnRow(row);
                        }}};
@@ -108,7 +108,7 @@
 // Guards against treating a new block as stored because of an expired row; a
 // host that starts would then not learn of the block.
 TEST_F(CrashSharingTest, ANewBlockReplacesAnExpiredRow) {
-  const rows::Row expired = RowUntil(-minutes(1));
+  const replication::Row expired = RowUntil(-minutes(1));
   server_.Put(expired.key, expired.value);
   loop_.After(milliseconds(500), [this, &expired] {
     EXPECT_EQ(stored_value_, expired.value);
--- a/tests/unit/node/peer_group_test.cc
+++ b/tests/unit/node/peer_group_test.cc
@@ -13,7 +13,7 @@
 #include "adapters/process/system_clock.h"
 #include "fakes/fake_store_server.h"
 #include "fakes/seeded_random.h"
-#include "medlarcroft/news/news_pace.h"
+#include "medlarcroft/peer_updates/update_timing.h"
 #include "platform/host_entry.h"
 
 namespace medlarcroft::node {
@@ -67,11 +67,11 @@
             .random = random_,
             .regions = regions_,
             .on_placed =
-                [heard = host.get()](const news::PlacedObject& placed) {
+                [heard = host.get()](const peer_updates::PlacedObject& placed) {
                   heard->placed.push_back(placed.object.Value());
                 },
             .on_load =
-                [heard = host.get()](const news::ToldLoad& load) {
+                [heard = host.get()](const peer_updates::ReportedLoad& load) {
                   heard->loads.push_back(load.requests);
                 }});
     EXPECT_TRUE(host->group->Start());
@@ -86,7 +86,7 @@
 
   [[nodiscard]] int Writes() { return server_.calls["/medlarcroft/rows-tx"]; }
 
-  static rows::PeerQuestion Question() { return {.table = "t"}; }
+  static replication::RowsRequest Question() { return {.table = "t"}; }
 
   adapters::SystemClock clock_;
   adapters::EventLoop loop_{clock_};
@@ -152,7 +152,7 @@
     if (!is_told && hosts_[0]->group->HostsInRegion() == 3) {
       is_told = true;
       for (const std::uint32_t object : expected) {
-        hosts_[0]->group->TellPlaced(
+        hosts_[0]->group->BroadcastPlacement(
             {.target = kTarget,
              .object = request_path::ObjectKey::FromValue(object)});
       }
@@ -200,7 +200,8 @@
     if (!is_told && hosts_[0]->group->HostsInRegion() == 3) {
       is_told = true;
       for (const std::uint32_t requests : {3U, 5U, 9U}) {
-        hosts_[0]->group->TellLoad({.target = kTarget, .requests = requests});
+        hosts_[0]->group->BroadcastLoad(
+            {.target = kTarget, .requests = requests});
       }
     }
     if (!hosts_[1]->loads.empty() && !hosts_[2]->loads.empty()) {
@@ -217,7 +218,7 @@
 // A region that is too large for each to tell each: by relays every host hears
 // of a target's load and of an object all the same.
 TEST_F(PeerGroupTest, HostsOfALargeRegionHearByRelays) {
-  constexpr std::size_t kHosts = news::kMostPeersToldDirectly + 2;
+  constexpr std::size_t kHosts = peer_updates::kMaxDirectPeers + 2;
   for (std::size_t number = 1; number <= kHosts; ++number) {
     Add(static_cast<int>(number));
   }
@@ -225,8 +226,9 @@
   loop_.Every(milliseconds(10), [&] {
     if (!is_told && hosts_[0]->group->HostsInRegion() == kHosts) {
       is_told = true;
-      hosts_[0]->group->TellLoad({.target = kTarget, .requests = 3});
-      hosts_[0]->group->TellPlaced({.target = kTarget, .object = kObject});
+      hosts_[0]->group->BroadcastLoad({.target = kTarget, .requests = 3});
+      hosts_[0]->group->BroadcastPlacement(
+          {.target = kTarget, .object = kObject});
     }
     const bool is_heard =
         std::all_of(hosts_.begin() + 1, hosts_.end(), [](const auto& host) {
--- a/tests/unit/node/routing_news_test.cc
+++ b/tests/unit/node/routing_table_listeners_test.cc
@@ -1,4 +1,4 @@
-#include "routing_news.h"
+#include "routing_table_listeners.h"
 
 #include <gtest/gtest.h>
 
@@ -30,27 +30,29 @@
 constexpr std::uint64_t kSecondStart = 1'760'000'004'000;
 
 /// @param started 0: the target does not tell.
-rows::Row Registered(const std::string& target, std::uint64_t started = 0) {
-  rows::Row row{.key = target, .value = std::string(kEntry), .version = 5};
+replication::Row Registered(const std::string& target,
+                            std::uint64_t started = 0) {
+  replication::Row row{
+      .key = target, .value = std::string(kEntry), .version = 5};
   if (started != 0) {
     row.value.insert(1, "\"born\":" + std::to_string(started) + ",");
   }
   return row;
 }
 
-rows::Row Leaving(const std::string& target, std::uint64_t started = 0) {
+replication::Row Leaving(const std::string& target, std::uint64_t started = 0) {
   constexpr std::string_view kServing = "in_service";
-  rows::Row row = Registered(target, started);
+  replication::Row row = Registered(target, started);
   row.value.replace(row.value.find(kServing), kServing.size(), "draining");
   return row;
 }
 
-rows::Row Gone(const std::string& target) {
+replication::Row Gone(const std::string& target) {
   return {.key = target, .version = 6, .is_removed = true};
 }
 
-class SilentObserver final : public request_path::BookObserver {
-  void OnTargetChange(request_path::BookChange /*change*/,
+class SilentObserver final : public request_path::TargetDirectoryObserver {
+  void OnTargetChange(request_path::TargetChange /*change*/,
                       const request_path::TargetRecord& /*target*/) override {}
 };
 
@@ -73,9 +75,10 @@
   fakes::ManualClock clock_;
   adapters::EventLoop loop_{clock_};
   SilentObserver observer_;
-  request_path::TargetBook book_{{{FailureDomainName("z"), RegionName("r")}},
-                                 observer_};
-  TargetNews news_{loop_, book_};
+  request_path::TargetDirectory book_{
+      {{FailureDomainName("z"), RegionName("r")}},
+      observer_};
+  TargetTableListener news_{loop_, book_};
 };
 
 // The store is away so long that all entries run out. Callers still get their
@@ -83,9 +86,9 @@
 // again within two seconds or so is gone and gets nothing more.
 TEST_F(TargetNewsTest, LapsedTargetsServeUntilTheyHadTimeToRegister) {
   news_.OnTable(std::vector{Registered("a"), Registered("b")});
-  news_.OnCallFailed({.failure = rows::RowFailure::kUnreachable});
+  news_.OnCallFailed({.failure = replication::RowFailure::kUnreachable});
   clock_.Advance(seconds(9));
-  news_.OnStoreBack(seconds(9));
+  news_.OnStoreRecovered(seconds(9));
   news_.OnRows(std::vector{Gone("a"), Gone("b")});
   EXPECT_EQ(Usable(), 2U);
 
@@ -101,9 +104,9 @@
 // which nobody is registered yet.
 TEST_F(TargetNewsTest, AnEmptyTableAfterAnOutageLeavesTimeToRegister) {
   news_.OnTable(std::vector{Registered("a")});
-  news_.OnCallFailed({.failure = rows::RowFailure::kForgotten});
-  news_.OnStoreBack(seconds(5));
-  news_.OnTable(std::vector<rows::Row>{});
+  news_.OnCallFailed({.failure = replication::RowFailure::kHistoryUnavailable});
+  news_.OnStoreRecovered(seconds(5));
+  news_.OnTable(std::vector<replication::Row>{});
   EXPECT_EQ(Usable(), 1U);
 
   clock_.Advance(seconds(3));
@@ -123,7 +126,7 @@
 // others, and to this one again as soon as its next good entry is there.
 TEST_F(TargetNewsTest, ATargetWithABadEntryGetsNothingUntilAGoodOne) {
   news_.OnTable(std::vector{Registered("a"), Registered("b")});
-  rows::Row broken = Registered("a");
+  replication::Row broken = Registered("a");
   broken.value = "{";
   news_.OnRows(std::vector{broken});
   EXPECT_EQ(Usable(), 1U);
@@ -137,7 +140,7 @@
 TEST_F(TargetNewsTest, ABadEntryInATableHidesNoOther) {
   news_.OnTable(std::vector{Registered("a"), Registered("b")});
   Find("a")->OnSent(request_path::ObjectKey("object"), clock_.Now());
-  rows::Row broken = Registered("a");
+  replication::Row broken = Registered("a");
   broken.value = "";
   news_.OnTable(std::vector{broken, Registered("b"), Registered("c")});
   EXPECT_EQ(Usable(), 2U);
@@ -158,7 +161,7 @@
 // Whatever another writer puts into the registry: it names no target, and
 // whoever is registered properly serves on.
 TEST_P(BadEntryTable, NamesNoTargetAndTheOthersHold) {
-  rows::Row bad = Registered("x");
+  replication::Row bad = Registered("x");
   bad.value = GetParam().value;
   news_.OnTable(std::vector{Registered("a"), bad});
   EXPECT_EQ(Usable(), 1U);
@@ -254,10 +257,10 @@
   news_.OnTable(std::vector{Registered("a", kFirstStart)});
   Find("a", kFirstStart)
       ->OnSent(request_path::ObjectKey("object"), clock_.Now());
-  news_.OnCallFailed({.failure = rows::RowFailure::kUnreachable});
+  news_.OnCallFailed({.failure = replication::RowFailure::kUnreachable});
   clock_.Advance(seconds(9));
-  news_.OnStoreBack(seconds(9));
-  news_.OnTable(std::vector<rows::Row>{});
+  news_.OnStoreRecovered(seconds(9));
+  news_.OnTable(std::vector<replication::Row>{});
   EXPECT_EQ(Usable(), 1U);
 
   news_.OnRows(std::vector{Registered("a", kSecondStart)});
--- a/tests/unit/news/crash_news_test.cc
+++ b/tests/unit/peer_updates/crash_broadcast_test.cc
@@ -6,14 +6,14 @@
 #include <string>
 #include <vector>
 
-#include "hosts_of_regions.h"
-#include "medlarcroft/rows/follow_pace.h"
+#include "medlarcroft/replication/follow_timing.h"
+#include "multi_region_simulation.h"
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 namespace {
 
-using request_path::CrashLedger;
 using request_path::CrashReport;
+using request_path::CrashTracker;
 using request_path::RequestFingerprint;
 using request_path::TargetNumber;
 using std::chrono::milliseconds;
@@ -24,9 +24,9 @@
 constexpr std::size_t kSendsAllowed = 3;
 // The longest time from storing a row until a host that is cut off from the
 // reader of its region reads the row from the store.
-constexpr Duration kBlockedRowDelay = rows::kPaceOfHostList.reader_wait +
-                                      rows::kPeerAnswerMargin +
-                                      rows::kAskAgainTime;
+constexpr Duration kBlockedRowDelay = replication::kHostListTiming.reader_wait +
+                                      replication::kPeerAnswerMargin +
+                                      replication::kRetryTime;
 
 /// @brief Simulates a request that crashes every target and is retried at
 /// random hosts of three regions, each with its own ledger.
@@ -88,7 +88,7 @@
   }
   [[nodiscard]] std::size_t Crashes() const { return crashed_at_.size(); }
 
-  void OnHeard(std::size_t host, const PeerNews& news) override {
+  void OnHeard(std::size_t host, const PeerUpdate& news) override {
     for (const CrashReport& report : news.crashes) {
       ledgers_[host]->ledger.OnReport(report, hosts_.Now());
     }
@@ -114,7 +114,7 @@
 
     CrashSimulation& simulation;
     std::size_t place;
-    CrashLedger ledger{{}};
+    CrashTracker ledger{{}};
   };
   struct Send {
     MonotonicTime at;
@@ -262,4 +262,4 @@
                          [](const auto& info) { return info.param.name; });
 
 }  // namespace
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
--- a/tests/unit/news/hosts_of_regions.h
+++ b/tests/unit/peer_updates/multi_region_simulation.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_TESTS_UNIT_NEWS_HOSTS_OF_REGIONS_H_
-#define MEDLARCROFT_TESTS_UNIT_NEWS_HOSTS_OF_REGIONS_H_
+#ifndef MEDLARCROFT_TESTS_UNIT_PEER_UPDATES_MULTI_REGION_SIMULATION_H_
+#define MEDLARCROFT_TESTS_UNIT_PEER_UPDATES_MULTI_REGION_SIMULATION_H_
 
 #include <cstddef>
 #include <memory>
@@ -9,16 +9,16 @@
 
 #include "fakes/seeded_random.h"
 #include "fakes/virtual_time.h"
-#include "medlarcroft/news/global_news.h"
-#include "medlarcroft/news/news_pace.h"
+#include "medlarcroft/peer_updates/global_broadcaster.h"
+#include "medlarcroft/peer_updates/update_timing.h"
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 
 /// @brief Receives the news delivered to each host.
 class HostListener {
  public:
   virtual ~HostListener() = default;
-  virtual void OnHeard(std::size_t host, const PeerNews& news) = 0;
+  virtual void OnHeard(std::size_t host, const PeerUpdate& news) = 0;
 };
 
 /// @brief Simulates hosts in three regions of three failure domains each, in
@@ -43,7 +43,7 @@
 
   void RunFor(Duration time) { time_.RunUntil(time_.Now() + time); }
   void After(Duration delay, std::function<void()> task) {
-    time_.At(fakes::VirtualTime::kNobody, time_.Now() + delay, std::move(task));
+    time_.At(fakes::VirtualTime::kNoHost, time_.Now() + delay, std::move(task));
   }
   [[nodiscard]] MonotonicTime Now() const { return time_.Now(); }
   [[nodiscard]] std::size_t Size() const { return hosts_.size(); }
@@ -51,7 +51,7 @@
     return place % kRegions;
   }
   [[nodiscard]] fakes::SeededRandom& Random() { return random_; }
-  [[nodiscard]] GlobalNews& At(std::size_t place) {
+  [[nodiscard]] GlobalBroadcaster& At(std::size_t place) {
     return hosts_[place]->global;
   }
 
@@ -77,7 +77,7 @@
   static constexpr std::size_t kRegions = 3;
   static constexpr std::size_t kDomains = 3;
 
-  struct Host final : public NewsSender {
+  struct Host final : public UpdateSender {
     Host(HostsOfRegions& all, std::size_t place)
         : all(all),
           place(place),
@@ -94,7 +94,7 @@
                   .remote_hosts = [this] { return RemoteHosts(); }}) {}
 
     void Send(std::span<const std::string> addresses,
-              const PeerNews& sent) override {
+              const PeerUpdate& sent) override {
       for (const std::string& address : addresses) {
         all.Deliver(place, std::stoul(address), sent);
       }
@@ -114,8 +114,8 @@
     HostsOfRegions& all;
     std::size_t place;
     fakes::HostTimers timers;
-    RegionNews region;
-    GlobalNews global;
+    RegionBroadcaster region;
+    GlobalBroadcaster global;
     std::uint32_t sequence = 0;
   };
 
@@ -148,12 +148,13 @@
   }
 
   void Beat(Host& host) {
-    host.region.TellBeat({.host_hash = membership::HashOf(NameAt(host.place)),
-                          .sequence = ++host.sequence});
-    host.timers.RunAfter(kBeatPeriod, [this, &host] { Beat(host); });
+    host.region.BroadcastHeartbeat(
+        {.host_hash = membership::HashOf(NameAt(host.place)),
+         .sequence = ++host.sequence});
+    host.timers.RunAfter(kHeartbeatPeriod, [this, &host] { Beat(host); });
   }
 
-  void Deliver(std::size_t from, std::size_t to, const PeerNews& news) {
+  void Deliver(std::size_t from, std::size_t to, const PeerUpdate& news) {
     if (IsCut(from) || IsCut(to) || random_.NextUnit() < options_.lost_part) {
       return;
     }
@@ -174,6 +175,6 @@
   std::set<std::size_t> cut_;
 };
 
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
 
-#endif  // MEDLARCROFT_TESTS_UNIT_NEWS_HOSTS_OF_REGIONS_H_
+#endif  // MEDLARCROFT_TESTS_UNIT_PEER_UPDATES_MULTI_REGION_SIMULATION_H_
--- a/tests/unit/news/rate_limit_news_test.cc
+++ b/tests/unit/peer_updates/rate_limit_broadcast_test.cc
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "hosts_of_regions.h"
+#include "multi_region_simulation.h"
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 namespace {
 
 using request_path::LimitHosts;
@@ -25,7 +25,7 @@
 // Time for a limit to reach the other hosts after its first answer.
 constexpr Duration kPropagationTime = milliseconds(500);
 // Time until an unreachable host is no longer considered live.
-constexpr Duration kDetectionTime = kUnheardLimit;
+constexpr Duration kDetectionTime = kLivenessTimeout;
 
 /// @brief Simulates a target that declares a rate limit, and hosts of three
 /// regions whose combined demand for it exceeds the limit.
@@ -97,7 +97,7 @@
     return count;
   }
 
-  void OnHeard(std::size_t host, const PeerNews& news) override {
+  void OnHeard(std::size_t host, const PeerUpdate& news) override {
     for (const LimitReport& report : news.limits) {
       host_limits_[host]->limits.OnReport(report, RegionName("1"),
                                           hosts_.Now());
@@ -340,4 +340,4 @@
                          [](const auto& info) { return info.param.name; });
 
 }  // namespace
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
--- a/tests/unit/news/region_news_test.cc
+++ b/tests/unit/peer_updates/region_broadcaster_test.cc
@@ -1,13 +1,13 @@
-#include "medlarcroft/news/region_news.h"
+#include "medlarcroft/peer_updates/region_broadcaster.h"
 
 #include <gtest/gtest.h>
 
 #include <functional>
 #include <string>
 
-#include "region_of_hosts.h"
+#include "region_simulation.h"
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 namespace {
 
 using std::chrono::milliseconds;
@@ -113,7 +113,7 @@
       const bool counts = place != relay && place % 3 == 1;
       const std::size_t observer = place == 3 ? 6 : 3;
       if (counts && observer % 3 == 0) {
-        ASSERT_LT(region.AgeAt(observer, place), kUnheardLimit)
+        ASSERT_LT(region.AgeAt(observer, place), kLivenessTimeout)
             << place << " after " << step;
       }
     }
@@ -190,4 +190,4 @@
 }
 
 }  // namespace
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
--- a/tests/unit/news/region_of_hosts.h
+++ b/tests/unit/peer_updates/region_simulation.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_TESTS_UNIT_NEWS_REGION_OF_HOSTS_H_
-#define MEDLARCROFT_TESTS_UNIT_NEWS_REGION_OF_HOSTS_H_
+#ifndef MEDLARCROFT_TESTS_UNIT_PEER_UPDATES_REGION_SIMULATION_H_
+#define MEDLARCROFT_TESTS_UNIT_PEER_UPDATES_REGION_SIMULATION_H_
 
 #include <algorithm>
 #include <cstddef>
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "fakes/virtual_time.h"
-#include "medlarcroft/news/news_pace.h"
-#include "medlarcroft/news/region_news.h"
+#include "medlarcroft/peer_updates/region_broadcaster.h"
+#include "medlarcroft/peer_updates/update_timing.h"
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 
 /// @brief Hosts of one region that tell each other by datagrams, in virtual
 /// time; any of them may be killed, paused or cut off.
@@ -99,7 +99,7 @@
   }
 
  private:
-  struct Host final : public NewsSender {
+  struct Host final : public UpdateSender {
     Host(RegionOfHosts& region, std::size_t place)
         : region(region),
           place(place),
@@ -111,7 +111,7 @@
                *this) {}
 
     void Send(std::span<const std::string> addresses,
-              const PeerNews& sent) override {
+              const PeerUpdate& sent) override {
       for (const std::string& address : addresses) {
         region.Deliver(place, std::stoul(address), sent);
       }
@@ -120,7 +120,7 @@
     RegionOfHosts& region;
     std::size_t place;
     fakes::HostTimers timers;
-    RegionNews news;
+    RegionBroadcaster news;
     std::set<std::uint32_t> objects;
     std::map<std::uint32_t, std::uint32_t> loads;
     std::map<std::uint32_t, MonotonicTime> beats;
@@ -158,15 +158,15 @@
 
   void Beat(std::size_t place) {
     Host& host = *hosts_[place];
-    host.news.TellBeat(
+    host.news.BroadcastHeartbeat(
         {.host_hash = HashAt(place), .sequence = ++host.sequence});
     membership::HostState state;
     state.host = NameAt(place);
-    host.news.TellStateInTurn(state);
-    host.timers.RunAfter(kBeatPeriod, [this, place] { Beat(place); });
+    host.news.SendStateToNextPeers(state);
+    host.timers.RunAfter(kHeartbeatPeriod, [this, place] { Beat(place); });
   }
 
-  void Deliver(std::size_t from, std::size_t to, const PeerNews& news) {
+  void Deliver(std::size_t from, std::size_t to, const PeerUpdate& news) {
     ++datagrams_;
     const bool is_across_cut =
         cut_domain_ && (from % shape_.domains == *cut_domain_) !=
@@ -179,7 +179,7 @@
              [this, to, news] { Hear(*hosts_[to], news); });
   }
 
-  void Hear(Host& host, const PeerNews& news) {
+  void Hear(Host& host, const PeerUpdate& news) {
     host.bytes += news.placed.size() * kPlacedBytes +
                   news.loads.size() * kLoadBytes +
                   news.heartbeats.size() * membership::kHeartbeatBytes;
@@ -187,7 +187,7 @@
     for (const PlacedObject& placed : news.placed) {
       host.objects.insert(placed.object.Value());
     }
-    for (const ToldLoad& load : news.loads) {
+    for (const ReportedLoad& load : news.loads) {
       host.loads[static_cast<std::uint32_t>(load.target)] = load.requests;
     }
     for (const membership::Heartbeat& beat : news.heartbeats) {
@@ -204,6 +204,6 @@
   std::size_t datagrams_ = 0;
 };
 
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
 
-#endif  // MEDLARCROFT_TESTS_UNIT_NEWS_REGION_OF_HOSTS_H_
+#endif  // MEDLARCROFT_TESTS_UNIT_PEER_UPDATES_REGION_SIMULATION_H_
--- a/tests/unit/news/news_pace_test.cc
+++ b/tests/unit/peer_updates/update_timing_test.cc
@@ -1,10 +1,10 @@
-#include "medlarcroft/news/news_pace.h"
+#include "medlarcroft/peer_updates/update_timing.h"
 
 #include <gtest/gtest.h>
 
-#include "medlarcroft/news/peer_news.h"
+#include "medlarcroft/peer_updates/peer_update.h"
 
-namespace medlarcroft::news {
+namespace medlarcroft::peer_updates {
 namespace {
 
 using std::chrono::milliseconds;
@@ -20,7 +20,7 @@
 // Alone a host tells nobody and waits for nothing; in the largest region news
 // still comes while an object's first work is under way.
 TEST_P(NewsPaceTable, GrowsSlowerThanTheRegion) {
-  EXPECT_EQ(IsToldDirectly(GetParam().peers), GetParam().is_told_directly);
+  EXPECT_EQ(UsesDirectDelivery(GetParam().peers), GetParam().is_told_directly);
   EXPECT_EQ(PlacedNewsDelay(GetParam().peers), GetParam().news_delay);
 }
 
@@ -41,8 +41,8 @@
   constexpr double kLoadsASecond = 50;
   constexpr double kHeaderBytes = 53;
   const double to_each = kLoadsASecond * static_cast<double>(kLoadBytes) +
-                         kHeaderBytes / ToSeconds(kReportDelay);
-  EXPECT_LT(to_each * static_cast<double>(kMostPeersToldDirectly),
+                         kHeaderBytes / ToSeconds(kReportBatchDelay);
+  EXPECT_LT(to_each * static_cast<double>(kMaxDirectPeers),
             kControlBytesPerSecond);
 }
 
@@ -52,9 +52,9 @@
   constexpr double kControlBytesPerSecond = 7000;
   constexpr std::size_t kEnvelope = 60;
   const double each_second = static_cast<double>(kMostDigestBytes + kEnvelope) /
-                             ToSeconds(kDigestPeriod);
+                             ToSeconds(kRelayPeriod);
   EXPECT_LT(each_second, kControlBytesPerSecond);
 }
 
 }  // namespace
-}  // namespace medlarcroft::news
+}  // namespace medlarcroft::peer_updates
--- a/tests/unit/platform/blocked_request_entry_test.cc
+++ b/tests/unit/platform/blocked_request_entry_test.cc
@@ -13,7 +13,7 @@
 const WallTime kUntil{std::chrono::milliseconds(1'700'000'000'123)};
 
 TEST(BlockedRequestEntryTest, RoundTrips) {
-  const std::string key = KeyOfBlockedRequest(kRequest());
+  const std::string key = FormatBlockedRequestKey(kRequest());
   EXPECT_EQ(key, "blocked-request/0000000000000a1b");
   const auto decoded = DecodeBlockedRequest(
       key, EncodeBlockedRequest({.request = kRequest(), .until = kUntil}));
--- a/tests/unit/platform/configuration_decoder_test.cc
+++ b/tests/unit/platform/configuration_decoder_test.cc
@@ -36,12 +36,12 @@
   EXPECT_EQ(split.kind, routing::RequestKind::kIdempotent);
   EXPECT_EQ(split.timeout, milliseconds(1200));
   EXPECT_EQ(split.latency_objective, milliseconds(600));
-  EXPECT_EQ(split.parts[1].weight, 10);
+  EXPECT_EQ(split.weighted_services[1].weight, 10);
   EXPECT_TRUE(split.is_sticky);
   EXPECT_EQ(split.allowed_regions.at(0), RegionName("kigali"));
   const routing::Route& orders = configuration.routes[1];
   EXPECT_EQ(orders.kind, routing::RequestKind::kNonIdempotent);
-  EXPECT_EQ(orders.parts.at(0).service, ServiceName("s3"));
+  EXPECT_EQ(orders.weighted_services.at(0).service, ServiceName("s3"));
   EXPECT_EQ(configuration.services.at(0).cold_time, seconds(3));
   EXPECT_EQ(configuration.services.at(0).cold_requests_per_second, 5.6);
   EXPECT_EQ(configuration.limits.max_body_bytes, 1000U);
@@ -50,7 +50,7 @@
 struct BadInput {
   std::string name;
   std::string text;
-  DecodeProblem problem;
+  DecodeErrorKind problem;
 };
 
 class BadConfigurationTable : public testing::TestWithParam<BadInput> {};
@@ -71,25 +71,25 @@
     BadConfigurationTable,
     testing::Values(
         BadInput{"Cut", std::string(kConfiguration.substr(0, 300)),
-                 DecodeProblem::kNotJson},
-        BadInput{"NoObject", "[]", DecodeProblem::kWrongType},
-        BadInput{"NoVersion", R"({"resources":[]})", DecodeProblem::kMissing},
+                 DecodeErrorKind::kNotJson},
+        BadInput{"NoObject", "[]", DecodeErrorKind::kWrongType},
+        BadInput{"NoVersion", R"({"resources":[]})", DecodeErrorKind::kMissing},
         BadInput{"NegativeVersion", R"({"version":-1,"resources":[]})",
-                 DecodeProblem::kOutOfRange},
-        BadInput{"NoResources", R"({"version":1})", DecodeProblem::kMissing},
+                 DecodeErrorKind::kOutOfRange},
+        BadInput{"NoResources", R"({"version":1})", DecodeErrorKind::kMissing},
         BadInput{"ResourceIsNumber", R"({"version":1,"resources":[3]})",
-                 DecodeProblem::kWrongType},
+                 DecodeErrorKind::kWrongType},
         BadInput{"OddKind", Replaced("\"idempotent\"", "\"perhaps\""),
-                 DecodeProblem::kUnknownWord},
+                 DecodeErrorKind::kUnknownValue},
         BadInput{"OddTime", Replaced("1200ms", "1200"),
-                 DecodeProblem::kOutOfRange},
+                 DecodeErrorKind::kOutOfRange},
         BadInput{"NoService", Replaced(R"(,"service":"s3")", ""),
-                 DecodeProblem::kMissing},
+                 DecodeErrorKind::kMissing},
         BadInput{"SplitOfNumbers",
                  Replaced(R"({"service":"s1","weight":90})", "90"),
-                 DecodeProblem::kWrongType},
+                 DecodeErrorKind::kWrongType},
         BadInput{"RegionIsNumber", Replaced(R"(["kigali"])", "[1]"),
-                 DecodeProblem::kWrongType}),
+                 DecodeErrorKind::kWrongType}),
     [](const auto& tested) { return tested.param.name; });
 
 constexpr std::string_view kTarget =
@@ -124,27 +124,27 @@
     BadTargetTable,
     testing::Values(
         BadInput{"NoAddress", R"({"info":{},"status":{}})",
-                 DecodeProblem::kMissing},
+                 DecodeErrorKind::kMissing},
         BadInput{"NoStatus",
                  R"({"address":"1.2.3.4:5","info":{"service":"s"}})",
-                 DecodeProblem::kMissing},
+                 DecodeErrorKind::kMissing},
         BadInput{"StatusIsText",
                  R"({"address":"1.2.3.4:5","info":{},"status":"x"})",
-                 DecodeProblem::kWrongType},
+                 DecodeErrorKind::kWrongType},
         BadInput{"AddressIsNoAddress",
                  R"({"address":"a","info":{},"status":{}})",
-                 DecodeProblem::kOutOfRange},
+                 DecodeErrorKind::kOutOfRange},
         BadInput{
             "StateNotKnown",
             R"({"address":"1.2.3.4:5","info":{"service":"s","zone":"z"},"status":{"state":"retired"}})",
-            DecodeProblem::kUnknownWord},
+            DecodeErrorKind::kUnknownValue},
         BadInput{"StartIsNoWholeNumber",
                  R"({"address":"1.2.3.4:5","born":1.5,"info":{},"status":{}})",
-                 DecodeProblem::kOutOfRange},
+                 DecodeErrorKind::kOutOfRange},
         BadInput{
             "NoState",
             R"({"address":"1.2.3.4:5","info":{"service":"s","zone":"z"},"status":{}})",
-            DecodeProblem::kMissing}),
+            DecodeErrorKind::kMissing}),
     [](const auto& tested) { return tested.param.name; });
 
 }  // namespace
--- a/tests/unit/platform/json_reader_test.cc
+++ b/tests/unit/platform/json_reader_test.cc
@@ -55,7 +55,7 @@
 TEST_P(BadRowsTable, AreABadAnswer) {
   const auto rows = DecodeRows(GetParam());
   ASSERT_FALSE(IsOk(rows));
-  EXPECT_EQ(ErrorOf(rows), rows::RowFailure::kBadAnswer);
+  EXPECT_EQ(ErrorOf(rows), replication::RowFailure::kBadAnswer);
 }
 
 INSTANTIATE_TEST_SUITE_P(All,
--- a/tests/unit/platform/platform_codec_test.cc
+++ b/tests/unit/platform/platform_codec_test.cc
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "platform/platform_pages.h"
+#include "platform/platform_handlers.h"
 
 namespace medlarcroft::platform {
 namespace {
@@ -11,7 +11,7 @@
 using adapters::HttpRequest;
 using adapters::HttpResponse;
 using request_path::AttemptEnd;
-using request_path::EndReason;
+using request_path::FailureReason;
 using std::chrono::milliseconds;
 
 HttpRequest MakeCall() {
@@ -147,7 +147,7 @@
         JudgeCase{"Full", 503, kNotRun, AttemptEnd::kNotRun},
         JudgeCase{"FullWithoutProof", 503, kSealed, AttemptEnd::kLost},
         JudgeCase{"TooManyWithoutProof", 429, {}, AttemptEnd::kLost},
-        JudgeCase{"OtherTarget", 421, {}, AttemptEnd::kOtherTarget},
+        JudgeCase{"OtherTarget", 421, {}, AttemptEnd::kWrongTarget},
         JudgeCase{"NoId", 400, kNotRun, AttemptEnd::kAnswered}),
     [](const auto& tested) { return tested.param.name; });
 
@@ -187,7 +187,7 @@
 
 struct EndingCase {
   std::string name;
-  request_path::Ending ending;
+  request_path::RequestFailure ending;
   int status;
   bool says_when;
 };
@@ -210,21 +210,27 @@
     All,
     EndingTable,
     testing::Values(
-        EndingCase{"NoRoom", {EndReason::kNoRoom, true, kSoon}, 503, true},
-        EndingCase{"NoRoute", {EndReason::kNoRoute, true, {}}, 404, false},
+        EndingCase{"NoRoom",
+                   {FailureReason::kOverloaded, true, kSoon},
+                   503,
+                   true},
+        EndingCase{"NoRoute", {FailureReason::kNoRoute, true, {}}, 404, false},
         EndingCase{"SpentNotRun",
-                   {EndReason::kRetriesSpent, true, kSoon},
+                   {FailureReason::kRetriesExhausted, true, kSoon},
                    503,
                    true},
         EndingCase{"SpentMaybeRun",
-                   {EndReason::kRetriesSpent, false, kSoon},
+                   {FailureReason::kRetriesExhausted, false, kSoon},
                    502,
                    false},
         EndingCase{"MayHaveRun",
-                   {EndReason::kMayHaveRun, false, {}},
+                   {FailureReason::kMayHaveRun, false, {}},
                    502,
                    false},
-        EndingCase{"TimedOut", {EndReason::kTimedOut, false, {}}, 504, false}),
+        EndingCase{"TimedOut",
+                   {FailureReason::kTimedOut, false, {}},
+                   504,
+                   false}),
     [](const auto& tested) { return tested.param.name; });
 
 TEST(FindParameterTest, FindsWholeNamesOnly) {
--- a/tests/unit/platform/table_follower_fixture.h
+++ b/tests/unit/platform/table_follower_fixture.h
@@ -13,13 +13,13 @@
 #include "adapters/process/system_clock.h"
 #include "fakes/fake_store_server.h"
 #include "fakes/seeded_random.h"
-#include "medlarcroft/rows/table_follower.h"
+#include "medlarcroft/replication/table_follower.h"
 #include "platform/store_client.h"
 
 /// @file
 /// @brief Followers of a table on a small store of our own, over loopback.
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -45,7 +45,7 @@
     lost = call.is_first ? call.failure : lost;
     longest_call = std::max(longest_call, call.call_time);
   }
-  void OnStoreBack(Duration) override { ++returns; }
+  void OnStoreRecovered(Duration) override { ++returns; }
   void OnReaderLost(RowFailure, std::uint64_t) override { ++readers_lost; }
 
   std::map<std::string, std::string> rows;
@@ -58,8 +58,9 @@
 
 using Rows = std::map<std::string, std::string>;
 
-inline constexpr FollowPace kTestPace{.wait = milliseconds(200),
-                                      .pause_after_change = milliseconds(120)};
+inline constexpr FollowTiming kTestPace{
+    .wait = milliseconds(200),
+    .pause_after_change = milliseconds(120)};
 
 class TableFollowerTest : public testing::Test {
  protected:
@@ -97,12 +98,12 @@
   HeardTable heard_;
   TableFollower watch_{
       {.timers = loop_, .store = store_, .random = random_, .listener = heard_},
-      {.table = "t", .pace = kTestPace}};
+      {.table = "t", .timing = kTestPace}};
   std::vector<std::function<bool()>> steps_;
   std::vector<adapters::TimerId> limits_;
   std::size_t at_ = 0;
 };
 
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
 
 #endif  // MEDLARCROFT_TESTS_UNIT_PLATFORM_TABLE_FOLLOWER_FIXTURE_H_
--- a/tests/unit/platform/follower_beside_another_test.cc
+++ b/tests/unit/platform/table_follower_peer_test.cc
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "platform/mirror_page.h"
+#include "platform/mirror_handler.h"
 #include "table_follower_fixture.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 namespace {
 
 /// @brief Another host, which hears from the store and tells what it heard.
@@ -17,16 +17,16 @@
  protected:
   /// @return options of a follower that may ask the other host.
   [[nodiscard]] TableFollower::Options Options() const {
-    return {.table = "t", .pace = kTestPace};
+    return {.table = "t", .timing = kTestPace};
   }
-  void AskOther(const PeerQuestion& question, RowsCallback callback) {
+  void AskOther(const RowsRequest& question, RowsCallback callback) {
     ++asked_;
     platform::AskPeer(caller_, "127.0.0.1:" + std::to_string(listener_->Port()),
                       question, std::move(callback));
   }
   [[nodiscard]] TableFollower::Options OptionsOfReaders() {
     TableFollower::Options options = Options();
-    options.ask_reader = [this](const PeerQuestion& question,
+    options.ask_reader = [this](const RowsRequest& question,
                                 RowsCallback callback) {
       AskOther(question, std::move(callback));
       return true;
@@ -41,14 +41,14 @@
                         .listener = other_heard_},
                        Options()};
   bool is_other_fresh_ = true;
-  TableTeller teller_{loop_, [this](std::string_view) {
-                        return is_other_fresh_ ? other_.TellOthers()
+  TableServer teller_{loop_, [this](std::string_view) {
+                        return is_other_fresh_ ? other_.ServeFollowers()
                                                : FreshTable{};
                       }};
-  platform::MirrorPage page_{teller_};
+  platform::MirrorHandler page_{teller_};
   std::unique_ptr<adapters::HttpListener> listener_ =
       TakeValue(adapters::HttpListener::Open(loop_, "127.0.0.1:0", page_));
-  adapters::HttpCaller caller_{loop_, {}};
+  adapters::EventHttpClient caller_{loop_, {}};
   int asked_ = 0;
 };
 
@@ -57,11 +57,11 @@
 // takes it back.
 TEST_F(FollowerBesideAnother, AHostThatIsTurnedAwayHearsFromIt) {
   fakes::FakeStoreServer refusing(loop_);
-  refusing.refuse_with = 503;
+  refusing.forced_status = 503;
   platform::StoreClient refused_store(loop_, {.address = refusing.Address()},
                                       metrics_);
   TableFollower::Options options = Options();
-  options.ask_peer = [this](const PeerQuestion& question,
+  options.ask_peer = [this](const RowsRequest& question,
                             RowsCallback callback) {
     AskOther(question, std::move(callback));
   };
@@ -84,7 +84,7 @@
   RunUntil([this] { return heard_.rows == Rows{{"evacuate/b", "{}"}}; });
   loop_.Run();
 
-  EXPECT_TRUE(turned_away.IsAway());
+  EXPECT_TRUE(turned_away.IsDisconnected());
   EXPECT_EQ(heard_.returns, 0);
 }
 
@@ -190,4 +190,4 @@
 }
 
 }  // namespace
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
--- a/tests/unit/platform/table_follower_test.cc
+++ b/tests/unit/platform/table_follower_test.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/rows/table_follower.h"
+#include "medlarcroft/replication/table_follower.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 
 #include "table_follower_fixture.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 namespace {
 
 TEST_F(TableFollowerTest, HearsTheTableAndThenWhatChanges) {
@@ -28,7 +28,7 @@
 }
 
 TEST_F(TableFollowerTest, ReadsATableOfSeveralPages) {
-  server_.page_rows = 3;
+  server_.rows_per_page = 3;
   for (int i = 0; i < 10; ++i) {
     server_.Put("k" + std::to_string(i), "v");
   }
@@ -46,7 +46,7 @@
 TEST_F(TableFollowerTest, HearsOfTheReturnBeforeTheNextChange) {
   TableFollower patient(
       {.timers = loop_, .store = store_, .random = random_, .listener = heard_},
-      {.table = "t", .pace = {.wait = seconds(60)}});
+      {.table = "t", .timing = {.wait = seconds(60)}});
   server_.Put("a", "1");
   patient.Start();
   RunUntil([this] {
@@ -54,14 +54,14 @@
       return false;
     }
     server_.Put("b", "2");
-    server_.refuse_with = 503;
+    server_.forced_status = 503;
     return true;
   });
   RunUntil([this] {
     if (!heard_.lost) {
       return false;
     }
-    server_.refuse_with.reset();
+    server_.forced_status.reset();
     return true;
   });
   RunUntil([this] { return heard_.returns == 1; });
@@ -80,10 +80,10 @@
     if (heard_.rows.size() != 2) {
       return false;
     }
-    server_.is_silent = true;
+    server_.is_unresponsive = true;
     server_.Remove("a");
     server_.Compact();
-    server_.is_silent = false;
+    server_.is_unresponsive = false;
     return true;
   });
   RunUntil([this] { return heard_.rows == Rows{{"b", "2"}}; });
@@ -98,20 +98,20 @@
   std::string name;
   Outage outage;
   RowFailure failure;
-  int refuse_with = 0;
+  int forced_status = 0;
 };
 
 void Begin(const OutageCase& outage, fakes::FakeStoreServer& server) {
   switch (outage.outage) {
     case Outage::kRefusing:
-      server.refuse_with = outage.refuse_with;
+      server.forced_status = outage.forced_status;
       break;
     case Outage::kSilent:
-      server.is_silent = true;
+      server.is_unresponsive = true;
       break;
     case Outage::kSlow:
       // Past what the client waits for a call that is held for 200 ms.
-      server.slow_by = seconds(3);
+      server.processing_delay = seconds(3);
       break;
     case Outage::kStopped:
       server.Stop();
@@ -120,9 +120,9 @@
 }
 
 void End(const OutageCase& outage, fakes::FakeStoreServer& server) {
-  server.refuse_with.reset();
-  server.is_silent = false;
-  server.slow_by = Duration(0);
+  server.forced_status.reset();
+  server.is_unresponsive = false;
+  server.processing_delay = Duration(0);
   if (outage.outage == Outage::kStopped) {
     server.Resume();
   }
@@ -148,7 +148,7 @@
       return false;
     }
     EXPECT_EQ(heard_.rows, (Rows{{"a", "1"}}));
-    EXPECT_TRUE(watch_.IsAway());
+    EXPECT_TRUE(watch_.IsDisconnected());
     End(GetParam(), server_);
     server_.Put("b", "2");
     return true;
@@ -185,12 +185,12 @@
     if (heard_.rows.empty()) {
       return false;
     }
-    server_.is_silent = true;
+    server_.is_unresponsive = true;
     server_.Remove("a");
     server_.Put("b", "2");
     server_.Compact();
-    server_.behind_by = 3;
-    server_.is_silent = false;
+    server_.reported_version_lag = 3;
+    server_.is_unresponsive = false;
     return true;
   });
   RunUntil([this] {
@@ -198,7 +198,7 @@
       return false;
     }
     EXPECT_EQ(heard_.tables, 1);
-    server_.behind_by = 0;
+    server_.reported_version_lag = 0;
     return true;
   });
   RunUntil([this] { return heard_.rows == Rows{{"b", "2"}}; });
@@ -230,7 +230,7 @@
 // The write is done and its answer lost: whoever wrote must not take it for
 // refused.
 TEST_F(TableFollowerTest, ALostAnswerIsNotARefusal) {
-  server_.loses_answers = true;
+  server_.drops_write_responses = true;
   std::optional<RowFailure> failure;
   store_.Write({.table = "t", .key = "c", .value = "3"},
                [&](const Result<Success, RowFailure>& result) {
@@ -246,7 +246,7 @@
 // A write gets no answer and is done afterwards. Whoever wrote may take it
 // neither for done nor for refused: its condition may still come to hold.
 TEST_F(TableFollowerTest, AWriteThatIsDoneLateIsNotARefusal) {
-  server_.writes_late_by = milliseconds(300);
+  server_.write_delay = milliseconds(300);
   std::optional<RowFailure> failure;
   store_.Write({.table = "t", .key = "c", .value = "3", .expected_version = 0},
                [&](const Result<Success, RowFailure>& result) {
@@ -270,22 +270,22 @@
   TableFollower watch(
       {.timers = loop_, .store = store_, .random = random_, .listener = heard},
       {.table = "t",
-       .pace = kTestPace,
-       .ask_reader = [&](const PeerQuestion&, RowsCallback callback) {
+       .timing = kTestPace,
+       .ask_reader = [&](const RowsRequest&, RowsCallback callback) {
          held = std::move(callback);
          return ++asked > 0;
        }});
   watch.Start();
   EXPECT_EQ(asked, 1);
-  EXPECT_TRUE(watch.TellOthers().is_awaited);
-  RunUntil([&] { return watch.TellOthers().mirror != nullptr; });
+  EXPECT_TRUE(watch.ServeFollowers().is_loading);
+  RunUntil([&] { return watch.ServeFollowers().mirror != nullptr; });
   loop_.Run();
   EXPECT_EQ(heard.rows, (Rows{{"a", "1"}}));
 
   // What the reader before says now is old news.
-  held(RowBatch{.newest_version = 9, .is_whole = true});
+  held(RowBatch{.newest_version = 9, .is_full_table = true});
   EXPECT_EQ(heard.rows, (Rows{{"a", "1"}}));
 }
 
 }  // namespace
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
--- a/tests/unit/rows/peer_readers_test.cc
+++ b/tests/unit/replication/peer_readers_test.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/rows/peer_readers.h"
+#include "medlarcroft/replication/peer_readers.h"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 #include "fakes/seeded_random.h"
 #include "fakes/virtual_time.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 namespace {
 
 using std::chrono::seconds;
@@ -20,7 +20,7 @@
 class FixedDirectory final : public PeerDirectory {
  public:
   std::vector<ReaderCandidate> LiveHosts() const override { return live; }
-  std::vector<ReaderCandidate> HostsElsewhere() const override {
+  std::vector<ReaderCandidate> HostsInOtherRegions() const override {
     return elsewhere;
   }
   std::size_t HostsInRegion() const override { return live.size(); }
@@ -55,7 +55,7 @@
              .other_readers_asked = other_readers_asked},
             {.directory = directory_,
              .ask_host =
-                 [this](const std::string& address, const PeerQuestion&,
+                 [this](const std::string& address, const RowsRequest&,
                         const RowsCallback& callback) {
                    asked_.push_back(address);
                    if (refusing_.contains(address)) {
@@ -86,7 +86,7 @@
   FixedDirectory directory_;
   std::set<std::string> refusing_;
   std::vector<std::string> asked_;
-  const PeerQuestion question_{.table = "t"};
+  const RowsRequest question_{.table = "t"};
 };
 
 TEST_F(PeerReadersTest, TheReaderOfTheOwnDomainIsAsked) {
@@ -154,4 +154,4 @@
 }
 
 }  // namespace
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
--- a/tests/unit/rows/reader_choice_test.cc
+++ b/tests/unit/replication/reader_choice_test.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/rows/reader_choice.h"
+#include "medlarcroft/replication/reader_choice.h"
 
 #include <gtest/gtest.h>
 
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "medlarcroft/rows/refused_readers.h"
+#include "medlarcroft/replication/refused_readers.h"
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 namespace {
 
 using std::chrono::seconds;
@@ -88,4 +88,4 @@
 }
 
 }  // namespace
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
--- a/tests/unit/rows/store_clock_test.cc
+++ b/tests/unit/replication/store_clock_test.cc
@@ -1,8 +1,8 @@
-#include "medlarcroft/rows/store_clock.h"
+#include "medlarcroft/replication/store_clock.h"
 
 #include <gtest/gtest.h>
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 namespace {
 
 using std::chrono::milliseconds;
@@ -44,4 +44,4 @@
 }
 
 }  // namespace
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
--- a/tests/unit/rows/table_mirror_test.cc
+++ b/tests/unit/replication/table_mirror_test.cc
@@ -1,11 +1,11 @@
-#include "medlarcroft/rows/table_mirror.h"
+#include "medlarcroft/replication/table_mirror.h"
 
 #include <gtest/gtest.h>
 
 #include <string>
 #include <vector>
 
-namespace medlarcroft::rows {
+namespace medlarcroft::replication {
 namespace {
 
 TEST(TableMirrorTest, TellsWhatChangedAndToWhoIsFarBehindTheWholeTable) {
@@ -69,4 +69,4 @@
 }
 
 }  // namespace
-}  // namespace medlarcroft::rows
+}  // namespace medlarcroft::replication
--- a/tests/unit/request_path/crash_ledger_test.cc
+++ b/tests/unit/request_path/crash_tracker_test.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/request_path/crash_ledger.h"
+#include "medlarcroft/request_path/crash_tracker.h"
 
 #include <gtest/gtest.h>
 
@@ -21,9 +21,9 @@
   return TargetNumber{number};
 }
 
-class CrashLedgerTest : public testing::Test, public CrashObserver {
+class CrashTrackerTest : public testing::Test, public CrashObserver {
  protected:
-  CrashLedgerTest() { ledger_.Observe(this); }
+  CrashTrackerTest() { ledger_.Observe(this); }
 
   void OnPublish(const CrashReport& report) override {
     published_.push_back(report);
@@ -50,7 +50,7 @@
     ledger_.OnReport({.request = kRequest, .target = Target(target)}, now);
   }
 
-  CrashLedger ledger_{{}};
+  CrashTracker ledger_{{}};
   std::vector<CrashReport> published_;
   int blocked_ = 0;
   int unblocked_ = 0;
@@ -79,7 +79,7 @@
   bool is_blocked;
 };
 
-class CrashCountTable : public CrashLedgerTest,
+class CrashCountTable : public CrashTrackerTest,
                         public testing::WithParamInterface<CrashCountCase> {};
 
 // Crashes of all hosts add up, and repeated reports of a crash count once.
@@ -108,7 +108,7 @@
 
 // A request that ran concurrently with the crashing one succeeds on the next
 // target and must not be blocked on any host.
-TEST_F(CrashLedgerTest, AnswerClearsRequestOnAllHosts) {
+TEST_F(CrashTrackerTest, AnswerClearsRequestOnAllHosts) {
   ledger_.OnCrash(kRequest, Target(1), kStart);
   ReportCrash(2);
   ledger_.OnAnswered(kRequest, kStart + milliseconds(300));
@@ -119,7 +119,7 @@
 
 // A frequent request must not be blocked when several targets crash for an
 // unrelated reason.
-TEST_F(CrashLedgerTest, RecentlyAnsweredRequestIsNotBlocked) {
+TEST_F(CrashTrackerTest, RecentlyAnsweredRequestIsNotBlocked) {
   ledger_.OnAnswered(kRequest, kStart);
   for (std::uint32_t target = 1; target <= 5; ++target) {
     ReportCrash(target, kStart + milliseconds(1500));
@@ -129,7 +129,7 @@
 }
 
 // A request that starts to crash targets must be blocked despite old answers.
-TEST_F(CrashLedgerTest, ExpiredAnswerDoesNotPreventBlocking) {
+TEST_F(CrashTrackerTest, ExpiredAnswerDoesNotPreventBlocking) {
   ledger_.OnAnswered(kRequest, kStart);
   for (std::uint32_t target = 1; target <= 3; ++target) {
     ReportCrash(target, kStart + milliseconds(2100));
@@ -139,7 +139,7 @@
 
 // A host that was disconnected or restarted may miss the block. A crash report
 // from it is answered with the block, at most once per second.
-TEST_F(CrashLedgerTest, RepeatsBlockToHostThatStillSends) {
+TEST_F(CrashTrackerTest, RepeatsBlockToHostThatStillSends) {
   for (std::uint32_t target = 1; target <= 3; ++target) {
     ledger_.OnCrash(kRequest, Target(target), kStart);
   }
@@ -150,7 +150,7 @@
   EXPECT_EQ(CountPublished(CrashReportKind::kBlocked), 2U);
 }
 
-TEST_F(CrashLedgerTest, HostWithoutOwnCrashesPublishesNothing) {
+TEST_F(CrashTrackerTest, HostWithoutOwnCrashesPublishesNothing) {
   for (std::uint32_t target = 1; target <= 4; ++target) {
     ReportCrash(target);
   }
@@ -159,7 +159,7 @@
   EXPECT_TRUE(ledger_.ReportsToRepeat(10, kStart).empty());
 }
 
-TEST_F(CrashLedgerTest, RepeatsCrashesBrieflyAndBlocksUntilExpiry) {
+TEST_F(CrashTrackerTest, RepeatsCrashesBrieflyAndBlocksUntilExpiry) {
   ledger_.OnCrash(kRequest, Target(1), kStart);
   EXPECT_EQ(ledger_.ReportsToRepeat(10, kStart + seconds(4)).size(), 1U);
   EXPECT_TRUE(ledger_.ReportsToRepeat(10, kStart + seconds(6)).empty());
@@ -172,7 +172,7 @@
 }
 
 // A block must expire, since the target may have been fixed.
-TEST_F(CrashLedgerTest, BlockExpires) {
+TEST_F(CrashTrackerTest, BlockExpires) {
   ledger_.OnReport({.kind = CrashReportKind::kBlocked,
                     .request = kRequest,
                     .blocked_for = minutes(3)},
@@ -183,7 +183,7 @@
   EXPECT_EQ(ledger_.BlockedRequests(), 0U);
 }
 
-TEST_F(CrashLedgerTest, UnblockLiftsBlock) {
+TEST_F(CrashTrackerTest, UnblockLiftsBlock) {
   for (std::uint32_t target = 1; target <= 3; ++target) {
     ReportCrash(target);
   }
@@ -194,7 +194,7 @@
 
 // Blocks beyond the limit per call must be repeated by later calls. Otherwise a
 // host that missed the report of such a block keeps sending the request.
-TEST_F(CrashLedgerTest, RepeatsAllBlocksInTurn) {
+TEST_F(CrashTrackerTest, RepeatsAllBlocksInTurn) {
   constexpr std::uint64_t kRequests = 25;
   for (std::uint64_t number = 1; number <= kRequests; ++number) {
     for (std::uint32_t target = 1; target <= 3; ++target) {
@@ -213,8 +213,8 @@
 }
 
 // Crashes of many other requests must not evict a blocked request.
-TEST_F(CrashLedgerTest, BlocksAreEvictedLast) {
-  CrashLedger ledger({.most_requests = 10});
+TEST_F(CrashTrackerTest, BlocksAreEvictedLast) {
+  CrashTracker ledger({.most_requests = 10});
   ledger.OnReport({.kind = CrashReportKind::kBlocked,
                    .request = kRequest,
                    .blocked_for = minutes(3)},
@@ -227,8 +227,8 @@
 }
 
 // Crashes of many different requests must not exhaust memory.
-TEST_F(CrashLedgerTest, EntryCountIsBounded) {
-  CrashLedger ledger({.most_requests = 10});
+TEST_F(CrashTrackerTest, EntryCountIsBounded) {
+  CrashTracker ledger({.most_requests = 10});
   for (std::uint64_t number = 1; number <= 100; ++number) {
     const auto request = RequestFingerprint::FromValue(number);
     ledger.OnCrash(request, Target(1),
--- a/tests/unit/request_path/placement_policy_test.cc
+++ b/tests/unit/request_path/placement_policy_test.cc
@@ -133,13 +133,13 @@
     TargetState& target = Add("t" + std::to_string(i), kNear, 3);
     target.OnReport({.running = 3, .waiting = i == 0 ? 4U : 0U, .slots = 3},
                     kStart);
-    target.OnSentByOther(ObjectKey("some other object"));
+    target.OnSentByOtherHost(ObjectKey("some other object"));
   }
   const std::string object = ObjectOfFirst();
-  targets_[0]->OnSentByOther(ObjectKey(object));
-  options_.slot_price = 0;
+  targets_[0]->OnSentByOtherHost(ObjectKey(object));
+  options_.slot_cost_weight = 0;
   EXPECT_NE(Choose(object)->target, targets_[0].get());
-  options_.slot_price = PlacementOptions().slot_price;
+  options_.slot_cost_weight = PlacementOptions().slot_cost_weight;
   EXPECT_EQ(Choose(object)->target, targets_[0].get());
 }
 
--- a/tests/unit/request_path/region_plan_test.cc
+++ b/tests/unit/request_path/region_plan_test.cc
@@ -16,7 +16,7 @@
 const RegionName kOwn("own");
 const RegionName kNorth("north");
 const RegionName kSouth("south");
-constexpr RegionPlanOptions kOptions{.most_moved_per_second = 0.03};
+constexpr RegionPlanOptions kOptions{.max_shift_per_second = 0.03};
 
 double ShareOf(const RegionPlan& plan, const RegionName& region) {
   const auto found = plan.Shares().find(region);
--- a/tests/unit/request_path/request_path_test.cc
+++ b/tests/unit/request_path/request_path_test.cc
@@ -17,9 +17,9 @@
 constexpr MonotonicTime kStart{std::chrono::hours(1)};
 const ServiceName kService("desk");
 
-class NoObserver final : public BookObserver {
+class NoObserver final : public TargetDirectoryObserver {
  public:
-  void OnTargetChange(BookChange /*change*/,
+  void OnTargetChange(TargetChange /*change*/,
                       const TargetRecord& /*target*/) override {}
 };
 
@@ -36,7 +36,7 @@
                                .timeout = seconds(2),
                                .latency_objective = milliseconds(500),
                                .max_attempts = max_attempts,
-                               .parts = {{.service = kService}},
+                               .weighted_services = {{.service = kService}},
                                .is_sticky = is_sticky_}}});
     std::vector<TargetRecord> records;
     records.reserve(static_cast<std::size_t>(targets));
@@ -50,8 +50,8 @@
     book_.ReplaceAll(records, {}, std::nullopt, kStart);
   }
 
-  Begun Begin(std::optional<Duration> time_left = std::nullopt,
-              MonotonicTime now = kStart) {
+  RequestStart Begin(std::optional<Duration> time_left = std::nullopt,
+                     MonotonicTime now = kStart) {
     return path_.Begin(
         {.host = "h", .target = "/x", .object = "o", .time_left = time_left},
         now);
@@ -60,9 +60,10 @@
   NoObserver observer_;
   fakes::SeededRandom random_{1};
   routing::RouteTable routes_;
-  TargetBook book_{{{FailureDomainName("d"), RegionName("here")}}, observer_};
+  TargetDirectory book_{{{FailureDomainName("d"), RegionName("here")}},
+                        observer_};
   RequestPath path_{{.own_region = RegionName("here"),
-                     .attempt_bound = {.ratio = 0.2, .fixed = 50}},
+                     .retry_limit = {.ratio = 0.2, .fixed = 50}},
                     routes_,
                     book_,
                     random_};
@@ -70,15 +71,15 @@
   bool is_sticky_ = true;
 };
 
-const Ending* EndingIn(const Step& step) {
-  return std::get_if<Ending>(&step);
+const RequestFailure* EndingIn(const Step& step) {
+  return std::get_if<RequestFailure>(&step);
 }
 
 TEST_F(RequestPathTest, WithoutAConfigurationNothingIsDenied) {
-  const Begun begun = Begin();
+  const RequestStart begun = Begin();
 
   ASSERT_NE(EndingIn(begun.step), nullptr);
-  EXPECT_EQ(EndingIn(begun.step)->reason, EndReason::kNotConfigured);
+  EXPECT_EQ(EndingIn(begun.step)->reason, FailureReason::kNotConfigured);
   EXPECT_TRUE(EndingIn(begun.step)->is_not_run);
   EXPECT_TRUE(EndingIn(begun.step)->retry_after);
 }
@@ -88,15 +89,15 @@
   const CallerRequest request{.host = "other", .target = "/"};
 
   EXPECT_EQ(EndingIn(path_.Begin(request, kStart).step)->reason,
-            EndReason::kNoRoute);
-  path_.SetNewsDoubtful(true);
+            FailureReason::kNoRoute);
+  path_.SetConfigurationStale(true);
   EXPECT_EQ(EndingIn(path_.Begin(request, kStart).step)->reason,
-            EndReason::kNoRouteYet);
+            FailureReason::kNoRouteYet);
 }
 
 TEST_F(RequestPathTest, ATargetIsToldTheTimeThatIsLeftAndNeverMore) {
   Configure(RequestKind::kIdempotent);
-  const Begun begun = Begin(milliseconds(900));
+  const RequestStart begun = Begin(milliseconds(900));
   const auto first = std::get<SendAttempt>(begun.step);
   EXPECT_LE(first.time_left, milliseconds(900));
 
@@ -122,7 +123,7 @@
 // and "not run" is said only when that is proved.
 TEST_P(RepeatTable, SendsAgainOnlyWhatMayRunAgain) {
   Configure(GetParam().kind);
-  const Begun begun = Begin();
+  const RequestStart begun = Begin();
   const auto first = std::get<SendAttempt>(begun.step);
 
   const Step step =
@@ -133,7 +134,7 @@
   if (again != nullptr) {
     EXPECT_NE(again->target, first.target);
   }
-  if (const Ending* const ending = EndingIn(step)) {
+  if (const RequestFailure* const ending = EndingIn(step)) {
     EXPECT_EQ(ending->is_not_run, GetParam().is_not_run);
     EXPECT_EQ(path_.InFlight(), 0U);
   }
@@ -147,7 +148,7 @@
                     RepeatCase{"OrderNeverSent", RequestKind::kNonIdempotent,
                                AttemptEnd::kNeverSent, true, true},
                     RepeatCase{"OrderOtherTarget", RequestKind::kNonIdempotent,
-                               AttemptEnd::kOtherTarget, true, true},
+                               AttemptEnd::kWrongTarget, true, true},
                     RepeatCase{"OrderLost", RequestKind::kNonIdempotent,
                                AttemptEnd::kLost, false, false},
                     RepeatCase{"OrderTimedOut", RequestKind::kNonIdempotent,
@@ -160,7 +161,7 @@
 
 TEST_F(RequestPathTest, AnOrdersFailureIsPassedOnAsTheTargetGaveIt) {
   Configure(RequestKind::kNonIdempotent);
-  const Begun begun = Begin();
+  const RequestStart begun = Begin();
 
   const Step step =
       path_.OnAttemptEnd(begun.ticket, 1, AttemptEnd::kTargetFailed, kStart);
@@ -172,7 +173,7 @@
 // as many targets as its route allows, and it is true.
 TEST_F(RequestPathTest, NoMoreTargetsThanTheRouteAllows) {
   Configure(RequestKind::kIdempotent, 5, 3);
-  Begun begun = Begin();
+  RequestStart begun = Begin();
   Step step = begun.step;
   int sends = 0;
   while (const auto* const send = std::get_if<SendAttempt>(&step)) {
@@ -182,14 +183,14 @@
   }
 
   EXPECT_EQ(sends, 3);
-  EXPECT_EQ(EndingIn(step)->reason, EndReason::kRetriesSpent);
+  EXPECT_EQ(EndingIn(step)->reason, FailureReason::kRetriesExhausted);
   EXPECT_TRUE(EndingIn(step)->is_not_run);
 }
 
 TEST_F(RequestPathTest, ASlowLookUpIsTriedBesideAndTheFirstAnswerCounts) {
   Configure(RequestKind::kIdempotent);
-  const Begun begun = Begin();
-  ASSERT_TRUE(std::get<SendAttempt>(begun.step).slow_after);
+  const RequestStart begun = Begin();
+  ASSERT_TRUE(std::get<SendAttempt>(begun.step).hedge_after);
 
   const Step beside = path_.OnSlow(begun.ticket, kStart + milliseconds(600));
   ASSERT_TRUE(std::holds_alternative<SendAttempt>(beside));
@@ -203,18 +204,19 @@
 
 TEST_F(RequestPathTest, AnOrderIsNeverTriedBeside) {
   Configure(RequestKind::kNonIdempotent);
-  const Begun begun = Begin();
+  const RequestStart begun = Begin();
 
-  EXPECT_FALSE(std::get<SendAttempt>(begun.step).slow_after);
+  EXPECT_FALSE(std::get<SendAttempt>(begun.step).hedge_after);
 }
 
 TEST_F(RequestPathTest, ATimeoutWhileATargetHasItSaysNothingOfNotRun) {
   Configure(RequestKind::kNonIdempotent);
-  const Begun begun = Begin();
+  const RequestStart begun = Begin();
 
-  const Ending ending = path_.OnTimeout(begun.ticket, kStart + seconds(2));
+  const RequestFailure ending =
+      path_.OnTimeout(begun.ticket, kStart + seconds(2));
 
-  EXPECT_EQ(ending.reason, EndReason::kTimedOut);
+  EXPECT_EQ(ending.reason, FailureReason::kTimedOut);
   EXPECT_FALSE(ending.is_not_run);
 }
 
@@ -224,7 +226,7 @@
 TEST_F(RequestPathTest, SaturationRefusesOnArrivalWithATimeToComeBack) {
   Configure(RequestKind::kIdempotent, 2);
   int taken = 0;
-  const Ending* refused = nullptr;
+  const RequestFailure* refused = nullptr;
   Step step;
   while (taken < 100) {
     step = Begin().step;
@@ -238,7 +240,7 @@
   ASSERT_NE(refused, nullptr);
   EXPECT_GE(taken, 6);
   EXPECT_LE(taken, 20);
-  EXPECT_EQ(refused->reason, EndReason::kNoRoom);
+  EXPECT_EQ(refused->reason, FailureReason::kOverloaded);
   EXPECT_TRUE(refused->is_not_run);
   EXPECT_GT(*refused->retry_after, milliseconds(100));
 }
@@ -246,7 +248,8 @@
 TEST_F(RequestPathTest, WhatCannotEndInTimeIsRefusedOnArrival) {
   Configure(RequestKind::kIdempotent);
 
-  EXPECT_EQ(EndingIn(Begin(milliseconds(5)).step)->reason, EndReason::kTooLate);
+  EXPECT_EQ(EndingIn(Begin(milliseconds(5)).step)->reason,
+            FailureReason::kDeadlineUnreachable);
 }
 
 // A route was added with a time limit below what cold work takes, and nothing
@@ -255,7 +258,7 @@
 TEST_F(RequestPathTest, ARouteWithAShortLimitIsTriedThoughNothingIsWarm) {
   is_sticky_ = false;
   Configure(RequestKind::kIdempotent);
-  const Begun begun = Begin(milliseconds(300));
+  const RequestStart begun = Begin(milliseconds(300));
 
   ASSERT_TRUE(std::holds_alternative<SendAttempt>(begun.step));
   EXPECT_GT(std::get<SendAttempt>(begun.step).placement.expected,
@@ -264,7 +267,7 @@
 
 TEST_F(RequestPathTest, ACallerThatLeavesFreesItsPlace) {
   Configure(RequestKind::kIdempotent, 1);
-  const Begun begun = Begin();
+  const RequestStart begun = Begin();
   path_.OnCallerGone(begun.ticket);
 
   EXPECT_EQ(path_.InFlight(), 0U);
@@ -283,12 +286,12 @@
   for (std::uint32_t target = 1; target <= 3; ++target) {
     path_.Crashes().OnCrash(crashing, TargetNumber{target}, kStart);
   }
-  const Begun blocked = ask(crashing);
+  const RequestStart blocked = ask(crashing);
   ASSERT_NE(EndingIn(blocked.step), nullptr);
-  EXPECT_EQ(EndingIn(blocked.step)->reason, EndReason::kCrashesTargets);
+  EXPECT_EQ(EndingIn(blocked.step)->reason, FailureReason::kRequestBlocked);
   EXPECT_TRUE(EndingIn(blocked.step)->is_not_run);
   EXPECT_GT(EndingIn(blocked.step)->retry_after, Duration(seconds(1)));
-  const Begun other = ask(RequestFingerprint::Of({"other"}));
+  const RequestStart other = ask(RequestFingerprint::Of({"other"}));
   EXPECT_TRUE(std::holds_alternative<SendAttempt>(other.step));
 }
 
@@ -298,7 +301,7 @@
   Configure(RequestKind::kIdempotent, 5);
   const auto crashing = RequestFingerprint::Of({"crash"});
   for (std::uint32_t target = 1; target <= 3; ++target) {
-    const Begun begun = path_.Begin(
+    const RequestStart begun = path_.Begin(
         {.host = "h", .target = "/x", .fingerprint = crashing}, kStart);
     static_cast<void>(
         path_.OnAttemptEnd(begun.ticket, 1, AttemptEnd::kTargetFailed, kStart));
@@ -313,7 +316,7 @@
 TEST_F(RequestPathTest, ARequestBlockedInFlightIsNotSentAgain) {
   Configure(RequestKind::kIdempotent, 5);
   const auto crashing = RequestFingerprint::Of({"crash"});
-  const Begun begun = path_.Begin(
+  const RequestStart begun = path_.Begin(
       {.host = "h", .target = "/x", .fingerprint = crashing}, kStart);
   for (std::uint32_t target = 1; target <= 3; ++target) {
     path_.Crashes().OnReport(
@@ -324,7 +327,7 @@
   const Step step = path_.OnAttemptEnd(begun.ticket, 1, AttemptEnd::kLost,
                                        kStart + seconds(1));
   ASSERT_NE(EndingIn(step), nullptr);
-  EXPECT_EQ(EndingIn(step)->reason, EndReason::kCrashesTargets);
+  EXPECT_EQ(EndingIn(step)->reason, FailureReason::kRequestBlocked);
   EXPECT_FALSE(EndingIn(step)->is_not_run);
 }
 
@@ -332,13 +335,13 @@
 // be refused while other targets have capacity.
 TEST_F(RequestPathTest, SkipsATargetWithAnExhaustedRateLimit) {
   Configure(RequestKind::kIdempotent);
-  const Begun first = Begin();
+  const RequestStart first = Begin();
   const auto limited = std::get<SendAttempt>(first.step).target;
   path_.OnRateLimit(first.ticket, 1, 0.0, kStart + milliseconds(50));
   (void)path_.OnAttemptEnd(first.ticket, 1, AttemptEnd::kAnswered,
                            kStart + milliseconds(50));
   for (int request = 1; request <= 20; ++request) {
-    const Begun next =
+    const RequestStart next =
         Begin(std::nullopt, kStart + request * milliseconds(100));
     const auto send = std::get<SendAttempt>(next.step);
     EXPECT_NE(send.target, limited);
--- a/tests/unit/request_path/attempt_allowance_test.cc
+++ b/tests/unit/request_path/retry_budget_share_test.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/request_path/attempt_allowance.h"
+#include "medlarcroft/request_path/retry_budget_share.h"
 
 #include <gtest/gtest.h>
 
@@ -29,17 +29,17 @@
 // every host, for a minute. The hosts know nothing of each other. In whatever
 // ten seconds anyone looks at, all their further sends together stay within a
 // fifth of the requests plus the fixed amount.
-TEST(AttemptAllowanceTest, AllHostsTogetherKeepTheBoundInEveryWindow) {
+TEST(RetryBudgetShareTest, AllHostsTogetherKeepTheBoundInEveryWindow) {
   constexpr std::uint32_t kHosts = 8;
-  const AttemptBound bound{.ratio = 0.2, .fixed = 56, .window = seconds(10)};
+  const RetryLimit bound{.ratio = 0.2, .fixed = 56, .window = seconds(10)};
   fakes::SeededRandom random(7);
-  std::vector<AttemptAllowance> hosts(kHosts, AttemptAllowance(bound));
+  std::vector<RetryBudgetShare> hosts(kHosts, RetryBudgetShare(bound));
   std::deque<MonotonicTime> requests;
   std::deque<MonotonicTime> further;
 
   for (MonotonicTime now = kStart; now < kStart + seconds(60);
        now += milliseconds(5)) {
-    AttemptAllowance& host = hosts[random.NextBelow(kHosts)];
+    RetryBudgetShare& host = hosts[random.NextBelow(kHosts)];
     host.OnRequest(now);
     requests.push_back(now);
     if (host.TryTake(kHosts, now)) {
@@ -57,8 +57,8 @@
   EXPECT_GT(further.size(), 100U);
 }
 
-TEST(AttemptAllowanceTest, AHostWithoutRequestsSpendsItsPartOfTheFixedAmount) {
-  AttemptAllowance allowance({.ratio = 0.2, .fixed = 56});
+TEST(RetryBudgetShareTest, AHostWithoutRequestsSpendsItsPartOfTheFixedAmount) {
+  RetryBudgetShare allowance({.ratio = 0.2, .fixed = 56});
   int granted = 0;
 
   while (allowance.TryTake(8, kStart)) {
--- a/tests/unit/request_path/target_book_test.cc
+++ b/tests/unit/request_path/target_directory_test.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/request_path/target_book.h"
+#include "medlarcroft/request_path/target_directory.h"
 
 #include <gtest/gtest.h>
 
@@ -14,12 +14,13 @@
 constexpr MonotonicTime kStart{std::chrono::hours(1)};
 const ServiceName kService("desk");
 
-class NoteChanges final : public BookObserver {
+class NoteChanges final : public TargetDirectoryObserver {
  public:
-  void OnTargetChange(BookChange change, const TargetRecord& target) override {
+  void OnTargetChange(TargetChange change,
+                      const TargetRecord& target) override {
     changes.emplace_back(change, target.id);
   }
-  std::vector<std::pair<BookChange, TargetName>> changes;
+  std::vector<std::pair<TargetChange, TargetName>> changes;
 };
 
 TargetRecord MakeTarget(std::string_view id, std::string_view domain = "a") {
@@ -30,7 +31,7 @@
           .slots = 3};
 }
 
-class TargetBookTest : public testing::Test {
+class TargetDirectoryTest : public testing::Test {
  protected:
   std::vector<TargetName> UsableIds() {
     std::vector<TargetName> ids;
@@ -49,14 +50,14 @@
   using Ids = std::vector<TargetName>;
 
   NoteChanges observer_;
-  TargetBook book_{{{FailureDomainName("a"), RegionName("north")},
-                    {FailureDomainName("b"), RegionName("south")}},
-                   observer_};
+  TargetDirectory book_{{{FailureDomainName("a"), RegionName("north")},
+                         {FailureDomainName("b"), RegionName("south")}},
+                        observer_};
 };
 
 // A target says that it leaves. The store's feed is cut, and an older list is
 // read, which still shows it in service. Callers must not be sent there again.
-TEST_F(TargetBookTest, OlderNewsDoesNotBringBackATargetThatLeaves) {
+TEST_F(TargetDirectoryTest, OlderNewsDoesNotBringBackATargetThatLeaves) {
   List({MakeTarget("t1"), MakeTarget("t2")});
   TargetRecord leaving = MakeTarget("t1");
   leaving.is_leaving = true;
@@ -73,7 +74,7 @@
 // The store was away and the entries of live targets ran out. Callers go on
 // being served by those that answer; what is not registered again within the
 // time is gone.
-TEST_F(TargetBookTest, LapsedEntriesAreUsedUntilTheDoubtEnds) {
+TEST_F(TargetDirectoryTest, LapsedEntriesAreUsedUntilTheDoubtEnds) {
   List({MakeTarget("t1"), MakeTarget("t2")});
   const MonotonicTime doubted_until = kStart + seconds(2);
   List({}, doubted_until);
@@ -85,7 +86,7 @@
   EXPECT_EQ(UsableIds(), Ids{TargetName("t2")});
 }
 
-TEST_F(TargetBookTest, ALeavingTargetIsNeverDoubtedButGone) {
+TEST_F(TargetDirectoryTest, ALeavingTargetIsNeverDoubtedButGone) {
   TargetRecord leaving = MakeTarget("t1");
   leaving.is_leaving = true;
   List({leaving});
@@ -95,15 +96,15 @@
   EXPECT_EQ(book_.Size(), 0U);
 }
 
-TEST_F(TargetBookTest, ARemovedEntryIsGoneAtOnceWhileTheStoreIsWell) {
+TEST_F(TargetDirectoryTest, ARemovedEntryIsGoneAtOnceWhileTheStoreIsWell) {
   List({MakeTarget("t1")});
   book_.Remove(TargetName("t1"), std::nullopt);
 
   EXPECT_TRUE(UsableIds().empty());
-  EXPECT_EQ(observer_.changes.back().first, BookChange::kRemoved);
+  EXPECT_EQ(observer_.changes.back().first, TargetChange::kRemoved);
 }
 
-TEST_F(TargetBookTest, AnEvacuatedDomainGetsNothingAndComesBackCold) {
+TEST_F(TargetDirectoryTest, AnEvacuatedDomainGetsNothingAndComesBackCold) {
   book_.SetColdTime(kService, seconds(3));
   List({MakeTarget("t1", "a"), MakeTarget("t2", "b")});
 
@@ -117,7 +118,7 @@
   EXPECT_FALSE(book_.Find({TargetName("t2")})->IsCold(kStart));
 }
 
-TEST_F(TargetBookTest, ATargetThatAppearsLaterIsColdWhateverItSays) {
+TEST_F(TargetDirectoryTest, ATargetThatAppearsLaterIsColdWhateverItSays) {
   book_.SetColdTime(kService, seconds(3));
   List({MakeTarget("t1")});
   book_.Put(MakeTarget("t2"), kStart);
@@ -126,7 +127,7 @@
   EXPECT_TRUE(book_.Find({TargetName("t2")})->IsCold(kStart + seconds(2)));
 }
 
-TEST_F(TargetBookTest, ATargetWhoseAddressAnotherHasGetsNothing) {
+TEST_F(TargetDirectoryTest, ATargetWhoseAddressAnotherHasGetsNothing) {
   List({MakeTarget("t1")});
   book_.Find({TargetName("t1")})->MarkReplaced();
 
--- a/tests/unit/routing/route_table_test.cc
+++ b/tests/unit/routing/route_table_test.cc
@@ -11,7 +11,7 @@
   return {.name = std::move(name),
           .host = std::move(host),
           .path_prefix = std::move(prefix),
-          .parts = {{.service = ServiceName("desk")}}};
+          .weighted_services = {{.service = ServiceName("desk")}}};
 }
 
 RoutingConfiguration MakeConfiguration(std::uint64_t version) {
@@ -80,8 +80,8 @@
 
 TEST(RouteTableTest, PartsGetTheirWeightInEveryRunOfRequests) {
   Route route = MakeRoute("split", "menus.example", "/");
-  route.parts = {{.service = ServiceName("a"), .weight = 90},
-                 {.service = ServiceName("b"), .weight = 10}};
+  route.weighted_services = {{.service = ServiceName("a"), .weight = 90},
+                             {.service = ServiceName("b"), .weight = 10}};
   RouteTable table;
   std::map<ServiceName, int> counts;
 
@@ -93,8 +93,8 @@
 
 TEST(RouteTableTest, PartsWithoutAnyWeightDoNotDivideByZero) {
   Route route = MakeRoute("split", "menus.example", "/");
-  route.parts = {{.service = ServiceName("a"), .weight = 0},
-                 {.service = ServiceName("b"), .weight = 0}};
+  route.weighted_services = {{.service = ServiceName("a"), .weight = 0},
+                             {.service = ServiceName("b"), .weight = 0}};
   RouteTable table;
 
   EXPECT_FALSE(table.ChoosePart(route).IsEmpty());
--- a/tests/unit/standins/target_handler_test.cc
+++ b/tests/unit/standins/target_handler_test.cc
@@ -11,8 +11,8 @@
 namespace medlarcroft::standins {
 namespace {
 
-using adapters::ClientAnswer;
 using adapters::ClientRequest;
+using adapters::ClientResponse;
 using adapters::ClientResult;
 using adapters::HttpClient;
 using adapters::HttpServer;
@@ -40,9 +40,9 @@
                    std::string(path)};
   }
 
-  ClientAnswer Get(std::string_view path) {
+  ClientResponse Get(std::string_view path) {
     const ClientResult result = client_.SendAndWait(Make(path));
-    return IsOk(result) ? ValueOf(result) : ClientAnswer{};
+    return IsOk(result) ? ValueOf(result) : ClientResponse{};
   }
 
   json GetJson(std::string_view path) { return json::parse(Get(path).body); }
@@ -77,7 +77,7 @@
   request.method = "POST";
   request.body = "hello";
   request.headers = {{"Idempotency-Key", "k1"}, {"Medlar-Request-Id", "r1"}};
-  const ClientAnswer answer = ValueOf(client_.SendAndWait(request));
+  const ClientResponse answer = ValueOf(client_.SendAndWait(request));
 
   EXPECT_EQ(answer.status, 200);
   EXPECT_EQ(answer.headers.Find("Medlar-Request-Id"), "r1");
@@ -97,7 +97,7 @@
   const auto first = Hold();
   const auto second = Hold();
   WaitForOutstanding(2);
-  const ClientAnswer shed = Get("/third");
+  const ClientResponse shed = Get("/third");
   EXPECT_EQ(shed.status, 503);
   EXPECT_TRUE(shed.headers.Find("Medlar-Target-Not-Run").has_value());
   EXPECT_EQ(GetJson("/load")["outstanding"], 2);
@@ -118,18 +118,18 @@
   SetFaults(kEndless);
   ClientRequest request = Make("/late");
   request.headers = {{"Medlar-Deadline-Ms", "20"}};
-  const ClientAnswer late = ValueOf(client_.SendAndWait(request));
+  const ClientResponse late = ValueOf(client_.SendAndWait(request));
   EXPECT_EQ(late.status, 504);
   EXPECT_FALSE(late.headers.Find("Medlar-Target-Not-Run").has_value());
 
   request.headers = {{"Medlar-Deadline-Ms", "0"}};
-  const ClientAnswer refused = ValueOf(client_.SendAndWait(request));
+  const ClientResponse refused = ValueOf(client_.SendAndWait(request));
   EXPECT_TRUE(refused.headers.Find("Medlar-Target-Not-Run").has_value());
 }
 
 TEST_F(TargetHandlerTest, DrainingRefusesNewWorkAndSaysSo) {
   SetFaults(R"({"draining":true})");
-  const ClientAnswer answer = Get("/x");
+  const ClientResponse answer = Get("/x");
   EXPECT_EQ(answer.status, 503);
   EXPECT_TRUE(answer.headers.Find("Medlar-Target-Not-Run").has_value());
   EXPECT_TRUE(answer.headers.Find("Medlar-Target-Draining").has_value());
--- a/tests/unit/steering/handed_out_demand_test.cc
+++ b/tests/unit/steering/lookup_demand_tracker_test.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/steering/handed_out_demand.h"
+#include "medlarcroft/steering/lookup_demand_tracker.h"
 
 #include <gtest/gtest.h>
 
@@ -24,7 +24,7 @@
 
 TEST_P(HandedOutExpiry, CountsUntilTheTtlEnds) {
   const ExpiryCase& parameters = GetParam();
-  HandedOutDemand demand;
+  LookupDemandTracker demand;
 
   demand.Record(kSlotboard, kOviedo, 2.5, FromSeconds(parameters.ttl), kStart);
 
@@ -45,8 +45,8 @@
                       ExpiryCase{"NegativeIsZero", -5, 2.2, 0}),
     [](const auto& info) { return info.param.name; });
 
-TEST(HandedOutDemand, MemoryIsBoundedAndWhatIsLeftOutIsCounted) {
-  HandedOutDemand demand({.max_series = 2});
+TEST(LookupDemandTracker, MemoryIsBoundedAndWhatIsLeftOutIsCounted) {
+  LookupDemandTracker demand({.max_series = 2});
   for (const char* name : {"a", "b", "c"}) {
     demand.Record(ServiceName(name), kOviedo, 1.0, FromSeconds(5), kStart);
   }
--- a/tests/unit/steering/shift_admission_test.cc
+++ b/tests/unit/steering/shift_admission_test.cc
@@ -16,7 +16,7 @@
 class AdmitShiftedTest : public ::testing::TestWithParam<AdmissionCase> {};
 
 TEST_P(AdmitShiftedTest, KeepsTheReserveForTheDomainsOwnCallers) {
-  const auto result = AdmitShifted(GetParam().state);
+  const auto result = AdmitForwarded(GetParam().state);
 
   ASSERT_EQ(IsOk(result), !GetParam().refusal.has_value());
   if (GetParam().refusal) {
--- a/tests/unit/telemetry/request_line_budget_test.cc
+++ b/tests/unit/telemetry/request_log_sampler_test.cc
@@ -1,4 +1,4 @@
-#include "medlarcroft/telemetry/request_line_budget.h"
+#include "medlarcroft/telemetry/request_log_sampler.h"
 
 #include <gtest/gtest.h>
 
@@ -25,20 +25,20 @@
 /// Plays one second of as many requests, evenly spread; each that was not
 /// logged for its id ends as `outcome_of` its number says.
 template <typename OutcomeOf>
-Chosen PlaySecond(RequestLineBudget& budget,
+Chosen PlaySecond(RequestLogSampler& budget,
                   fakes::ManualClock& clock,
                   int requests,
                   const OutcomeOf& outcome_of) {
   static int last_id = 0;
   Chosen chosen;
   for (int number = 0; number < requests; ++number) {
-    if (budget.ChooseById("r" + std::to_string(++last_id), clock.Now())) {
+    if (budget.SampleById("r" + std::to_string(++last_id), clock.Now())) {
       ++chosen.by_id;
       chosen.by_id_late_in_second += number >= requests / 2 ? 1 : 0;
     } else {
       const RequestOutcome outcome = outcome_of(number);
       chosen.at_end.at(static_cast<std::size_t>(outcome)) +=
-          budget.ChooseAtEnd(outcome, clock.Now()) ? 1 : 0;
+          budget.SampleAtEnd(outcome, clock.Now()) ? 1 : 0;
     }
     clock.Advance(Duration(seconds(1)) / requests);
   }
@@ -51,45 +51,46 @@
 
 // On a calm host each request can be explained.
 TEST(RequestLineBudgetTest, AllOfFewRequestsAreChosen) {
-  RequestLineBudget budget;
+  RequestLogSampler budget;
   fakes::ManualClock clock;
   for (int second = 0; second < 3; ++second) {
     EXPECT_EQ(PlaySecond(budget, clock, 15, Served).by_id, 15U);
   }
-  EXPECT_EQ(budget.TakeLeftOut(), 0U);
+  EXPECT_EQ(budget.TakeUnsampledCount(), 0U);
 }
 
 // A burst must not fill the log, and those logged must not all be its first.
 TEST(RequestLineBudgetTest, ABurstIsBoundedAndSeenAllAlong) {
-  RequestLineBudget budget;
+  RequestLogSampler budget;
   fakes::ManualClock clock;
   EXPECT_EQ(PlaySecond(budget, clock, 1000, Served).by_id,
-            RequestLineBudget::kById);
+            RequestLogSampler::kById);
   std::uint32_t late_in_second = 0;
   for (int second = 0; second < 10; ++second) {
     const Chosen chosen = PlaySecond(budget, clock, 1000, Served);
-    EXPECT_LE(chosen.by_id, RequestLineBudget::kById);
-    EXPECT_GE(chosen.by_id, RequestLineBudget::kById / 4);
+    EXPECT_LE(chosen.by_id, RequestLogSampler::kById);
+    EXPECT_GE(chosen.by_id, RequestLogSampler::kById / 4);
     late_in_second += chosen.by_id_late_in_second;
   }
-  EXPECT_GE(late_in_second, 10 * RequestLineBudget::kById / 4);
-  EXPECT_GT(budget.TakeLeftOut(), 10'000U);
+  EXPECT_GE(late_in_second, 10 * RequestLogSampler::kById / 4);
+  EXPECT_GT(budget.TakeUnsampledCount(), 10'000U);
 }
 
 // Nearly all look-ups of a second are refused, and at its end a few orders fail
 // that may have run: whoever asks for one of those must find it.
 TEST(RequestLineBudgetTest, OrdersThatFailAreFoundAmongManyRefusals) {
-  RequestLineBudget budget;
+  RequestLogSampler budget;
   fakes::ManualClock clock;
   (void)PlaySecond(budget, clock, 1000, Served);
   const Chosen chosen = PlaySecond(budget, clock, 1000, [](int number) {
-    return number >= 990 ? RequestOutcome::kOrderFailed
+    return number >= 990 ? RequestOutcome::kNonIdempotentFailed
                          : RequestOutcome::kFailed;
   });
   EXPECT_EQ(chosen.AtEnd(RequestOutcome::kFailed),
-            RequestLineBudget::kAtEnd / 2);
-  EXPECT_GE(chosen.AtEnd(RequestOutcome::kOrderFailed) + chosen.by_id, 10U);
-  EXPECT_GE(chosen.AtEnd(RequestOutcome::kOrderFailed), 9U);
+            RequestLogSampler::kAtEnd / 2);
+  EXPECT_GE(chosen.AtEnd(RequestOutcome::kNonIdempotentFailed) + chosen.by_id,
+            10U);
+  EXPECT_GE(chosen.AtEnd(RequestOutcome::kNonIdempotentFailed), 9U);
 }
 
 }  // namespace
