--- a/lib/libmedlarcroft/include/medlarcroft/request_path/crash_tracker.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/crash_tracker.h
@@ -17,7 +17,7 @@
 /// @brief What a report states about a request.
 enum class CrashReportKind : std::uint8_t {
   kCrashed,   ///< A target process exited while running the request.
-  kAnswered,  ///< A target answered the request.
+  kAnswered,  ///< A target responded to the request.
   kBlocked,   ///< The request has reached the crash limit.
 };
 
@@ -47,25 +47,26 @@
 /// @brief Tracks requests that crash targets, as observed by all hosts, and
 /// blocks those that reach the crash limit.
 ///
-/// Load: a request that crashes every target that runs it, retried by its
-/// caller at any host under a new id. Harm prevented: a single host observes
-/// too few of the crashes to attribute them to the request and keeps retrying
-/// it until the service has no targets left. Hosts therefore exchange crash
-/// reports, and all of them block a request after `crashes_to_block` distinct
-/// targets have crashed while running it.
+/// A request may crash every target that runs it, and its caller may retry it
+/// at any host under a new id. A single host observes too few of the crashes to
+/// attribute them to the request, and would keep retrying it until the service
+/// has no targets left. Hosts therefore exchange crash reports, and all of them
+/// block a request after `crashes_to_block` distinct targets have crashed while
+/// running it.
 ///
 /// Requests that were merely running concurrently must not be blocked. They
 /// succeed on the next target, which clears them on all hosts. A frequent
 /// request that is affected by unrelated crashes is protected by its recent
-/// answers on other hosts, which respond to crash reports with `kAnswered`.
+/// responses on other hosts, which reply to crash reports with `kAnswered`.
 class CrashTracker {
  public:
   struct Options {
+    /// Number of distinct crashed targets at which a request is blocked.
     std::uint32_t crashes_to_block = 3;
     /// Crashes expire this long after the latest one of the request.
     Duration crash_lifetime = std::chrono::minutes(10);
     Duration block_duration = std::chrono::minutes(10);
-    /// Crash reports for a request that was answered within this time are
+    /// Crash reports for a request that got a response within this time are
     /// ignored. Must be well below the time limit for all hosts to block a
     /// request.
     Duration answer_lifetime = std::chrono::seconds(2);
@@ -73,12 +74,12 @@
     Duration repeat_duration = std::chrono::seconds(5);
     /// Tracked requests; beyond this the one with the oldest crash is evicted.
     /// Blocked requests are evicted only when all tracked requests are blocked.
-    std::size_t most_requests = 1000;
+    std::size_t max_requests = 1000;
   };
 
   explicit CrashTracker(const Options& options) : options_(options) {}
 
-  /// @param observer may be null; must outlive the ledger otherwise.
+  /// @param observer may be null; must outlive the tracker otherwise.
   void Observe(CrashObserver* observer) { observer_ = observer; }
 
   /// @return the remaining time of the block; nullopt when the request may be
@@ -90,7 +91,7 @@
   void OnCrash(RequestFingerprint request,
                TargetNumber target,
                MonotonicTime now);
-  /// @brief Records that a target answered a request of this host.
+  /// @brief Records that a target responded to a request of this host.
   void OnAnswered(RequestFingerprint request, MonotonicTime now);
   /// @brief Applies a report of another host.
   void OnReport(const CrashReport& report, MonotonicTime now);
@@ -99,11 +100,12 @@
   /// @brief Drops expired entries.
   void Advance(MonotonicTime now);
 
-  /// @return at most `most` reports based on this host's own observations, to
-  /// be repeated for hosts that were disconnected, paused or restarted. If
-  /// there are more, successive calls cycle through them.
-  [[nodiscard]] std::vector<CrashReport> ReportsToRepeat(std::size_t most,
-                                                         MonotonicTime now);
+  /// @return at most `max_reports` reports based on this host's own
+  /// observations, to be repeated for hosts that were disconnected, paused or
+  /// restarted. If there are more, successive calls cycle through them.
+  [[nodiscard]] std::vector<CrashReport> ReportsToRepeat(
+      std::size_t max_reports,
+      MonotonicTime now);
   /// @return how many distinct targets crashed while running the request.
   [[nodiscard]] std::size_t CrashesOf(RequestFingerprint request) const;
   [[nodiscard]] std::size_t BlockedRequests() const;
@@ -135,11 +137,11 @@
              Entry& entry,
              Duration blocked_for,
              MonotonicTime now);
-  /// @return whether this host recently received an answer to the request. If
+  /// @return whether this host recently received a response to the request. If
   /// so, reports that to the other hosts.
   bool ReportRecentAnswer(RequestFingerprint request, MonotonicTime now);
   void Clear(RequestFingerprint request);
-  void DropOldest();
+  void EvictOldest();
   void Publish(const CrashReport& report);
 
   Options options_;
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/event_window.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/event_window.h
@@ -9,9 +9,10 @@
 
 namespace medlarcroft::request_path {
 
-/// @brief Counts events of a sliding window in ten slices of equal length. A
-/// slice that the window has left partly still counts whole, so the count errs
-/// to the high side by a tenth of the window at most.
+/// @brief Counts the events in a sliding window that is divided into ten slices
+/// of equal length. The oldest slice counts in full while any part of it is
+/// inside the window, so the count covers at most a tenth of the window too
+/// much.
 class EventWindow {
  public:
   explicit EventWindow(Duration length) : slice_length_(length / kSlices) {}
@@ -21,8 +22,8 @@
 
  private:
   static constexpr std::size_t kSlices = 10;
-  // One more than the window holds: the oldest has been left in part.
-  static constexpr std::size_t kKept = kSlices + 1;
+  // One more than the window's length: the oldest slice is partly inside it.
+  static constexpr std::size_t kStoredSlices = kSlices + 1;
 
   [[nodiscard]] std::int64_t SliceOf(MonotonicTime time) const {
     return time.time_since_epoch() / slice_length_;
@@ -34,7 +35,7 @@
   };
 
   Duration slice_length_;
-  std::array<Slice, kKept> slices_{};
+  std::array<Slice, kStoredSlices> slices_{};
 };
 
 }  // namespace medlarcroft::request_path
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/object_key.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/object_key.h
@@ -9,8 +9,9 @@
 
 namespace medlarcroft::request_path {
 
-/// @brief Names an object in four bytes, the same on every host. Two objects
-/// of one key are taken for one: a run that is believed warm is not.
+/// @brief Identifies an object by a 32-bit hash of its name, the same on every
+/// host. When two names collide, a target that has one object is wrongly
+/// assumed to have the other, and the request runs cold.
 class ObjectKey {
  public:
   ObjectKey() = default;
@@ -29,7 +30,7 @@
   friend auto operator<=>(const ObjectKey&, const ObjectKey&) = default;
 
  private:
-  // 0 stands for no object.
+  // 0 is reserved for "no object".
   static std::uint32_t HashOf(std::string_view name) {
     return XXH32(name.data(), name.size(), 0) | 1U;
   }
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/rate_limits.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/rate_limits.h
@@ -52,21 +52,21 @@
 };
 
 /// @brief Enforces this host's shares of the rate limits that targets declare
-/// in their answers for all hosts together.
+/// in their responses for all hosts together.
 ///
-/// Load: an overloaded target that many hosts send to, each of which observes
-/// only its own requests. Harm prevented: if each host applied the whole limit,
-/// the target would receive a multiple of it; if all hosts shared it, a hundred
-/// of them could each save up a request and send it in the same burst. A limit
-/// is therefore divided equally among a few hosts of the target's region, whose
-/// number grows with the limit. Rendezvous hashing selects the same senders on
-/// all hosts that know the same live hosts. A host scales the limit and the
-/// number of senders by the fraction of its region's hosts that it considers
-/// live, because hosts on the other side of a network partition may still reach
-/// the target. Each sender's token bucket holds at most one request, which
-/// bounds the burst. The remaining hosts probe the target at a small fraction
-/// of the limit in total, to detect the end of a limit whose report was lost.
-/// They accumulate no requests while idle: each may send only within a short,
+/// Many hosts may send to an overloaded target, and each of them observes only
+/// its own requests. If each host applied the whole limit, the target would
+/// receive a multiple of it; if all hosts shared it, a hundred of them could
+/// each save up a request and send it in the same burst. A limit is therefore
+/// divided equally among a few hosts of the target's region, whose number grows
+/// with the limit. Rendezvous hashing selects the same senders on all hosts
+/// that know the same live hosts. A host scales the limit and the number of
+/// senders by the fraction of its region's hosts that it considers live,
+/// because hosts on the other side of a network partition may still reach the
+/// target. Each sender's token bucket holds at most one request, which bounds
+/// the burst. The remaining hosts probe the target at a small fraction of the
+/// limit in total, to detect the end of a limit whose report was lost. They
+/// accumulate no requests while idle: each may send only within a short,
 /// periodic time slot with a random offset.
 class RateLimits {
  public:
@@ -96,8 +96,8 @@
   void Observe(LimitObserver* observer) { observer_ = observer; }
   void SetHosts(LimitHosts hosts, MonotonicTime now);
 
-  /// @brief Records a target's answer to a request of this host.
-  /// @param limit that the answer declares; nullopt: none.
+  /// @brief Records a target's response to a request of this host.
+  /// @param limit that the response declares; nullopt: none.
   /// @param sent_at when the request was sent.
   void OnAnswer(TargetNumber target,
                 const RegionName& region,
@@ -137,8 +137,8 @@
     /// Token bucket level at `refilled_at`, in requests; at most one.
     double tokens = 0;
     MonotonicTime refilled_at;
-    MonotonicTime confirmed_at;  ///< By an answer or a report.
-    /// Latest answer to a request of this host that declared the limit.
+    MonotonicTime confirmed_at;  ///< By a response or a report.
+    /// Latest response to a request of this host that declared the limit.
     std::optional<MonotonicTime> answered_at;
     Duration expires_after{0};
     MonotonicTime published_at{};
@@ -160,7 +160,7 @@
   LimitObserver* observer_ = nullptr;
   LimitHosts hosts_;
   std::unordered_map<TargetNumber, Limit> limits_;
-  /// When this host observed in an answer that the limit of a target had ended.
+  /// When a response to this host showed that a target's limit had ended.
   std::unordered_map<TargetNumber, MonotonicTime> lifted_at_;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/region_load.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/region_load.h
@@ -9,17 +9,20 @@
 
 namespace medlarcroft::request_path {
 
-/// @brief How much work of other hosts the targets of one service have, by
-/// region, as the reports of the last second tell.
+/// @brief Mean load from other hosts on the targets of one service, by region,
+/// according to the load reports of about the last second.
 ///
-/// Load: many hosts and many targets, so that one host hears from a target only
-/// every few seconds. Harm prevented: it believes in what the target told when
-/// times were calm, and sends into full queues; a region that it rarely uses
-/// looks empty to it and gets all that its own can't take. A report of any
-/// target says something of the others beside it.
+/// With many hosts and many targets, one host receives a report of a given
+/// target only every few seconds. By such reports alone, the host would rely on
+/// one from a time of low load and send to full queues; a region that it rarely
+/// uses would appear empty and receive everything that its own region cannot
+/// take. A report of any target is evidence of the load on the other targets of
+/// its region.
 class RegionLoad {
  public:
-  void OnReport(const RegionName& region, double others, MonotonicTime now);
+  void OnReport(const RegionName& region,
+                double other_hosts_load,
+                MonotonicTime now);
 
   /// @return nullopt before the first report of the region.
   [[nodiscard]] std::optional<double> MeanOf(const RegionName& region) const;
@@ -27,7 +30,7 @@
  private:
   struct Mean {
     double value = 0;
-    MonotonicTime noted_at;
+    MonotonicTime updated_at;
   };
 
   std::map<RegionName, Mean> means_;
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/region_plan.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/region_plan.h
@@ -11,71 +11,72 @@
 
 namespace medlarcroft::request_path {
 
-/// @brief Slots that take new work, by region.
+/// @brief Slots that accept new requests, by region.
 using RegionSlots = std::map<RegionName, double>;
 
-/// @brief Parts of the requests, by region; they sum to 1.
+/// @brief Fractions of the requests, by region; they sum to 1.
 using RegionShares = std::map<RegionName, double>;
 
-/// @brief How fast a plan may move.
+/// @brief Limits how fast a plan may change.
 struct RegionPlanOptions {
-  /// Part of the requests that may change their region, a second.
+  /// Fraction of the requests that may change region, per second.
   double max_shift_per_second = 0.0075;
 };
 
-/// @brief Which part of one service's requests, of this host's callers, runs in
-/// which region.
+/// @brief Divides one service's requests from this host's callers among
+/// regions.
 ///
-/// Load: demand that moves between regions in waves while each region's targets
-/// bear a different part of it. Harm prevented: a choice made anew for each
-/// request swings between regions within a second, meets cold targets and fills
-/// a region that others fill too; and hosts whose plans differ run the same
-/// object in two regions. So the plan is what the slots ask for, which is the
-/// same on every host, and leaves it only for requests that their region has no
-/// room for and another one has, at a bounded rate, and comes back as slowly.
-/// Objects keep their region while the plan stands: with weighted rendezvous
-/// hashing only the moved part changes.
+/// Demand moves between regions in waves, and the capacity of the regions
+/// differs. Choosing a region for each request independently would oscillate
+/// between regions within a second, reach cold targets and fill a region that
+/// other hosts fill too. Hosts with different plans would run the same object
+/// in two regions. The plan is therefore derived from the numbers of slots,
+/// which are the same on every host. It deviates only for requests whose region
+/// has no capacity while another region has, at a limited rate, and returns at
+/// the same rate. Objects keep their region while the plan is unchanged: with
+/// weighted rendezvous hashing only the shifted fraction moves.
 class RegionPlan {
  public:
   RegionPlan(RegionName own_region, const RegionPlanOptions& options);
 
-  /// @brief Moves the plan as far as its rate allows.
-  /// @param slots a region without any gets nothing.
+  /// @brief Moves the plan towards its desired shares as far as the rate limit
+  /// allows.
+  /// @param slots a region without slots gets no requests.
   void Advance(const RegionSlots& slots, MonotonicTime now);
 
-  /// @brief Notes how a request fared in the region that the plan gave it.
-  /// @param with_room the region that has room for it, when `planned` has not;
-  /// absent: it stays, or no region has room.
+  /// @brief Records whether the planned region had capacity for a request.
+  /// @param region_with_capacity another region with capacity when `planned`
+  /// has none; nullopt: `planned` has capacity, or no region has.
   void Observe(const RegionName& planned,
-               const std::optional<RegionName>& with_room);
+               const std::optional<RegionName>& region_with_capacity);
 
-  /// @param key of the object, or random.
-  /// @return the region in which the request is to run.
+  /// @param key of the object, or random for a request without an object.
+  /// @return the region in which the request should run.
   [[nodiscard]] RegionName Choose(std::uint64_t key) const;
 
   [[nodiscard]] const RegionShares& Shares() const { return shares_; }
 
  private:
-  /// @brief Decayed counts of a region's requests.
-  struct Pressure {
+  /// @brief Exponentially decayed request counts of a planned region.
+  struct Overflow {
     double requests = 0;
-    std::map<RegionName, double> without_room;  ///< By who has room.
+    std::map<RegionName, double> overflowed;  ///< By region that has capacity.
   };
 
-  /// @return what the slots ask for, whatever was observed.
+  /// @return the shares according to the numbers of slots alone.
   [[nodiscard]] RegionShares SharesBySlots(const RegionSlots& slots) const;
-  /// @return the shares without what their regions have no room for; nullopt
-  /// when all have.
-  [[nodiscard]] std::optional<RegionShares> RelievedShares() const;
+  /// @return the current shares with the overflow moved to the regions that
+  /// have capacity; nullopt when there is no overflow.
+  [[nodiscard]] std::optional<RegionShares> SharesAfterOverflow() const;
   void DropEmptyRegions(const RegionSlots& slots);
   void Decay(Duration elapsed);
-  void MoveTowards(const RegionShares& wanted, double most);
+  void MoveTowards(const RegionShares& desired, double max_shift);
 
   RegionName own_region_;
   RegionPlanOptions options_;
   RegionShares shares_;
-  std::map<RegionName, Pressure> pressures_;
-  MonotonicTime moved_at_{};
+  std::map<RegionName, Overflow> overflows_;
+  MonotonicTime advanced_at_{};
 };
 
 }  // namespace medlarcroft::request_path
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/request_path.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/request_path.h
@@ -24,44 +24,45 @@
 
 namespace medlarcroft::request_path {
 
-/// @brief Names one request from `Begin` to its final answer.
+/// @brief Identifies a request from `Begin` to its final response.
 using RequestTicket = std::uint64_t;
-/// @brief Counts a request's sends from 1.
+/// @brief Numbers a request's sends, starting at 1.
 using AttemptNumber = std::uint32_t;
 
-/// @brief What a caller asks for.
+/// @brief A caller's request.
 struct CallerRequest {
   std::string host;
   std::string target;  ///< Path and query.
-  std::string object;  ///< What it concerns; empty: nothing in particular.
-  /// How long the caller still waits; absent: as long as the route allows.
+  std::string object;  ///< Object that the request concerns; empty: none.
+  /// Time until the caller gives up; nullopt: the timeout of the route.
   std::optional<Duration> time_left;
   RequestFingerprint fingerprint;
 };
 
-/// @brief Why a request ends without a target's answer.
+/// @brief Why a request ends without a target's response.
 enum class FailureReason {
-  kNotConfigured,        ///< This host knows no configuration yet.
-  kNoRoute,              ///< No route takes it.
-  kNoRouteYet,           ///< None that is known, but the news may be old.
-  kNoTarget,             ///< No target may be used.
-  kOverloaded,           ///< The wait would be too long.
-  kDeadlineUnreachable,  ///< It can't be answered in the time that is left.
-  kRetriesExhausted,     ///< It did not run, and no further send is allowed.
+  kNotConfigured,  ///< This host has no configuration yet.
+  kNoRoute,        ///< No route matches.
+  kNoRouteYet,     ///< No known route matches, but the configuration may be
+                   ///< outdated.
+  kNoTarget,       ///< No target is usable.
+  kOverloaded,     ///< The wait in a target's queue would be too long.
+  kDeadlineUnreachable,  ///< No response is possible in the remaining time.
+  kRetriesExhausted,     ///< It did not run, and no further send is permitted.
   kMayHaveRun,           ///< A send was lost, and must not be repeated.
-  kTimedOut,             ///< The time is over while a target had it.
-  kHostDraining,         ///< This host takes nothing new.
-  kRequestBlocked,       ///< It is blocked because it crashed targets.
+  kTimedOut,             ///< The time ended while a target had the request.
+  kHostDraining,         ///< This host shuts down and takes no new requests.
+  kRequestBlocked,       ///< The request is blocked because it crashed targets.
 };
 
-/// @brief A final answer that this host makes itself.
+/// @brief A final response that this host generates itself.
 struct RequestFailure {
   FailureReason reason = FailureReason::kNoTarget;
-  /// Proved: no target ran it, and none will.
+  /// Proven: no target ran the request, and none will.
   bool is_not_run = true;
-  /// When the caller may come back; absent: no use.
+  /// When the caller may retry; nullopt: a retry is useless.
   std::optional<Duration> retry_after;
-  /// The best place there was, for the log; absent: none.
+  /// The best available placement, for the log; nullopt: none.
   std::optional<Placement> best;
 };
 
@@ -72,64 +73,66 @@
   std::string address;
   RegionName region;
   Duration round_trip{0};  ///< To the target, as measured.
-  Duration time_left{0};   ///< To tell the target.
+  Duration time_left{0};   ///< Remaining time, to be stated to the target.
   bool may_repeat = false;
-  /// Other hosts are to hear that the target has the object now.
+  /// Whether to announce to other hosts that the target now has the object.
   bool should_announce = false;
-  /// When `OnSlow` is due, if the attempt has not ended by then.
+  /// Delay after which `OnSlow` must be called unless the attempt has ended.
   std::optional<Duration> hedge_after;
   Placement placement;
   std::optional<Duration> report_age;
 };
 
-/// @brief Pass on what the target answered; the other sends are to be ended.
+/// @brief Forward the target's response to the caller, and cancel the other
+/// sends.
 struct PassOn {
   AttemptNumber attempt = 0;
   std::vector<AttemptNumber> abandoned;
 };
 
-/// @brief Another send of the request is under way; its end decides.
+/// @brief Another send of the request is in progress and decides the outcome.
 struct AwaitAttempt {};
 
 using Step = std::variant<SendAttempt, RequestFailure, PassOn, AwaitAttempt>;
 
-/// @brief What `Begin` tells beside the first step.
+/// @brief Result of `Begin`.
 struct RequestStart {
-  RequestTicket ticket = 0;  ///< 0: it ended at once.
+  RequestTicket ticket = 0;  ///< 0: the request ended immediately.
   std::shared_ptr<const routing::Route> route;
   ServiceName service;
-  Duration time_left{0};  ///< Until `OnTimeout` is due.
+  Duration time_left{0};  ///< Delay after which `OnTimeout` must be called.
   Step step;
 };
 
-/// @brief One host's decisions about requests, from arrival to final answer,
-/// without I/O and for one thread.
+/// @brief One host's decisions about requests, from arrival to final response,
+/// without I/O. Not thread-safe.
 ///
-/// Load: demand that moves between regions in waves and passes what a region's
-/// targets bear, targets that are shared with other hosts, lost answers. Harm
-/// prevented: late answers for all in place of refusals for some, double runs,
-/// retries that become a load of their own. A request that can't be answered
-/// in its time is refused at once; one that is not idempotent is sent again
-/// only when it is proved that it did not run.
+/// Demand moves between regions in waves and may exceed a region's capacity,
+/// other hosts use the same targets, and responses may be lost. Without limits,
+/// all callers would get late responses instead of some getting refusals,
+/// requests would run twice, and retries would overload the targets. A request
+/// that cannot be answered in time is refused immediately; a request that is
+/// not idempotent is sent again only when it is proven that it did not run.
 class RequestPath {
  public:
   struct Options {
     RegionName own_region;
     RetryLimit retry_limit;
-    /// A cold target's requests in any second, over its configured rate.
+    /// A cold target gets its configured rate times `cold_over` plus
+    /// `cold_extra` requests per second, from all hosts together.
     double cold_over = 1.0;
     double cold_extra = 0.0;
-    /// Whether requests keep to a plan of regions; otherwise each is placed
-    /// wherever it is best.
+    /// Whether requests are placed according to a region plan; otherwise each
+    /// is placed on the best target of any region.
     bool uses_region_plan = true;
     RegionPlanOptions region_plan;
     PlacementOptions placement;
-    /// Chooses among the targets; null: the one expected to answer first. It
-    /// must outlive the path.
+    /// Selects the target; null: the one with the lowest cost. Must outlive the
+    /// path.
     const CandidateSelector* rule = nullptr;
-    /// The longest wait in a target's queue that is still accepted, in parts of
-    /// the latency objective: beyond it the answer comes late and holds up what
-    /// follows.
+    /// Longest accepted wait in a target's queue, as a fraction of the latency
+    /// objective: after a longer wait the response is late and delays the
+    /// requests behind it.
     double max_queue_wait = 0.6;
     CrashTracker::Options crashes;
     RateLimits::Options limits;
@@ -140,12 +143,12 @@
               TargetDirectory& targets,
               ports::RandomSource& random);
 
-  /// @brief How many hosts share what is bounded for all: those that are or
-  /// may be sending.
+  /// @brief Sets how many hosts share the limits for all hosts: those that are
+  /// or may be sending.
   void SetHostCount(std::uint32_t hosts) { host_count_ = std::max(hosts, 1U); }
-  /// @brief Whether the configuration may be older than what is in force.
-  void SetConfigurationStale(bool is_doubtful) {
-    is_news_doubtful_ = is_doubtful;
+  /// @brief Sets whether the configuration may be older than the one in force.
+  void SetConfigurationStale(bool is_stale) {
+    is_configuration_stale_ = is_stale;
   }
 
   [[nodiscard]] RequestStart Begin(const CallerRequest& request,
@@ -155,20 +158,20 @@
                                   AttemptNumber attempt,
                                   AttemptEnd end,
                                   MonotonicTime now);
-  /// @brief An attempt takes longer than is usual.
+  /// @brief An attempt takes longer than usual: a hedged attempt may be sent.
   [[nodiscard]] Step OnSlow(RequestTicket ticket, MonotonicTime now);
-  /// @brief The time that `Begin` told is over: the request ends.
+  /// @brief The time returned by `Begin` is over: the request ends.
   [[nodiscard]] RequestFailure OnTimeout(RequestTicket ticket,
                                          MonotonicTime now);
-  /// @brief The caller went away: the request ends.
+  /// @brief The caller disconnected: the request ends.
   void OnCallerGone(RequestTicket ticket);
 
   void OnReport(const TargetIdentity& target,
                 const LoadReport& report,
                 MonotonicTime now);
-  /// @brief Another host sent that object to a target.
+  /// @brief Another host sent the object to a target.
   void OnPlacedByOtherHost(TargetNumber target, ObjectKey object);
-  /// @brief Another host heard how many requests a target had.
+  /// @brief Applies a target's number of requests that another host observed.
   void OnReportedLoad(TargetNumber target,
                       std::uint32_t requests,
                       MonotonicTime now);
@@ -176,7 +179,7 @@
     distances_.OnConnected(region, round_trip);
   }
 
-  /// @brief Applies the rate limit that a target declares in its answer.
+  /// @brief Applies the rate limit that a target declares in its response.
   /// @param limit requests per second for all hosts together; nullopt: none.
   void OnRateLimit(RequestTicket ticket,
                    AttemptNumber attempt,
@@ -191,8 +194,8 @@
   [[nodiscard]] std::uint64_t ConfigurationVersion() const {
     return routes_.Version();
   }
-  [[nodiscard]] double AttemptsLeft(const ServiceName& service,
-                                    MonotonicTime now);
+  [[nodiscard]] double RemainingRetries(const ServiceName& service,
+                                        MonotonicTime now);
 
  private:
   struct Attempt {
@@ -201,7 +204,7 @@
     MonotonicTime sent_at;
     Duration round_trip{0};
     Duration expected_wait{0};
-    double load_ahead = 0;
+    double load_at_send = 0;
     bool is_warm = false;
     bool is_open = true;
   };
@@ -212,46 +215,47 @@
     RequestFingerprint fingerprint;
     MonotonicTime deadline;
     std::vector<Attempt> attempts;
-    std::uint32_t arrivals = 0;  ///< Sends that reached a target.
+    std::uint32_t delivered_attempts = 0;  ///< Sends that reached a target.
     bool may_have_run = false;
-    /// The last answer that reports a failure of its target.
+    /// The latest response that reports a failure of its target.
     std::optional<AttemptNumber> failed_answer;
   };
 
-  [[nodiscard]] RetryBudgetShare& AllowanceOf(const ServiceName& service);
+  [[nodiscard]] RetryBudgetShare& RetryBudgetOf(const ServiceName& service);
   [[nodiscard]] ServiceTimes& TimesOf(const ServiceName& service,
                                       Duration latency_objective);
-  [[nodiscard]] std::uint32_t ColdAllowance(const ServiceName& service) const;
-  /// @param regions those allowed; empty: all.
+  [[nodiscard]] std::uint32_t ColdSendLimit(const ServiceName& service) const;
+  /// @param regions that are allowed; empty: all.
   [[nodiscard]] std::optional<Placement> Place(
       const Request& request,
       std::span<const RegionName> regions,
       MonotonicTime now);
-  /// @brief Places a request's first send within the plan of regions.
-  [[nodiscard]] std::optional<Placement> PlaceByPlan(const Request& request,
-                                                     MonotonicTime now);
-  [[nodiscard]] Duration LongestWait(const Request& request) const;
+  /// @brief Places a request's first send according to the region plan.
+  [[nodiscard]] std::optional<Placement> PlaceByRegionPlan(
+      const Request& request,
+      MonotonicTime now);
+  [[nodiscard]] Duration MaxQueueWait(const Request& request) const;
   [[nodiscard]] RegionSlots SlotsOf(const ServiceName& service);
   [[nodiscard]] Step Send(Request& request,
                           const Placement& placement,
                           MonotonicTime now);
   [[nodiscard]] Step SendFirst(Request& request, MonotonicTime now);
-  [[nodiscard]] Step SendAgain(Request& request, MonotonicTime now);
-  [[nodiscard]] Step Conclude(RequestTicket ticket,
-                              Request& request,
-                              const RequestFailure& ending);
-  void Learn(const Request& request,
-             const Attempt& attempt,
-             AttemptEnd end,
-             MonotonicTime now);
-  [[nodiscard]] Duration ReturnTime(Duration wait);
-  std::vector<AttemptNumber> Abandon(Request& request);
-  void TakeReport(TargetState& target,
-                  const LoadReport& report,
-                  MonotonicTime now);
+  [[nodiscard]] Step Retry(Request& request, MonotonicTime now);
+  [[nodiscard]] Step Finish(RequestTicket ticket,
+                            Request& request,
+                            const RequestFailure& failure);
+  void RecordOutcome(const Request& request,
+                     const Attempt& attempt,
+                     AttemptEnd end,
+                     MonotonicTime now);
+  [[nodiscard]] Duration RetryAfter(Duration wait);
+  std::vector<AttemptNumber> AbandonOpenAttempts(Request& request);
+  void ApplyLoadReport(TargetState& target,
+                       const LoadReport& report,
+                       MonotonicTime now);
 
   Options options_;
-  SoonestAnswer soonest_answer_;
+  LowestCost lowest_cost_;
   routing::RouteTable& routes_;
   TargetDirectory& targets_;
   ports::RandomSource& random_;
@@ -259,10 +263,10 @@
   CrashTracker crashes_;
   RateLimits limits_;
   std::uint32_t host_count_ = 1;
-  bool is_news_doubtful_ = false;
+  bool is_configuration_stale_ = false;
   RequestTicket last_ticket_ = 0;
   std::unordered_map<RequestTicket, Request> requests_;
-  std::map<ServiceName, RetryBudgetShare> allowances_;
+  std::map<ServiceName, RetryBudgetShare> retry_budgets_;
   std::map<ServiceName, ServiceTimes> times_;
   std::map<ServiceName, RegionPlan> plans_;
   std::map<ServiceName, RegionLoad> loads_;
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/retry_budget_share.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/retry_budget_share.h
@@ -8,35 +8,36 @@
 
 namespace medlarcroft::request_path {
 
-/// @brief The bound that all hosts together keep on further sends of one
-/// service's requests.
+/// @brief Limit on the retries of one service's requests, for all hosts
+/// together.
 struct RetryLimit {
-  double ratio = 0.2;  ///< Further sends for each request.
-  double fixed = 50;   ///< On top, in each window, of all hosts together.
+  double ratio = 0.2;  ///< Retries per request.
+  double fixed = 50;  ///< Additional retries per window, of all hosts together.
   Duration window = std::chrono::seconds(10);
 };
 
-/// @brief One host's part of that bound.
+/// @brief This host's share of the retry limit of one service.
 ///
-/// Load: many targets fail at once and every request asks for another try.
-/// Harm prevented: the tries become a load of their own that keeps the targets
-/// down. Each host spends from the requests that it took itself and from an
-/// equal part of the fixed amount, so the sum over all hosts holds whatever
-/// they know of each other; a host that is cut off has its part all the same.
+/// When many targets fail at the same time and every request is retried, the
+/// retries can add so much load that the targets cannot recover. Each host may
+/// retry a fraction of the requests it received itself, plus an equal share of
+/// the fixed amount. The sum over all hosts therefore stays within the limit
+/// without any coordination, and a disconnected host still has its share.
 class RetryBudgetShare {
  public:
   explicit RetryBudgetShare(const RetryLimit& bound);
 
   void OnRequest(MonotonicTime now) { requests_.Add(now); }
-  /// @param hosts that share the fixed part: all that may be sending.
+  /// @param hosts number of hosts that share the fixed amount: all that may be
+  /// sending.
   /// @return true when another send is granted; it is then counted.
   [[nodiscard]] bool TryTake(std::uint32_t hosts, MonotonicTime now);
-  [[nodiscard]] double Left(std::uint32_t hosts, MonotonicTime now) const;
+  [[nodiscard]] double Remaining(std::uint32_t hosts, MonotonicTime now) const;
 
  private:
   RetryLimit bound_;
   EventWindow requests_;
-  EventWindow further_sends_;
+  EventWindow retries_;
 };
 
 }  // namespace medlarcroft::request_path
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/service_times.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/service_times.h
@@ -8,7 +8,8 @@
 
 namespace medlarcroft::request_path {
 
-/// @brief How far each region is, from the time that connections take.
+/// @brief Round trip times to the regions, measured when connections are
+/// established.
 class RegionDistances {
  public:
   explicit RegionDistances(RegionName own_region)
@@ -22,9 +23,8 @@
   std::map<RegionName, Duration> measured_;
 };
 
-/// @brief How long a service's targets work on a request, with and without
-/// having the object, as measured from answers; before any, guessed from the
-/// latency objective.
+/// @brief Processing times of a service's targets for warm and cold objects,
+/// measured from responses. Initially estimated from the latency objective.
 class ServiceTimes {
  public:
   explicit ServiceTimes(Duration latency_objective);
@@ -32,10 +32,10 @@
   void OnWork(bool was_warm, Duration work);
 
   [[nodiscard]] Duration Work(bool is_warm) const;
-  /// @return whether work of that length was rather done with the object than
-  /// without: it may have come there through another host.
+  /// @return whether a processing time is more typical of a warm than of a cold
+  /// object. The object may have become warm through another host's requests.
   [[nodiscard]] bool LooksWarm(Duration work) const;
-  /// @return of the requests that come, by the mix seen lately.
+  /// @return the mean over recent requests, warm and cold.
   [[nodiscard]] Duration MeanWork() const;
 
  private:
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/target_directory.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/target_directory.h
@@ -16,30 +16,30 @@
 
 using DomainRegions = std::map<FailureDomainName, RegionName>;
 
-/// @brief The targets of one service in one region that may get new work.
+/// @brief The targets of one service in one region that may get new requests.
 struct RegionTargets {
   RegionName region;
   std::vector<TargetState*> targets;
   double slots = 0;
 };
 
-/// @return the targets by region.
+/// @return the targets, grouped by region.
 [[nodiscard]] std::vector<RegionTargets> GroupByRegion(
     std::span<TargetState* const> targets);
 
-/// @brief What changed in the book, for the log.
+/// @brief Kinds of changes in the directory, for the log.
 enum class TargetChange {
   kAdded,
   kUpdated,
   kLeaving,
-  kDoubted,  ///< Its entry lapsed while the registry was away.
+  kRetained,  ///< Its entry expired while the registry was unavailable.
   kRemoved,
-  kReturned,    ///< A doubted or unreadable target is registered again.
-  kRestarted,   ///< Another process has its id: all belief in it is dropped.
-  kUnreadable,  ///< Its entry turned bad: nothing is sent until a good one.
+  kReregistered,  ///< A retained or unreadable target is registered again.
+  kRestarted,     ///< A new process has its id: all estimates are discarded.
+  kUnreadable,    ///< Its entry is invalid: nothing is sent until a valid one.
 };
 
-/// @brief Hears of changes.
+/// @brief Receives the changes of a `TargetDirectory`.
 class TargetDirectoryObserver {
  public:
   virtual ~TargetDirectoryObserver() = default;
@@ -47,50 +47,53 @@
                               const TargetRecord& target) = 0;
 };
 
-/// @brief All registered targets, and which of them may get new work.
+/// @brief All registered targets, and which of them may get new requests.
 ///
-/// A process that said it leaves never comes back: a later entry of it that
-/// says otherwise is older news, or a mistake. A later process under the same
-/// id is another one: it starts with no belief, and cold. News of an earlier
-/// process than the one that is known changes nothing, so hosts that heard in
-/// different orders agree once each has heard of the latest.
+/// A process that announced its shutdown never returns to service: a later
+/// entry of the same process that says otherwise is outdated or wrong. A newer
+/// process with the same id is a different one: it starts cold and without any
+/// estimates. Entries of older processes than the known one are ignored, so
+/// hosts that receive entries in different orders agree once each has received
+/// the newest.
 class TargetDirectory {
  public:
   TargetDirectory(DomainRegions regions, TargetDirectoryObserver& observer);
 
-  /// @brief The registry's whole content. Targets that are missing are gone,
-  /// or doubted until `doubted_until` when their entries may have lapsed while
-  /// nobody could renew them.
-  /// @param unreadable ids with an entry that can't be read.
+  /// @brief Replaces all entries by the complete content of the registry.
+  /// Missing targets are removed, or retained until `retained_until` when their
+  /// entries may have expired because they could not be renewed.
+  /// @param unreadable ids whose entries cannot be parsed.
   void ReplaceAll(std::span<const TargetRecord> targets,
                   std::span<const TargetName> unreadable,
-                  std::optional<MonotonicTime> doubted_until,
+                  std::optional<MonotonicTime> retained_until,
                   MonotonicTime now);
   void Put(const TargetRecord& target, MonotonicTime now);
   void Remove(const TargetName& target,
-              std::optional<MonotonicTime> doubted_until);
-  /// @brief The target's entry can't be read. Failure: another writer spoilt
-  /// it, or it says in new words that the target leaves. Symptom: requests go
-  /// to a target that is gone, or another service's. Nothing is sent there
-  /// until its next good entry, which a live target writes within a heartbeat
-  /// or so; what is believed of it is kept till then.
+              std::optional<MonotonicTime> retained_until);
+  /// @brief Stops requests to a target whose entry cannot be parsed. Another
+  /// writer may have corrupted the entry, or it announces the shutdown in a
+  /// format that this version does not know. Requests would then go to a target
+  /// that no longer runs, or to another service's target. Suspending until the
+  /// next valid entry suffices, because a live target writes one within about a
+  /// heartbeat; estimates about the target are kept until then.
   void Suspend(const TargetName& target);
-  /// @brief Removes targets whose doubt has ended.
+  /// @brief Removes retained targets whose time is over.
   void Advance(MonotonicTime now);
 
-  /// @brief The domains that get no new work. One that is taken off the list
-  /// has cold targets for `cold_time` of their service.
+  /// @brief Sets the domains that get no new requests. The targets of a domain
+  /// that is removed from the set are cold for the `cold_time` of their
+  /// service.
   void SetEvacuated(std::set<FailureDomainName> domains, MonotonicTime now);
   void SetColdTime(const ServiceName& service, Duration cold_time);
 
-  /// @return the targets of a service that may get new work, by region; it
-  /// holds until the book changes.
+  /// @return the targets of a service that may get new requests, by region;
+  /// valid until the directory changes.
   [[nodiscard]] std::span<const RegionTargets> Usable(
       const ServiceName& service);
-  /// @brief That process gets nothing any more: another target has its address.
+  /// @brief Stops all requests to the process: another target has its address.
   void MarkReplaced(const TargetIdentity& target);
-  /// @return that process of a target, also one that gets no new work; null
-  /// when it is not the latest that is known.
+  /// @return the state of the process, even if it gets no new requests; null
+  /// unless it is the target's latest known process.
   [[nodiscard]] TargetState* Find(const TargetIdentity& target);
   [[nodiscard]] TargetState* Find(TargetNumber target);
   [[nodiscard]] bool IsEvacuated(const FailureDomainName& domain) const {
@@ -101,13 +104,14 @@
  private:
   struct Entry {
     std::unique_ptr<TargetState> state;
-    std::optional<MonotonicTime> doubted_until;
+    std::optional<MonotonicTime> retained_until;
     bool is_unreadable = false;
   };
-  /// What stays known of a target that is gone.
+  /// @brief Kept about a removed target to ignore outdated entries.
   struct Departure {
     TargetIncarnation incarnation = kUnknownIncarnation;
-    bool has_said_so = false;  ///< And not only vanished.
+    /// Whether the target announced it, rather than only its entry vanishing.
+    bool is_announced = false;
   };
 
   [[nodiscard]] RegionName RegionOf(const FailureDomainName& domain) const;
@@ -116,7 +120,7 @@
   void Add(const TargetRecord& target, MonotonicTime now);
   void Restart(Entry& entry, const TargetRecord& target, MonotonicTime now);
   void Update(Entry& entry, TargetRecord target, MonotonicTime now);
-  [[nodiscard]] std::unique_ptr<TargetState> MakeStarted(
+  [[nodiscard]] std::unique_ptr<TargetState> MakeStartedState(
       const TargetRecord& target,
       MonotonicTime now) const;
   void Erase(const TargetName& target);
@@ -128,12 +132,13 @@
   bool is_first_list_ = true;
   std::map<TargetName, Entry> targets_;
   std::unordered_map<TargetNumber, TargetState*> numbers_;
-  /// Load: each request asks, of hundreds of targets, and they change a few
-  /// times a second. Empty: to be gathered anew.
+  /// Cache of `Usable`, since each request queries it for hundreds of targets,
+  /// which change only a few times per second. A missing service is computed on
+  /// demand.
   std::unordered_map<ServiceName, std::vector<RegionTargets>> usable_;
   std::unordered_map<ServiceName, Duration> cold_times_;
   std::set<FailureDomainName> evacuated_;
-  // So that no older news brings them back.
+  // Prevents outdated entries from restoring removed targets.
   std::map<TargetName, Departure> departed_;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/target_identity.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/target_identity.h
@@ -10,16 +10,16 @@
 
 namespace medlarcroft::request_path {
 
-/// @brief Tells the processes of one target apart: a later start has a higher
+/// @brief Distinguishes the processes of one target: a later start has a higher
 /// number.
 using TargetIncarnation = std::uint64_t;
 
-/// The target does not tell when it started.
+/// The target does not report when it started.
 inline constexpr TargetIncarnation kUnknownIncarnation = 0;
 
-/// @brief One process of a target. A target that starts again under its name
-/// holds nothing of before, so whatever is believed, sent or told of it names
-/// the process and not the target alone.
+/// @brief Identifies one process of a target. A target that restarts under the
+/// same name has lost its state, so all estimates, sends and reports refer to
+/// the process and not only to the name.
 struct TargetIdentity {
   TargetName name;
   TargetIncarnation incarnation = kUnknownIncarnation;
@@ -28,7 +28,8 @@
                           const TargetIdentity&) = default;
 };
 
-/// @brief Names a target's process in four bytes, the same on every host.
+/// @brief Identifies a target's process by a 32-bit hash, the same on every
+/// host.
 enum class TargetNumber : std::uint32_t {};
 
 [[nodiscard]] inline TargetNumber NumberOf(const TargetIdentity& target) {
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/target_record.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/target_record.h
@@ -10,16 +10,16 @@
 
 namespace medlarcroft::request_path {
 
-/// @brief What a target has registered of itself.
+/// @brief A target's registration, as published by the target.
 struct TargetRecord {
-  TargetName id;  ///< A restart may keep it.
+  TargetName id;  ///< May stay the same after a restart.
   TargetIncarnation incarnation = kUnknownIncarnation;
   ServiceName service;
-  std::string address;  ///< IP:port; may belong to another target later.
+  std::string address;  ///< IP:port; may later be reused by another target.
   FailureDomainName domain;
   std::uint32_t slots = 1;
   bool is_leaving = false;
-  Duration cold_remaining{0};  ///< As of the time of writing.
+  Duration cold_remaining{0};  ///< At the time the record was written.
 
   [[nodiscard]] TargetIdentity Identity() const { return {id, incarnation}; }
 
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/target_state.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/target_state.h
@@ -12,28 +12,29 @@
 
 namespace medlarcroft::request_path {
 
-/// @brief A target's own count of its work, as an answer told it.
+/// @brief A target's load as counted by itself and reported in a response.
 struct LoadReport {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint32_t slots = 0;
 };
 
-/// @brief How one attempt ended, as the transport saw it.
+/// @brief How one attempt ended, as observed by the transport.
 enum class AttemptEnd {
-  kAnswered,      ///< A whole answer, not a failure of the target.
-  kTargetFailed,  ///< A whole answer that reports a failure; counts as run.
-  kNotRun,        ///< The target says that it did not run it.
-  kWrongTarget,   ///< Another target has the address; it did not run it.
-  kNeverSent,     ///< No connection came about.
-  kLost,          ///< The connection or its answer broke; it may have run.
-  kTimedOut,      ///< No answer in time; it may have run.
+  kAnswered,      ///< Complete response without a failure of the target.
+  kTargetFailed,  ///< Complete response that reports a failure; counts as run.
+  kNotRun,        ///< The target states that it did not run the request.
+  kWrongTarget,   ///< Another target has the address; it did not run the
+                  ///< request.
+  kNeverSent,     ///< No connection could be established.
+  kLost,          ///< The connection or the response broke; it may have run.
+  kTimedOut,      ///< No response in time; it may have run.
 };
 
-/// @brief What this host knows of one target.
+/// @brief This host's view of one target.
 ///
-/// The load on a target is the sum over all hosts, of which this one sees its
-/// own part at once and the rest only through the reports in answers.
+/// The load on a target is the sum over all hosts. This host knows its own part
+/// immediately and the rest only through load reports in responses.
 class TargetState {
  public:
   TargetState(TargetRecord record, RegionName region);
@@ -42,48 +43,52 @@
   [[nodiscard]] const RegionName& Region() const { return region_; }
   [[nodiscard]] TargetNumber Number() const { return number_; }
   void Update(TargetRecord record) { record_ = std::move(record); }
-  /// @return its place in the order of an object's targets: the greatest comes
-  /// first, on every host.
+  /// @return the target's rank value for an object: the target with the
+  /// greatest value comes first, on every host.
   [[nodiscard]] std::uint64_t OrderOf(ObjectKey object) const;
 
   void OnSent(ObjectKey object, MonotonicTime now);
-  /// Another host sent it that object.
+  /// Another host sent the object to the target.
   void OnSentByOtherHost(ObjectKey object);
-  /// @param relative_time the time at the target divided by what was expected;
-  /// absent when it says nothing of the target's speed.
+  /// @param relative_time the processing time at the target divided by the
+  /// expected time; nullopt when it is no evidence of the target's speed.
   void OnEnded(AttemptEnd end,
                std::optional<double> relative_time,
                MonotonicTime now);
-  /// The owner gave the attempt up: it says nothing of the target.
+  /// This host cancelled the attempt, which is no evidence about the target.
   void OnAbandoned();
   void OnReport(const LoadReport& report, MonotonicTime now);
 
-  /// @param usual what targets beside it have of other hosts lately, if known.
-  /// @param usual_part how much that counts, over what this one itself had in
-  /// the mean, as its last report grows old.
-  /// @return requests running and waiting there, from all hosts, as estimated.
-  [[nodiscard]] double EstimatedLoad(std::optional<double> usual,
-                                     double usual_part,
+  /// @param region_mean mean load from other hosts on the targets of the
+  /// region, if known.
+  /// @param region_weight weight of `region_mean` relative to the target's own
+  /// mean, which together replace its last report as it ages.
+  /// @return estimated requests that run or wait at the target, from all hosts.
+  [[nodiscard]] double EstimatedLoad(std::optional<double> region_mean,
+                                     double region_weight,
                                      MonotonicTime now) const;
-  /// @return what other hosts had there at the last report.
-  [[nodiscard]] double OthersLoad() const { return others_load_; }
+  /// @return the load from other hosts at the time of the last report.
+  [[nodiscard]] double OtherHostsLoad() const { return other_hosts_load_; }
   [[nodiscard]] std::uint32_t OwnOutstanding() const { return outstanding_; }
   [[nodiscard]] std::optional<Duration> ReportAge(MonotonicTime now) const;
 
-  /// @return whether other hosts should hear that it gets that object: it did
-  /// not have it, or they were not told for a while. It counts as told then.
-  [[nodiscard]] bool IsNews(ObjectKey object, MonotonicTime now);
+  /// @return whether to announce to other hosts that the target receives the
+  /// object: it did not have it, or the last announcement was some time ago.
+  /// The object then counts as announced.
+  [[nodiscard]] bool ShouldAnnounce(ObjectKey object, MonotonicTime now);
   [[nodiscard]] bool HasBeenUsed() const { return has_been_used_; }
-  /// @return whether this host, or one that told of it, sent it that object
-  /// lately.
+  /// @return whether this host, or another host that announced it, sent the
+  /// object to the target recently.
   [[nodiscard]] bool HasHandled(ObjectKey object) const;
 
-  /// @return its time for a request over what is usual in its service.
+  /// @return the target's processing time relative to what is usual for its
+  /// service.
   [[nodiscard]] double RelativeTime() const { return relative_time_; }
 
-  /// @return whether it gets nothing now after failures in a row. Afterwards
-  /// one request at a time tries it.
-  [[nodiscard]] bool IsResting(MonotonicTime now) const;
+  /// @return whether the target gets no requests because of consecutive
+  /// failures. After the backoff it gets one request at a time until one
+  /// succeeds.
+  [[nodiscard]] bool IsBackedOff(MonotonicTime now) const;
 
   void MarkCold(MonotonicTime until) {
     cold_until_ = std::max(cold_until_, until);
@@ -91,35 +96,36 @@
   [[nodiscard]] bool IsCold(MonotonicTime now) const {
     return now < cold_until_;
   }
-  /// @return requests that this host sent it in the last second and a bit.
+  /// @return requests that this host sent to the target within slightly more
+  /// than the last second.
   [[nodiscard]] std::uint32_t RecentSends(MonotonicTime now) const;
 
-  /// From now on it gets nothing: it is not the target that was meant.
+  /// Stops all requests to the target: its address belongs to another target.
   void MarkReplaced() { is_replaced_ = true; }
   [[nodiscard]] bool IsReplaced() const { return is_replaced_; }
 
  private:
-  void Rest(MonotonicTime now);
-  void NoteObject(ObjectKey object);
+  void BackOff(MonotonicTime now);
+  void RecordObject(ObjectKey object);
 
   TargetRecord record_;
   std::uint64_t name_hash_ = 0;
   TargetNumber number_{};
   RegionName region_;
   std::uint32_t outstanding_ = 0;
-  double others_load_ = 0;  ///< At the last report.
-  double others_mean_ = 0;  ///< Over the reports.
+  double other_hosts_load_ = 0;       ///< At the last report.
+  double other_hosts_mean_load_ = 0;  ///< Over the reports.
   std::optional<MonotonicTime> reported_at_;
   struct HandledObject {
     ObjectKey key;
-    MonotonicTime told_at{};  ///< To other hosts.
+    MonotonicTime announced_at{};  ///< To other hosts.
   };
-  std::vector<HandledObject> objects_;  ///< Latest first.
+  std::vector<HandledObject> objects_;  ///< Most recent first.
   double relative_time_ = 1.0;
-  std::uint32_t failures_in_a_row_ = 0;
-  std::uint32_t bad_answers_in_a_row_ = 0;
-  Duration rest_{0};
-  MonotonicTime resting_until_{};
+  std::uint32_t consecutive_failures_ = 0;
+  std::uint32_t consecutive_error_responses_ = 0;
+  Duration backoff_{0};
+  MonotonicTime backed_off_until_{};
   MonotonicTime cold_until_{};
   std::deque<MonotonicTime> sends_;
   bool has_been_used_ = false;
--- a/lib/libmedlarcroft/include/medlarcroft/routing/route_table.h
+++ b/lib/libmedlarcroft/include/medlarcroft/routing/route_table.h
@@ -12,29 +12,30 @@
 
 namespace medlarcroft::routing {
 
-/// @brief The configuration in force. Versions only rise within one process, so
-/// that no late or repeated news takes back what callers have seen.
+/// @brief The routing configuration in force. Its version never decreases
+/// within a process, so that delayed or repeated updates cannot revert what
+/// callers have already observed.
 class RouteTable {
  public:
-  /// @return false when `configuration` is not newer than what is in force.
+  /// @return false when `configuration` is not newer than the one in force.
   bool Apply(RoutingConfiguration configuration);
 
-  /// @param host as the caller named it; case and port do not count.
+  /// @param host as sent by the caller; case and port are ignored.
   /// @param target path and query as sent.
-  /// @return the route with the longest prefix of the path, or null. It stays
-  /// good while the caller holds it, also when a newer version is applied.
+  /// @return the route with the longest matching path prefix, or null. It stays
+  /// valid while the caller holds it, even after a newer version is applied.
   [[nodiscard]] std::shared_ptr<const Route> Find(
       std::string_view host,
       std::string_view target) const;
 
-  /// @return the service that takes the route's next request. Over any run of
-  /// requests each part gets its weight's share, one request off at most.
-  [[nodiscard]] ServiceName ChoosePart(const Route& route);
+  /// @return the service for the route's next request. Within any sequence of
+  /// requests each service gets its share by weight, within one request.
+  [[nodiscard]] ServiceName ChooseService(const Route& route);
 
   [[nodiscard]] bool IsConfigured() const { return version_ > 0; }
   [[nodiscard]] std::uint64_t Version() const { return version_; }
   [[nodiscard]] const CallerLimits& Limits() const { return limits_; }
-  /// @return the rules of a service, or null.
+  /// @return the settings of a service, or null.
   [[nodiscard]] const ServiceRules* FindService(const ServiceName& name) const;
 
  private:
@@ -44,8 +45,9 @@
   // By host, longest prefix first.
   std::unordered_map<std::string, std::vector<std::shared_ptr<const Route>>>
       routes_;
-  // By route, what each part is owed, in parts of one request.
-  std::unordered_map<std::string, std::vector<double>> owed_;
+  // By route: requests that are due to each service by weight, minus those that
+  // it got.
+  std::unordered_map<std::string, std::vector<double>> credits_;
 };
 
 }  // namespace medlarcroft::routing
--- a/lib/libmedlarcroft/include/medlarcroft/routing/routing_configuration.h
+++ b/lib/libmedlarcroft/include/medlarcroft/routing/routing_configuration.h
@@ -11,46 +11,48 @@
 
 namespace medlarcroft::routing {
 
-/// @brief What may be repeated.
+/// @brief Whether a request may be retried after it may have run.
 enum class RequestKind { kIdempotent, kNonIdempotent };
 
-/// @brief One of the services that share a route's requests.
+/// @brief One of the services among which a route's requests are divided.
 struct WeightedService {
   ServiceName service;
-  double weight = 1.0;  ///< In proportion to the other parts' weights.
+  double weight = 1.0;  ///< Relative to the weights of the other services.
 };
 
-/// @brief Which requests go where, and within what bounds.
+/// @brief Selects requests by host and path, and sets their services and
+/// limits.
 struct Route {
   std::string name;
   std::string host;         ///< Lower case, without a port.
-  std::string path_prefix;  ///< Begins and ends with a slash.
+  std::string path_prefix;  ///< Starts and ends with a slash.
   RequestKind kind = RequestKind::kNonIdempotent;
-  /// Longest time that a caller is kept waiting.
+  /// Longest time that a caller waits for the response.
   Duration timeout = std::chrono::seconds(1);
-  /// An answer within it is worth most.
+  /// A response within this time has the full value.
   Duration latency_objective = std::chrono::seconds(1);
-  std::uint32_t max_attempts = 1;  ///< Targets that one request may be sent to.
+  std::uint32_t max_attempts = 1;  ///< Targets that a request may be sent to.
   int priority = 0;                ///< 0 is the highest.
-  std::vector<WeightedService> weighted_services;  ///< At least one.
-  /// Targets work faster on an object that they handled lately.
+  std::vector<WeightedService> weighted_services;  ///< Not empty.
+  /// Whether targets process an object faster that they handled recently.
   bool is_sticky = false;
-  /// Regions whose targets may run it; empty: all.
+  /// Regions whose targets may run the requests; empty: all.
   std::vector<RegionName> allowed_regions;
 };
 
-/// @brief What a service's targets bear.
+/// @brief Limits that the targets of a service can handle.
 struct ServiceRules {
   ServiceName name;
   std::string health_path = "/";
-  std::uint32_t max_connections = 100;  ///< Of one target, from all hosts.
-  /// How long a target is cold after its start.
+  std::uint32_t max_connections = 100;  ///< To one target, from all hosts.
+  /// How long a target stays cold after its start.
   Duration cold_time{0};
-  /// What one cold target bears, from all hosts together.
+  /// Requests per second that one cold target can handle, from all hosts
+  /// together.
   double cold_requests_per_second = 0;
 };
 
-/// @brief What callers may send, and how long they may take.
+/// @brief Limits on the size and duration of caller requests.
 struct CallerLimits {
   std::size_t max_header_bytes = std::size_t{16} * 1024;
   std::size_t max_body_bytes = std::size_t{1024} * 1024;
@@ -58,7 +60,7 @@
   Duration idle_timeout = std::chrono::seconds(15);
 };
 
-/// @brief One version of all routes, whole.
+/// @brief One complete version of the routing configuration.
 struct RoutingConfiguration {
   std::uint64_t version = 0;
   std::vector<Route> routes;
--- a/lib/libmedlarcroft/source/request_path/crash_tracker.cc
+++ b/lib/libmedlarcroft/source/request_path/crash_tracker.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr std::size_t kMostAnswers = 4096;
-// Rate limit per request for responses to hosts that still send a blocked
-// request or report a crash for a request that was answered here.
+constexpr std::size_t kMaxAnswers = 4096;
+// Rate limit per request for reports to hosts that still send a blocked request
+// or report a crash for a request that got a response here.
 constexpr Duration kMinPublishInterval = std::chrono::seconds(1);
 
 Duration InWholeSeconds(Duration duration) {
@@ -47,7 +47,7 @@
     return;
   }
   answers_.push_back({.request = request, .at = now});
-  while (answers_.size() > kMostAnswers ||
+  while (answers_.size() > kMaxAnswers ||
          now - answers_.front().at >= options_.answer_lifetime) {
     answers_.pop_front();
   }
@@ -90,7 +90,7 @@
   });
 }
 
-std::vector<CrashReport> CrashTracker::ReportsToRepeat(std::size_t most,
+std::vector<CrashReport> CrashTracker::ReportsToRepeat(std::size_t max_reports,
                                                        MonotonicTime now) {
   std::vector<CrashReport> reports;
   for (const auto& [request, entry] : entries_) {
@@ -112,14 +112,14 @@
       }
     }
   }
-  if (reports.size() > most) {
+  if (reports.size() > max_reports) {
     next_repeat_index_ %= reports.size();
     std::rotate(
         reports.begin(),
         reports.begin() + static_cast<std::ptrdiff_t>(next_repeat_index_),
         reports.end());
-    reports.resize(most);
-    next_repeat_index_ += most;
+    reports.resize(max_reports);
+    next_repeat_index_ += max_reports;
   }
   return reports;
 }
@@ -140,8 +140,8 @@
   if (known != entries_.end()) {
     return known->second;
   }
-  if (entries_.size() >= options_.most_requests) {
-    DropOldest();
+  if (entries_.size() >= options_.max_requests) {
+    EvictOldest();
   }
   return entries_[request];
 }
@@ -220,7 +220,7 @@
   }
 }
 
-void CrashTracker::DropOldest() {
+void CrashTracker::EvictOldest() {
   // Requests that are not blocked sort first.
   const auto oldest =
       std::ranges::min_element(entries_, {}, [](const auto& kept) {
--- a/lib/libmedlarcroft/source/request_path/placement_policy.cc
+++ b/lib/libmedlarcroft/source/request_path/placement_policy.cc
@@ -15,57 +15,56 @@
   std::uint32_t rank = 0;
 };
 
-/// @brief The candidates of one region, by the object's order.
+/// @brief The candidates of one region, in the object's order.
 struct RegionCandidates {
   Duration round_trip{0};
   std::vector<Candidate> candidates;
 };
 
-bool IsAllowed(const RegionName& region, const PlacementQuestion& question) {
-  const auto& regions = question.allowed_regions;
+bool IsAllowed(const RegionName& region, const PlacementQuery& query) {
+  const auto& regions = query.allowed_regions;
   return regions.empty() ||
          std::find(regions.begin(), regions.end(), region) != regions.end();
 }
 
-bool IsExcluded(const TargetState& target, const PlacementQuestion& question) {
-  const auto& excluded = question.excluded;
+bool IsExcluded(const TargetState& target, const PlacementQuery& query) {
+  const auto& excluded = query.excluded;
   return std::find(excluded.begin(), excluded.end(),
                    target.Record().Identity()) != excluded.end();
 }
 
-bool HasColdRoom(const TargetState& target,
-                 const PlacementQuestion& question,
-                 MonotonicTime now) {
-  return !target.IsCold(now) ||
-         target.RecentSends(now) < question.cold_allowance;
+bool HasColdCapacity(const TargetState& target,
+                     const PlacementQuery& query,
+                     MonotonicTime now) {
+  return !target.IsCold(now) || target.RecentSends(now) < query.cold_send_limit;
 }
 
 bool IsWithinRateLimit(const TargetState& target,
-                       const PlacementQuestion& question,
+                       const PlacementQuery& query,
                        MonotonicTime now) {
-  return question.limits == nullptr ||
-         question.limits->AllowsSend(target.Number(), now);
+  return query.limits == nullptr ||
+         query.limits->AllowsSend(target.Number(), now);
 }
 
 RegionCandidates CollectRegion(const RegionTargets& region,
-                               const PlacementQuestion& question,
+                               const PlacementQuery& query,
                                MonotonicTime now) {
   RegionCandidates collected{.round_trip =
-                                 question.distances.RoundTrip(region.region)};
+                                 query.distances.RoundTrip(region.region)};
   std::vector<Candidate>& candidates = collected.candidates;
   candidates.reserve(region.targets.size());
-  const std::optional<double> usual = question.loads.MeanOf(region.region);
+  const std::optional<double> region_mean = query.loads.MeanOf(region.region);
   for (TargetState* const target : region.targets) {
-    if (target->IsResting(now) || !HasColdRoom(*target, question, now) ||
-        !IsWithinRateLimit(*target, question, now) ||
-        (!question.excluded.empty() && IsExcluded(*target, question))) {
+    if (target->IsBackedOff(now) || !HasColdCapacity(*target, query, now) ||
+        !IsWithinRateLimit(*target, query, now) ||
+        (!query.excluded.empty() && IsExcluded(*target, query))) {
       continue;
     }
     candidates.push_back(
         {.target = target,
-         .order = target->OrderOf(question.object),
-         .load = target->EstimatedLoad(
-             usual, question.options.region_load_weight, now)});
+         .order = target->OrderOf(query.object),
+         .load = target->EstimatedLoad(region_mean,
+                                       query.options.region_load_weight, now)});
   }
   std::ranges::sort(candidates, std::greater<>(), &Candidate::order);
   for (std::uint32_t rank = 0; rank < candidates.size(); ++rank) {
@@ -75,21 +74,21 @@
 }
 
 std::vector<RegionCandidates> Collect(std::span<const RegionTargets> regions,
-                                      const PlacementQuestion& question,
+                                      const PlacementQuery& query,
                                       MonotonicTime now) {
   std::vector<RegionCandidates> collected;
   for (const RegionTargets& region : regions) {
-    if (IsAllowed(region.region, question)) {
-      collected.push_back(CollectRegion(region, question, now));
+    if (IsAllowed(region.region, query)) {
+      collected.push_back(CollectRegion(region, query, now));
     }
   }
   return collected;
 }
 
-double WarmChance(const Placement& placement,
-                  const PlacementQuestion& question) {
-  const PlacementOptions& options = question.options;
-  if (!question.is_sticky || question.object.IsEmpty()) {
+double WarmProbability(const Placement& placement,
+                       const PlacementQuery& query) {
+  const PlacementOptions& options = query.options;
+  if (!query.is_sticky || query.object.IsEmpty()) {
     return 0.0;
   }
   if (placement.is_warm) {
@@ -105,8 +104,8 @@
   }
 }
 
-/// @return the part of all candidates' slots that is taken, 0 to 1.
-double BusyPart(std::span<const RegionCandidates> regions) {
+/// @return the used fraction of all candidates' slots, from 0 to 1.
+double Utilization(std::span<const RegionCandidates> regions) {
   double load = 0;
   double slots = 0;
   for (const RegionCandidates& region : regions) {
@@ -118,69 +117,72 @@
   return slots > 0 ? std::min(load / slots, 1.0) : 0.0;
 }
 
-Placement Price(const Candidate& candidate,
-                Duration round_trip,
-                const PlacementQuestion& question,
-                double busy) {
+Placement EstimateCost(const Candidate& candidate,
+                       Duration round_trip,
+                       const PlacementQuery& query,
+                       double utilization) {
   TargetState& target = *candidate.target;
   Placement placement{.target = &target,
                       .estimated_load = candidate.load,
                       .rank = candidate.rank,
-                      .is_warm = target.HasHandled(question.object)};
+                      .is_warm = target.HasHandled(query.object)};
 
   const double slots = std::max(target.Record().slots, 1U);
-  const double ahead =
+  const double queue_length =
       std::max(0.0, placement.estimated_load + 1.0 -
-                        question.options.queueing_threshold * slots);
+                        query.options.queueing_threshold * slots);
   const double mean_work =
-      ToSeconds(question.times.MeanWork()) * target.RelativeTime();
-  const double wait = ahead / slots * mean_work;
+      ToSeconds(query.times.MeanWork()) * target.RelativeTime();
+  const double wait = queue_length / slots * mean_work;
 
-  double chance = WarmChance(placement, question);
+  double warm_probability = WarmProbability(placement, query);
   if (!target.HasBeenUsed()) {
-    chance = std::max(chance, question.options.warm_when_unused);
+    warm_probability =
+        std::max(warm_probability, query.options.warm_when_unused);
   }
-  const double work = (chance * ToSeconds(question.times.Work(true)) +
-                       (1.0 - chance) * ToSeconds(question.times.Work(false))) *
-                      target.RelativeTime();
+  const double work =
+      (warm_probability * ToSeconds(query.times.Work(true)) +
+       (1.0 - warm_probability) * ToSeconds(query.times.Work(false))) *
+      target.RelativeTime();
   const double warm_work =
-      ToSeconds(question.times.Work(true)) * target.RelativeTime();
-  placement.soonest = round_trip + FromSeconds(wait + warm_work);
+      ToSeconds(query.times.Work(true)) * target.RelativeTime();
+  placement.best_case = round_trip + FromSeconds(wait + warm_work);
   placement.expected_wait = FromSeconds(wait);
   const double time = ToSeconds(round_trip) + wait + work;
-  // Squared, so that half empty targets cost next to nothing.
+  // Squared, so that the slot time costs almost nothing while targets are half
+  // empty.
   const double slot_cost =
-      question.options.slot_cost_weight * busy * busy * work;
+      query.options.slot_cost_weight * utilization * utilization * work;
   placement.expected = FromSeconds(time);
-  placement.price = FromSeconds(time + slot_cost);
+  placement.cost = FromSeconds(time + slot_cost);
   return placement;
 }
 
 }  // namespace
 
-std::size_t SoonestAnswer::Choose(std::span<const Placement> candidates) const {
-  const auto soonest =
-      std::ranges::min_element(candidates, std::less<>(), &Placement::price);
-  return static_cast<std::size_t>(soonest - candidates.begin());
+std::size_t LowestCost::Choose(std::span<const Placement> candidates) const {
+  const auto cheapest =
+      std::ranges::min_element(candidates, std::less<>(), &Placement::cost);
+  return static_cast<std::size_t>(cheapest - candidates.begin());
 }
 
 std::optional<Placement> ChooseTarget(std::span<const RegionTargets> regions,
-                                      const PlacementQuestion& question,
+                                      const PlacementQuery& query,
                                       MonotonicTime now,
-                                      const CandidateSelector& rule) {
-  const std::vector<RegionCandidates> collected =
-      Collect(regions, question, now);
-  const double busy = BusyPart(collected);
-  std::vector<Placement> priced;
+                                      const CandidateSelector& selector) {
+  const std::vector<RegionCandidates> collected = Collect(regions, query, now);
+  const double utilization = Utilization(collected);
+  std::vector<Placement> placements;
   for (const RegionCandidates& region : collected) {
     for (const Candidate& candidate : region.candidates) {
-      priced.push_back(Price(candidate, region.round_trip, question, busy));
+      placements.push_back(
+          EstimateCost(candidate, region.round_trip, query, utilization));
     }
   }
-  if (priced.empty()) {
+  if (placements.empty()) {
     return std::nullopt;
   }
-  return priced[rule.Choose(priced)];
+  return placements[selector.Choose(placements)];
 }
 
 }  // namespace medlarcroft::request_path
--- a/lib/libmedlarcroft/source/request_path/rate_limits.cc
+++ b/lib/libmedlarcroft/source/request_path/rate_limits.cc
@@ -23,7 +23,7 @@
 // Upper bound of the random offset of probe slots. Well above the longest
 // period of probes, so that the slots of different hosts are spread evenly.
 constexpr Duration kMaxProbeOffset = std::chrono::hours(1000);
-// A report that a limit has ended is ignored this long after an answer that
+// A report that a limit has ended is ignored this long after a response that
 // declares the limit: the report may have been delayed.
 constexpr Duration kDelayedReportWindow = std::chrono::seconds(2);
 
@@ -55,7 +55,8 @@
                           MonotonicTime now) {
   if (!limit) {
     const auto known = limits_.find(target);
-    // An answer to a request sent before the last confirmation may be outdated.
+    // A response to a request sent before the last confirmation may be
+    // outdated.
     if (known != limits_.end() && sent_at > known->second.confirmed_at) {
       Lift(target);
       lifted_at_[target] = now;
--- a/lib/libmedlarcroft/source/request_path/region_load.cc
+++ b/lib/libmedlarcroft/source/request_path/region_load.cc
@@ -7,27 +7,27 @@
 
 namespace {
 
-// Reports count for about this long: queues fill and empty within seconds.
-constexpr double kReportSeconds = 1.0;
-// However close together they come, one report moves the mean by this much.
-constexpr double kLeastGain = 0.05;
+// Time constant of the mean: queues fill and empty within seconds.
+constexpr double kReportTimeConstantSeconds = 1.0;
+// Smallest weight of one report, however soon it follows the previous one.
+constexpr double kMinGain = 0.05;
 
 }  // namespace
 
 void RegionLoad::OnReport(const RegionName& region,
-                          double others,
+                          double other_hosts_load,
                           MonotonicTime now) {
-  const auto [found, is_first] =
-      means_.try_emplace(region, Mean{.value = others, .noted_at = now});
+  const auto [found, is_first] = means_.try_emplace(
+      region, Mean{.value = other_hosts_load, .updated_at = now});
   if (is_first) {
     return;
   }
   Mean& mean = found->second;
-  const double age = ToSeconds(now - mean.noted_at);
+  const double age = ToSeconds(now - mean.updated_at);
   const double gain =
-      std::max(kLeastGain, 1.0 - std::exp(-age / kReportSeconds));
-  mean.value += gain * (others - mean.value);
-  mean.noted_at = now;
+      std::max(kMinGain, 1.0 - std::exp(-age / kReportTimeConstantSeconds));
+  mean.value += gain * (other_hosts_load - mean.value);
+  mean.updated_at = now;
 }
 
 std::optional<double> RegionLoad::MeanOf(const RegionName& region) const {
--- a/lib/libmedlarcroft/source/request_path/region_plan.cc
+++ b/lib/libmedlarcroft/source/request_path/region_plan.cc
@@ -11,26 +11,27 @@
 
 namespace {
 
-// What requests met counts for about this long: a burst of three seconds is
-// over before objects that it would move are warm elsewhere, a wave is not.
-constexpr double kPressureSeconds = 4.0;
-// With fewer (decayed) requests than this nothing is concluded.
-constexpr double kEnoughRequests = 2.0;
-// Below this part of a region's requests without room there, single objects are
-// popular, and moving others does not help them.
-constexpr double kPressedPart = 0.1;
+// Time constant of the request counts. A burst of three seconds is over before
+// the objects that it would move are warm elsewhere; a demand wave lasts
+// longer.
+constexpr double kOverflowDecaySeconds = 4.0;
+// Smallest (decayed) number of requests from which overflow is inferred.
+constexpr double kMinRequests = 2.0;
+// When a smaller fraction of a region's requests finds no capacity there,
+// single objects are popular, and moving other objects would not help them.
+constexpr double kMinOverflowFraction = 0.1;
 
 /// Uniform in (0, 1), the same on every host.
-double UnitOf(std::uint64_t key, const RegionName& region) {
+double UniformHash(std::uint64_t key, const RegionName& region) {
   const std::uint64_t hash =
       XXH3_64bits_withSeed(region.Value().data(), region.Value().size(), key);
   return (static_cast<double>(hash >> 11U) + 0.5) * 0x1.0p-53;
 }
 
-double Sum(const std::map<RegionName, double>& parts) {
+double Sum(const std::map<RegionName, double>& values) {
   double sum = 0;
-  for (const auto& [region, part] : parts) {
-    sum += part;
+  for (const auto& [region, value] : values) {
+    sum += value;
   }
   return sum;
 }
@@ -43,80 +44,83 @@
 void RegionPlan::Advance(const RegionSlots& slots, MonotonicTime now) {
   if (shares_.empty()) {
     shares_ = SharesBySlots(slots);
-    moved_at_ = now;
+    advanced_at_ = now;
   }
   DropEmptyRegions(slots);
-  const Duration elapsed = std::max(now - moved_at_, Duration(0));
-  moved_at_ = now;
+  const Duration elapsed = std::max(now - advanced_at_, Duration(0));
+  advanced_at_ = now;
   Decay(elapsed);
-  const std::optional<RegionShares> relieved = RelievedShares();
-  MoveTowards(relieved ? *relieved : SharesBySlots(slots),
+  const std::optional<RegionShares> adjusted = SharesAfterOverflow();
+  MoveTowards(adjusted ? *adjusted : SharesBySlots(slots),
               options_.max_shift_per_second * ToSeconds(elapsed));
 }
 
-void RegionPlan::Observe(const RegionName& planned,
-                         const std::optional<RegionName>& with_room) {
-  Pressure& pressure = pressures_[planned];
-  pressure.requests += 1.0;
-  if (with_room) {
-    pressure.without_room[*with_room] += 1.0;
+void RegionPlan::Observe(
+    const RegionName& planned,
+    const std::optional<RegionName>& region_with_capacity) {
+  Overflow& overflow = overflows_[planned];
+  overflow.requests += 1.0;
+  if (region_with_capacity) {
+    overflow.overflowed[*region_with_capacity] += 1.0;
   }
 }
 
 void RegionPlan::Decay(Duration elapsed) {
-  const double kept = std::exp(-ToSeconds(elapsed) / kPressureSeconds);
-  for (auto& [region, pressure] : pressures_) {
-    pressure.requests *= kept;
-    for (auto& [with_room, count] : pressure.without_room) {
-      count *= kept;
+  const double decay_factor =
+      std::exp(-ToSeconds(elapsed) / kOverflowDecaySeconds);
+  for (auto& [region, overflow] : overflows_) {
+    overflow.requests *= decay_factor;
+    for (auto& [region_with_capacity, count] : overflow.overflowed) {
+      count *= decay_factor;
     }
   }
 }
 
-std::optional<RegionShares> RegionPlan::RelievedShares() const {
-  RegionShares relieved = shares_;
-  bool is_pressed = false;
-  for (const auto& [region, pressure] : pressures_) {
+std::optional<RegionShares> RegionPlan::SharesAfterOverflow() const {
+  RegionShares adjusted = shares_;
+  bool has_overflow = false;
+  for (const auto& [region, overflow] : overflows_) {
     const auto share = shares_.find(region);
-    if (share == shares_.end() || pressure.requests < kEnoughRequests) {
+    if (share == shares_.end() || overflow.requests < kMinRequests) {
       continue;
     }
-    for (const auto& [with_room, count] : pressure.without_room) {
-      const double part = count / pressure.requests;
-      if (part < kPressedPart) {
+    for (const auto& [region_with_capacity, count] : overflow.overflowed) {
+      const double fraction = count / overflow.requests;
+      if (fraction < kMinOverflowFraction) {
         continue;
       }
-      is_pressed = true;
-      relieved[region] -= part * share->second;
-      relieved[with_room] += part * share->second;
+      has_overflow = true;
+      adjusted[region] -= fraction * share->second;
+      adjusted[region_with_capacity] += fraction * share->second;
     }
   }
-  return is_pressed ? std::optional(relieved) : std::nullopt;
+  return has_overflow ? std::optional(adjusted) : std::nullopt;
 }
 
 RegionShares RegionPlan::SharesBySlots(const RegionSlots& slots) const {
-  // Nothing is known of demand: taken as equal everywhere, a region keeps what
-  // its slots bear and the rest goes where slots are left over.
+  // The distribution of demand is unknown and assumed to be equal: each region
+  // keeps as much as its slots can handle, and the rest goes to regions with
+  // spare slots.
   RegionShares shares;
-  const double all = Sum(slots);
+  const double total_slots = Sum(slots);
   const auto regions = static_cast<double>(slots.size());
-  if (all <= 0) {
+  if (total_slots <= 0) {
     return shares;
   }
   RegionShares spare;
-  double own = 0;
+  double own_share = 0;
   for (const auto& [region, count] : slots) {
-    const double bears = count / all * regions;
+    const double relative_capacity = count / total_slots * regions;
     if (region == own_region_) {
-      own = std::min(1.0, bears);
-    } else if (bears > 1.0) {
-      spare[region] = bears - 1.0;
+      own_share = std::min(1.0, relative_capacity);
+    } else if (relative_capacity > 1.0) {
+      spare[region] = relative_capacity - 1.0;
     }
   }
-  const double all_spare = Sum(spare);
-  shares[own_region_] = all_spare > 0 ? own : 1.0;
+  const double total_spare = Sum(spare);
+  shares[own_region_] = total_spare > 0 ? own_share : 1.0;
   for (const auto& [region, part] : spare) {
-    shares[region] = (1.0 - own) * part / all_spare;
+    shares[region] = (1.0 - own_share) * part / total_spare;
   }
   return shares;
 }
@@ -132,48 +136,48 @@
   if (dropped <= 0) {
     return;
   }
-  double all = 0;
+  double total_slots = 0;
   for (const auto& [region, count] : slots) {
-    all += count;
+    total_slots += count;
   }
   for (const auto& [region, count] : slots) {
     if (count > 0) {
-      shares_[region] += dropped * count / all;
+      shares_[region] += dropped * count / total_slots;
     }
   }
 }
 
-void RegionPlan::MoveTowards(const RegionShares& wanted, double most) {
-  for (const auto& [region, want] : wanted) {
+void RegionPlan::MoveTowards(const RegionShares& desired, double max_shift) {
+  for (const auto& [region, desired_share] : desired) {
     shares_.try_emplace(region, 0.0);
   }
-  const auto wanted_of = [&wanted](const RegionName& region) {
-    const auto found = wanted.find(region);
-    return found == wanted.end() ? 0.0 : found->second;
+  const auto desired_share_of = [&desired](const RegionName& region) {
+    const auto found = desired.find(region);
+    return found == desired.end() ? 0.0 : found->second;
   };
   double distance = 0;
   for (const auto& [region, share] : shares_) {
-    distance += std::max(0.0, wanted_of(region) - share);
+    distance += std::max(0.0, desired_share_of(region) - share);
   }
   if (distance <= 0) {
     return;
   }
-  const double step = std::min(1.0, most / distance);
+  const double step = std::min(1.0, max_shift / distance);
   for (auto& [region, share] : shares_) {
-    share += step * (wanted_of(region) - share);
+    share += step * (desired_share_of(region) - share);
   }
 }
 
 RegionName RegionPlan::Choose(std::uint64_t key) const {
   RegionName chosen = own_region_;
-  double least = std::numeric_limits<double>::infinity();
+  double lowest_score = std::numeric_limits<double>::infinity();
   for (const auto& [region, share] : shares_) {
     if (share <= 0) {
       continue;
     }
-    const double score = -std::log(UnitOf(key, region)) / share;
-    if (score < least) {
-      least = score;
+    const double score = -std::log(UniformHash(key, region)) / share;
+    if (score < lowest_score) {
+      lowest_score = score;
       chosen = region;
     }
   }
--- a/lib/libmedlarcroft/source/request_path/request_path.cc
+++ b/lib/libmedlarcroft/source/request_path/request_path.cc
@@ -8,24 +8,24 @@
 
 namespace {
 
-// Another target is tried beside a slow one after this many times the expected
-// time, and no sooner than the least.
-constexpr double kSlowOverExpected = 2.5;
-constexpr Duration kLeastSlow = std::chrono::milliseconds(150);
-// What a target is told ends before the caller's own time: its answer needs a
-// moment to come back.
-constexpr Duration kAnswerMargin = std::chrono::milliseconds(5);
-// Callers that come back are spread over this much beyond the wait.
-constexpr double kReturnSpreadSeconds = 0.4;
-constexpr double kLeastReturnSeconds = 0.2;
-// Longest Retry-After that is said: room changes sooner.
-constexpr double kLongestReturnSeconds = 2.0;
+// An attempt is hedged after this multiple of its expected time, but not before
+// `kMinHedgeDelay`.
+constexpr double kHedgeDelayFactor = 2.5;
+constexpr Duration kMinHedgeDelay = std::chrono::milliseconds(150);
+// The time stated to a target ends earlier than the caller's own by this much,
+// which the response needs to travel back.
+constexpr Duration kResponseMargin = std::chrono::milliseconds(5);
+// Random extra time of Retry-After, so that callers do not all retry at once.
+constexpr double kRetryAfterSpreadSeconds = 0.4;
+constexpr double kMinRetryAfterSeconds = 0.2;
+// Longest Retry-After: available capacity changes sooner than that.
+constexpr double kMaxRetryAfterSeconds = 2.0;
 
-bool IsRun(AttemptEnd end) {
+bool MayHaveRun(AttemptEnd end) {
   return end == AttemptEnd::kLost || end == AttemptEnd::kTimedOut;
 }
 
-bool HasArrived(AttemptEnd end) {
+bool ReachedTarget(AttemptEnd end) {
   return end != AttemptEnd::kNeverSent;
 }
 
@@ -45,43 +45,43 @@
 
 RequestStart RequestPath::Begin(const CallerRequest& request,
                                 MonotonicTime now) {
-  RequestStart begun;
+  RequestStart start;
   if (!routes_.IsConfigured()) {
-    begun.step = RequestFailure{.reason = FailureReason::kNotConfigured,
-                                .retry_after = ReturnTime(Duration(0))};
-    return begun;
-  }
-  begun.route = routes_.Find(request.host, request.target);
-  if (!begun.route) {
-    RequestFailure ending{.reason = FailureReason::kNoRoute};
-    if (is_news_doubtful_) {
-      ending = {.reason = FailureReason::kNoRouteYet,
-                .retry_after = ReturnTime(Duration(0))};
+    start.step = RequestFailure{.reason = FailureReason::kNotConfigured,
+                                .retry_after = RetryAfter(Duration(0))};
+    return start;
+  }
+  start.route = routes_.Find(request.host, request.target);
+  if (!start.route) {
+    RequestFailure failure{.reason = FailureReason::kNoRoute};
+    if (is_configuration_stale_) {
+      failure = {.reason = FailureReason::kNoRouteYet,
+                 .retry_after = RetryAfter(Duration(0))};
     }
-    begun.step = ending;
-    return begun;
+    start.step = failure;
+    return start;
   }
-  begun.service = routes_.ChoosePart(*begun.route);
-  begun.time_left = std::min(request.time_left.value_or(begun.route->timeout),
-                             begun.route->timeout);
-  AllowanceOf(begun.service).OnRequest(now);
+  start.service = routes_.ChooseService(*start.route);
+  start.time_left = std::min(request.time_left.value_or(start.route->timeout),
+                             start.route->timeout);
+  RetryBudgetOf(start.service).OnRequest(now);
   if (const auto blocked = crashes_.BlockedFor(request.fingerprint, now)) {
-    begun.step = RequestFailure{.reason = FailureReason::kRequestBlocked,
+    start.step = RequestFailure{.reason = FailureReason::kRequestBlocked,
                                 .retry_after = blocked};
-    return begun;
+    return start;
   }
 
-  Request state{.route = begun.route,
-                .service = begun.service,
+  Request state{.route = start.route,
+                .service = start.service,
                 .object = ObjectKey(request.object),
                 .fingerprint = request.fingerprint,
-                .deadline = now + begun.time_left};
-  begun.step = SendFirst(state, now);
-  if (std::holds_alternative<SendAttempt>(begun.step)) {
-    begun.ticket = ++last_ticket_;
-    requests_.emplace(begun.ticket, std::move(state));
+                .deadline = now + start.time_left};
+  start.step = SendFirst(state, now);
+  if (std::holds_alternative<SendAttempt>(start.step)) {
+    start.ticket = ++last_ticket_;
+    requests_.emplace(start.ticket, std::move(state));
   }
-  return begun;
+  return start;
 }
 
 std::optional<Placement> RequestPath::Place(const Request& request,
@@ -98,15 +98,15 @@
        .times = TimesOf(request.service, request.route->latency_objective),
        .distances = distances_,
        .loads = loads_[request.service],
-       .cold_allowance = ColdAllowance(request.service),
+       .cold_send_limit = ColdSendLimit(request.service),
        .limits = &limits_,
        .excluded = excluded,
        .allowed_regions = regions,
        .options = options_.placement},
-      now, options_.rule == nullptr ? soonest_answer_ : *options_.rule);
+      now, options_.rule == nullptr ? lowest_cost_ : *options_.rule);
 }
 
-Duration RequestPath::LongestWait(const Request& request) const {
+Duration RequestPath::MaxQueueWait(const Request& request) const {
   return FromSeconds(options_.max_queue_wait *
                      ToSeconds(request.route->latency_objective));
 }
@@ -119,8 +119,8 @@
   return slots;
 }
 
-std::optional<Placement> RequestPath::PlaceByPlan(const Request& request,
-                                                  MonotonicTime now) {
+std::optional<Placement> RequestPath::PlaceByRegionPlan(const Request& request,
+                                                        MonotonicTime now) {
   const auto& allowed = request.route->allowed_regions;
   if (!allowed.empty() || !options_.uses_region_plan) {
     return Place(request, allowed, now);
@@ -138,39 +138,40 @@
   const RegionName region = plan.Choose(key);
   const std::optional<Placement> planned =
       Place(request, std::span(&region, 1), now);
-  const Duration max_queue_wait = LongestWait(request);
+  const Duration max_queue_wait = MaxQueueWait(request);
   if (planned && planned->expected_wait <= max_queue_wait) {
     plan.Observe(region, std::nullopt);
     return planned;
   }
   const std::optional<Placement> best = Place(request, {}, now);
-  std::optional<RegionName> with_room;
+  std::optional<RegionName> region_with_capacity;
   if (best && best->expected_wait <= max_queue_wait) {
-    with_room = best->target->Region();
+    region_with_capacity = best->target->Region();
   }
-  plan.Observe(region, with_room);
+  plan.Observe(region, region_with_capacity);
   return planned ? planned : best;
 }
 
 Step RequestPath::SendFirst(Request& request, MonotonicTime now) {
-  const std::optional<Placement> placement = PlaceByPlan(request, now);
+  const std::optional<Placement> placement = PlaceByRegionPlan(request, now);
   if (!placement) {
     return RequestFailure{.reason = FailureReason::kNoTarget,
-                          .retry_after = ReturnTime(Duration(0))};
+                          .retry_after = RetryAfter(Duration(0))};
   }
-  // Failure: refusing by the expected time denies routes of short time limits
-  // altogether while nothing of them is warm. Symptom: a route that was added
-  // serves nobody. So only what can't be in time at best is refused.
-  if (placement->soonest > request.deadline - now) {
+  // A refusal based on the expected time would reject all requests of a route
+  // with a short timeout while its objects are cold, so a newly added route
+  // would serve no requests. Only requests that cannot finish in time even in
+  // the best case are therefore refused.
+  if (placement->best_case > request.deadline - now) {
     return RequestFailure{.reason = FailureReason::kDeadlineUnreachable,
-                          .retry_after = ReturnTime(placement->expected_wait),
+                          .retry_after = RetryAfter(placement->expected_wait),
                           .best = placement};
   }
-  const Duration max_queue_wait = LongestWait(request);
+  const Duration max_queue_wait = MaxQueueWait(request);
   if (placement->expected_wait > max_queue_wait) {
     return RequestFailure{
         .reason = FailureReason::kOverloaded,
-        .retry_after = ReturnTime(placement->expected_wait - max_queue_wait),
+        .retry_after = RetryAfter(placement->expected_wait - max_queue_wait),
         .best = placement};
   }
   return Send(request, *placement, now);
@@ -190,17 +191,17 @@
       .address = record.address,
       .region = target.Region(),
       .round_trip = distances_.RoundTrip(target.Region()),
-      .time_left = std::max(request.deadline - now - kAnswerMargin,
+      .time_left = std::max(request.deadline - now - kResponseMargin,
                             Duration(std::chrono::milliseconds(1))),
       .may_repeat = may_repeat,
-      .should_announce =
-          request.route->is_sticky && target.IsNews(request.object, now),
+      .should_announce = request.route->is_sticky &&
+                         target.ShouldAnnounce(request.object, now),
       .placement = placement,
       .report_age = target.ReportAge(now)};
   if (may_repeat) {
     send.hedge_after =
-        std::max(FromSeconds(kSlowOverExpected * ToSeconds(placement.expected)),
-                 kLeastSlow);
+        std::max(FromSeconds(kHedgeDelayFactor * ToSeconds(placement.expected)),
+                 kMinHedgeDelay);
   }
   request.attempts.push_back(
       {.number = number,
@@ -208,34 +209,35 @@
        .sent_at = now,
        .round_trip = distances_.RoundTrip(target.Region()),
        .expected_wait = placement.expected_wait,
-       .load_ahead = placement.estimated_load,
+       .load_at_send = placement.estimated_load,
        .is_warm = placement.is_warm});
   target.OnSent(request.object, now);
   limits_.OnSent(target.Number(), now);
   return send;
 }
 
-Step RequestPath::SendAgain(Request& request, MonotonicTime now) {
+Step RequestPath::Retry(Request& request, MonotonicTime now) {
   if (const auto blocked = crashes_.BlockedFor(request.fingerprint, now)) {
     return RequestFailure{.reason = FailureReason::kRequestBlocked,
                           .is_not_run = !request.may_have_run,
                           .retry_after = blocked};
   }
-  const RequestFailure spent{.reason = FailureReason::kRetriesExhausted,
-                             .is_not_run = !request.may_have_run,
-                             .retry_after = ReturnTime(Duration(0))};
-  if (request.arrivals >= request.route->max_attempts) {
-    return spent;
+  const RequestFailure exhausted{.reason = FailureReason::kRetriesExhausted,
+                                 .is_not_run = !request.may_have_run,
+                                 .retry_after = RetryAfter(Duration(0))};
+  if (request.delivered_attempts >= request.route->max_attempts) {
+    return exhausted;
   }
   const std::optional<Placement> placement =
       Place(request, request.route->allowed_regions, now);
   if (!placement || placement->expected > request.deadline - now) {
-    return spent;
+    return exhausted;
   }
-  // A send that never arrived drew nothing from what all hosts share.
-  if (request.arrivals > 0 &&
-      !AllowanceOf(request.service).TryTake(host_count_, now)) {
-    return spent;
+  // A send that never reached a target does not use the retry limit that all
+  // hosts share.
+  if (request.delivered_attempts > 0 &&
+      !RetryBudgetOf(request.service).TryTake(host_count_, now)) {
+    return exhausted;
   }
   return Send(request, *placement, now);
 }
@@ -254,17 +256,17 @@
     return AwaitAttempt{};
   }
   attempt.is_open = false;
-  Learn(request, attempt, end, now);
-  if (HasArrived(end)) {
-    ++request.arrivals;
+  RecordOutcome(request, attempt, end, now);
+  if (ReachedTarget(end)) {
+    ++request.delivered_attempts;
   }
-  request.may_have_run = request.may_have_run || IsRun(end);
+  request.may_have_run = request.may_have_run || MayHaveRun(end);
   if (end == AttemptEnd::kAnswered) {
     // Server errors are excluded: a target may send one without running the
     // request.
     crashes_.OnAnswered(request.fingerprint, now);
     const PassOn pass_on{.attempt = attempt_number,
-                         .abandoned = Abandon(request)};
+                         .abandoned = AbandonOpenAttempts(request)};
     requests_.erase(found);
     return pass_on;
   }
@@ -277,33 +279,33 @@
   const bool has_run =
       request.may_have_run || request.failed_answer.has_value();
   if (has_run && !may_repeat) {
-    return Conclude(
-        ticket, request,
-        {.reason = FailureReason::kMayHaveRun, .is_not_run = false});
+    return Finish(ticket, request,
+                  {.reason = FailureReason::kMayHaveRun, .is_not_run = false});
   }
-  const bool has_open =
+  const bool has_open_attempt =
       std::any_of(request.attempts.begin(), request.attempts.end(),
                   [](const Attempt& other) { return other.is_open; });
-  if (has_open) {
+  if (has_open_attempt) {
     return AwaitAttempt{};
   }
-  Step step = SendAgain(request, now);
-  if (const auto* const ending = std::get_if<RequestFailure>(&step)) {
-    return Conclude(ticket, request, *ending);
+  Step step = Retry(request, now);
+  if (const auto* const failure = std::get_if<RequestFailure>(&step)) {
+    return Finish(ticket, request, *failure);
   }
   return step;
 }
 
-Step RequestPath::Conclude(RequestTicket ticket,
-                           Request& request,
-                           const RequestFailure& ending) {
-  // A target's own answer, though it reports a failure, says more than ours.
-  Step step = ending;
+Step RequestPath::Finish(RequestTicket ticket,
+                         Request& request,
+                         const RequestFailure& failure) {
+  // A target's own response is more informative than this host's, even if it
+  // reports a failure.
+  Step step = failure;
   if (request.failed_answer) {
     step = PassOn{.attempt = *request.failed_answer,
-                  .abandoned = Abandon(request)};
+                  .abandoned = AbandonOpenAttempts(request)};
   }
-  Abandon(request);
+  AbandonOpenAttempts(request);
   requests_.erase(ticket);
   return step;
 }
@@ -321,10 +323,10 @@
   }
   const std::optional<Placement> placement =
       Place(request, request.route->allowed_regions, now);
-  const Duration max_queue_wait = LongestWait(request);
+  const Duration max_queue_wait = MaxQueueWait(request);
   if (!placement || placement->expected > request.deadline - now ||
       placement->expected_wait > max_queue_wait ||
-      !AllowanceOf(request.service).TryTake(host_count_, now)) {
+      !RetryBudgetOf(request.service).TryTake(host_count_, now)) {
     return AwaitAttempt{};
   }
   return Send(request, *placement, now);
@@ -339,7 +341,7 @@
   for (Attempt& attempt : request.attempts) {
     if (attempt.is_open) {
       attempt.is_open = false;
-      Learn(request, attempt, AttemptEnd::kTimedOut, now);
+      RecordOutcome(request, attempt, AttemptEnd::kTimedOut, now);
     }
   }
   requests_.erase(found);
@@ -351,11 +353,11 @@
   if (found == requests_.end()) {
     return;
   }
-  Abandon(found->second);
+  AbandonOpenAttempts(found->second);
   requests_.erase(found);
 }
 
-std::vector<AttemptNumber> RequestPath::Abandon(Request& request) {
+std::vector<AttemptNumber> RequestPath::AbandonOpenAttempts(Request& request) {
   std::vector<AttemptNumber> abandoned;
   for (Attempt& attempt : request.attempts) {
     if (!attempt.is_open) {
@@ -370,13 +372,14 @@
   return abandoned;
 }
 
-RetryBudgetShare& RequestPath::AllowanceOf(const ServiceName& service) {
-  return allowances_.try_emplace(service, options_.retry_limit).first->second;
+RetryBudgetShare& RequestPath::RetryBudgetOf(const ServiceName& service) {
+  return retry_budgets_.try_emplace(service, options_.retry_limit)
+      .first->second;
 }
 
-double RequestPath::AttemptsLeft(const ServiceName& service,
-                                 MonotonicTime now) {
-  return AllowanceOf(service).Left(host_count_, now);
+double RequestPath::RemainingRetries(const ServiceName& service,
+                                     MonotonicTime now) {
+  return RetryBudgetOf(service).Remaining(host_count_, now);
 }
 
 ServiceTimes& RequestPath::TimesOf(const ServiceName& service,
@@ -384,20 +387,21 @@
   return times_.try_emplace(service, latency_objective).first->second;
 }
 
-std::uint32_t RequestPath::ColdAllowance(const ServiceName& service) const {
+std::uint32_t RequestPath::ColdSendLimit(const ServiceName& service) const {
   const routing::ServiceRules* const rules = routes_.FindService(service);
   if (rules == nullptr) {
     return 1;
   }
-  const double of_all = rules->cold_requests_per_second * options_.cold_over +
-                        options_.cold_extra;
-  return static_cast<std::uint32_t>(of_all / host_count_);
+  const double total_rate =
+      rules->cold_requests_per_second * options_.cold_over +
+      options_.cold_extra;
+  return static_cast<std::uint32_t>(total_rate / host_count_);
 }
 
-Duration RequestPath::ReturnTime(Duration wait) {
-  const double seconds = kLeastReturnSeconds + ToSeconds(wait) +
-                         kReturnSpreadSeconds * random_.NextUnit();
-  return FromSeconds(std::min(seconds, kLongestReturnSeconds));
+Duration RequestPath::RetryAfter(Duration wait) {
+  const double seconds = kMinRetryAfterSeconds + ToSeconds(wait) +
+                         kRetryAfterSpreadSeconds * random_.NextUnit();
+  return FromSeconds(std::min(seconds, kMaxRetryAfterSeconds));
 }
 
 }  // namespace medlarcroft::request_path
--- a/lib/libmedlarcroft/source/request_path/request_path_reports.cc
+++ b/lib/libmedlarcroft/source/request_path/request_path_reports.cc
@@ -6,15 +6,15 @@
 
 namespace {
 
-// Seconds; shorter work is not told apart.
-constexpr double kLeastWork = 1e-4;
+// Shorter processing times are not distinguished.
+constexpr double kMinWorkSeconds = 1e-4;
 
 }  // namespace
 
-void RequestPath::Learn(const Request& request,
-                        const Attempt& attempt,
-                        AttemptEnd end,
-                        MonotonicTime now) {
+void RequestPath::RecordOutcome(const Request& request,
+                                const Attempt& attempt,
+                                AttemptEnd end,
+                                MonotonicTime now) {
   ServiceTimes& times =
       TimesOf(request.service, request.route->latency_objective);
   TargetState* const target = targets_.Find(attempt.target);
@@ -27,9 +27,10 @@
         now - attempt.sent_at - attempt.round_trip - attempt.expected_wait);
     const double work = std::max(seconds, 0.0);
     const bool was_warm = attempt.is_warm || times.LooksWarm(FromSeconds(work));
-    relative = work / std::max(ToSeconds(times.Work(was_warm)), kLeastWork);
+    relative =
+        work / std::max(ToSeconds(times.Work(was_warm)), kMinWorkSeconds);
     const bool had_free_slot =
-        attempt.load_ahead < std::max(target->Record().slots, 1U);
+        attempt.load_at_send < std::max(target->Record().slots, 1U);
     if (end == AttemptEnd::kAnswered && had_free_slot) {
       times.OnWork(was_warm, FromSeconds(work / target->RelativeTime()));
     }
@@ -50,7 +51,7 @@
                                  std::uint32_t requests,
                                  MonotonicTime now) {
   if (TargetState* const state = targets_.Find(target)) {
-    TakeReport(*state, {.running = requests}, now);
+    ApplyLoadReport(*state, {.running = requests}, now);
   }
 }
 
@@ -79,16 +80,16 @@
                            const LoadReport& report,
                            MonotonicTime now) {
   if (TargetState* const state = targets_.Find(target)) {
-    TakeReport(*state, report, now);
+    ApplyLoadReport(*state, report, now);
   }
 }
 
-void RequestPath::TakeReport(TargetState& target,
-                             const LoadReport& report,
-                             MonotonicTime now) {
+void RequestPath::ApplyLoadReport(TargetState& target,
+                                  const LoadReport& report,
+                                  MonotonicTime now) {
   target.OnReport(report, now);
-  loads_[target.Record().service].OnReport(target.Region(), target.OthersLoad(),
-                                           now);
+  loads_[target.Record().service].OnReport(target.Region(),
+                                           target.OtherHostsLoad(), now);
 }
 
 }  // namespace medlarcroft::request_path
--- a/lib/libmedlarcroft/source/request_path/service_times.cc
+++ b/lib/libmedlarcroft/source/request_path/service_times.cc
@@ -7,15 +7,15 @@
 
 namespace {
 
-// Of the difference to each new measurement: the last thirty or so count.
+// Weight of a new measurement: roughly the last thirty determine the mean.
 constexpr double kGain = 0.03;
-// Before any measurement: objectives are commonly set below the time that cold
-// work takes and above that of warm work.
+// Initial estimates: latency objectives are usually set between the processing
+// times of warm and cold objects.
 constexpr double kColdOverObjective = 1.3;
 constexpr double kWarmOverCold = 0.4;
-constexpr Duration kUnmeasuredOwnRegion = std::chrono::milliseconds(2);
-constexpr Duration kUnmeasuredOtherRegion = std::chrono::milliseconds(80);
-constexpr int kDistanceGainDivisor = 8;
+constexpr Duration kDefaultOwnRegionRoundTrip = std::chrono::milliseconds(2);
+constexpr Duration kDefaultOtherRegionRoundTrip = std::chrono::milliseconds(80);
+constexpr int kRoundTripGainDivisor = 8;
 
 }  // namespace
 
@@ -23,7 +23,7 @@
                                   Duration round_trip) {
   const auto [entry, is_new] = measured_.emplace(region, round_trip);
   if (!is_new) {
-    entry->second += (round_trip - entry->second) / kDistanceGainDivisor;
+    entry->second += (round_trip - entry->second) / kRoundTripGainDivisor;
   }
 }
 
@@ -32,7 +32,8 @@
   if (found != measured_.end()) {
     return found->second;
   }
-  return region == own_region_ ? kUnmeasuredOwnRegion : kUnmeasuredOtherRegion;
+  return region == own_region_ ? kDefaultOwnRegionRoundTrip
+                               : kDefaultOtherRegionRoundTrip;
 }
 
 ServiceTimes::ServiceTimes(Duration latency_objective)
@@ -44,7 +45,8 @@
   double& seconds = was_warm ? warm_seconds_ : cold_seconds_;
   seconds += kGain * (ToSeconds(work) - seconds);
   mean_seconds_ += kGain * (ToSeconds(work) - mean_seconds_);
-  // What is believed warm and is not would turn the order round.
+  // Requests that are wrongly assumed to be warm could otherwise make the warm
+  // time exceed the cold time.
   warm_seconds_ = std::min(warm_seconds_, cold_seconds_);
 }
 
@@ -53,7 +55,8 @@
 }
 
 bool ServiceTimes::LooksWarm(Duration work) const {
-  // Nearer in ratio, as the spread of work grows with it.
+  // Compares ratios, because the spread of processing times grows with their
+  // length.
   return ToSeconds(work) < std::sqrt(warm_seconds_ * cold_seconds_);
 }
 
--- a/lib/libmedlarcroft/source/request_path/target_directory.cc
+++ b/lib/libmedlarcroft/source/request_path/target_directory.cc
@@ -27,7 +27,7 @@
 
 void TargetDirectory::ReplaceAll(std::span<const TargetRecord> targets,
                                  std::span<const TargetName> unreadable,
-                                 std::optional<MonotonicTime> doubted_until,
+                                 std::optional<MonotonicTime> retained_until,
                                  MonotonicTime now) {
   std::set<TargetName> listed(unreadable.begin(), unreadable.end());
   for (const TargetRecord& target : targets) {
@@ -44,7 +44,7 @@
     }
   }
   for (const TargetName& id : missing) {
-    Remove(id, doubted_until);
+    Remove(id, retained_until);
   }
   is_first_list_ = false;
 }
@@ -63,8 +63,8 @@
     Restart(entry, target, now);
     return;
   }
-  // An entry that does not tell its process may be of the known one, and may
-  // say that it leaves: that must not be missed.
+  // An entry without an incarnation may belong to the known process and
+  // announce its shutdown, which must not be missed.
   if (target.incarnation != known &&
       target.incarnation != kUnknownIncarnation) {
     return;
@@ -77,11 +77,11 @@
 void TargetDirectory::Update(Entry& entry,
                              TargetRecord target,
                              MonotonicTime now) {
-  if (entry.doubted_until || entry.is_unreadable) {
-    entry.doubted_until.reset();
+  if (entry.retained_until || entry.is_unreadable) {
+    entry.retained_until.reset();
     entry.is_unreadable = false;
     usable_.clear();
-    observer_.OnTargetChange(TargetChange::kReturned, target);
+    observer_.OnTargetChange(TargetChange::kReregistered, target);
   }
   const TargetRecord& known = entry.state->Record();
   target.is_leaving = target.is_leaving || known.is_leaving;
@@ -102,13 +102,13 @@
                               const TargetRecord& target,
                               MonotonicTime now) {
   numbers_.erase(NumberOf(entry.state->Record().Identity()));
-  entry = {.state = MakeStarted(target, now)};
+  entry = {.state = MakeStartedState(target, now)};
   numbers_[NumberOf(target.Identity())] = entry.state.get();
   usable_.clear();
   observer_.OnTargetChange(TargetChange::kRestarted, target);
 }
 
-std::unique_ptr<TargetState> TargetDirectory::MakeStarted(
+std::unique_ptr<TargetState> TargetDirectory::MakeStartedState(
     const TargetRecord& target,
     MonotonicTime now) const {
   auto state = std::make_unique<TargetState>(target, RegionOf(target.domain));
@@ -123,7 +123,7 @@
     return false;
   }
   const Departure& departure = found->second;
-  if (departure.has_said_so) {
+  if (departure.is_announced) {
     return target.incarnation <= departure.incarnation;
   }
   return target.incarnation != kUnknownIncarnation &&
@@ -132,8 +132,8 @@
 
 void TargetDirectory::Add(const TargetRecord& target, MonotonicTime now) {
   // A target that appears while this host runs has just started, whatever its
-  // first entry says.
-  auto state = MakeStarted(target, now);
+  // first entry states.
+  auto state = MakeStartedState(target, now);
   if (is_first_list_) {
     state = std::make_unique<TargetState>(target, RegionOf(target.domain));
     state->MarkCold(now + target.cold_remaining);
@@ -159,16 +159,16 @@
 }
 
 void TargetDirectory::Remove(const TargetName& target,
-                             std::optional<MonotonicTime> doubted_until) {
+                             std::optional<MonotonicTime> retained_until) {
   const auto found = targets_.find(target);
   if (found == targets_.end()) {
     return;
   }
   Entry& entry = found->second;
-  if (doubted_until && !entry.state->Record().is_leaving) {
-    if (!entry.doubted_until) {
-      entry.doubted_until = doubted_until;
-      observer_.OnTargetChange(TargetChange::kDoubted, entry.state->Record());
+  if (retained_until && !entry.state->Record().is_leaving) {
+    if (!entry.retained_until) {
+      entry.retained_until = retained_until;
+      observer_.OnTargetChange(TargetChange::kRetained, entry.state->Record());
     }
     return;
   }
@@ -182,7 +182,7 @@
   const TargetRecord& record = found->second.state->Record();
   if (record.is_leaving || record.incarnation != kUnknownIncarnation) {
     departed_[target] = {.incarnation = record.incarnation,
-                         .has_said_so = record.is_leaving};
+                         .is_announced = record.is_leaving};
   }
   numbers_.erase(NumberOf(record.Identity()));
   targets_.erase(found);
@@ -190,13 +190,13 @@
 }
 
 void TargetDirectory::Advance(MonotonicTime now) {
-  std::vector<TargetName> ended;
+  std::vector<TargetName> expired;
   for (const auto& [id, entry] : targets_) {
-    if (entry.doubted_until && now >= *entry.doubted_until) {
-      ended.push_back(id);
+    if (entry.retained_until && now >= *entry.retained_until) {
+      expired.push_back(id);
     }
   }
-  for (const TargetName& id : ended) {
+  for (const TargetName& id : expired) {
     Erase(id);
   }
 }
@@ -235,7 +235,8 @@
     const TargetRecord& record = entry.state->Record();
     if (record.service == service && !record.is_leaving &&
         !entry.is_unreadable && !entry.state->IsReplaced() &&
-        // In no known domain: whether it may be used there can't be told.
+        // The region of an unknown domain is unknown, so whether the target may
+        // be used there is too.
         !entry.state->Region().IsEmpty() &&
         !evacuated_.contains(record.domain)) {
       usable.push_back(entry.state.get());
--- a/lib/libmedlarcroft/source/request_path/target_state.cc
+++ b/lib/libmedlarcroft/source/request_path/target_state.cc
@@ -12,29 +12,33 @@
 
 namespace {
 
-// Targets remember some tens of objects; beyond those sent lately by one host
-// the memory is likely taken by what other hosts send.
+// Targets keep some tens of objects. Requests from other hosts have likely
+// displaced any that this host sent earlier than the most recent ones.
 constexpr std::size_t kRememberedObjects = 24;
-// Other hosts forget an object that nobody names; naming it each time would
-// cost a datagram to each of them for every request.
-constexpr Duration kTellAgain = std::chrono::seconds(2);
-// Other hosts' work changes within about one request's time; older reports
-// fade into the mean.
-constexpr double kReportFadeSeconds = 0.5;
+// Other hosts stop counting on an object that is not announced again.
+// Announcing it for each request would cost a datagram to each host per
+// request.
+constexpr Duration kReannounceInterval = std::chrono::seconds(2);
+// The load from other hosts changes within about the duration of one request;
+// older reports are gradually replaced by the mean.
+constexpr double kReportDecaySeconds = 0.5;
 constexpr double kMeanGain = 0.2;
-constexpr double kSpeedGain = 0.15;
-constexpr double kSlowest = 12.0;
-constexpr double kFastest = 0.4;
-// One failure to connect is a restart or a lost packet; a crash shows twice.
-constexpr std::uint32_t kFailuresToRest = 2;
-// Failure: a target answers at once that it failed, or did not run, whatever it
-// is asked. Symptom: it looks free, and draws the requests of others. One that
-// fails half of its requests does so eight times in a row once in 256.
-constexpr std::uint32_t kBadAnswersToRest = 8;
-constexpr Duration kFirstRest = std::chrono::milliseconds(800);
-constexpr Duration kLongestRest = std::chrono::seconds(6);
-// A bound over one second at the target: sends may arrive closer together than
-// they left.
+constexpr double kRelativeTimeGain = 0.15;
+constexpr double kMaxRelativeTime = 12.0;
+constexpr double kMinRelativeTime = 0.4;
+// A single connection failure may be a restart or a lost packet; after a crash
+// at least two occur.
+constexpr std::uint32_t kFailuresBeforeBackoff = 2;
+// A target that responds to every request immediately with a failure, or
+// without running it, appears idle and attracts requests that other targets
+// would serve; it is backed off after this many in a row. A target that fails
+// half of its requests reaches eight consecutive failures only once in 256
+// times.
+constexpr std::uint32_t kErrorResponsesBeforeBackoff = 8;
+constexpr Duration kInitialBackoff = std::chrono::milliseconds(800);
+constexpr Duration kMaxBackoff = std::chrono::seconds(6);
+// The limit holds per second at the target. The window is longer, because sends
+// may arrive closer together than they were sent.
 constexpr Duration kColdWindow = std::chrono::milliseconds(1200);
 
 bool IsFailure(AttemptEnd end) {
@@ -42,7 +46,7 @@
          end == AttemptEnd::kTimedOut;
 }
 
-bool IsBadAnswer(AttemptEnd end) {
+bool IsErrorResponse(AttemptEnd end) {
   return end == AttemptEnd::kTargetFailed || end == AttemptEnd::kNotRun;
 }
 
@@ -66,15 +70,15 @@
   }
   sends_.push_back(now);
   has_been_used_ = true;
-  NoteObject(object);
+  RecordObject(object);
 }
 
 void TargetState::OnSentByOtherHost(ObjectKey object) {
   has_been_used_ = true;
-  NoteObject(object);
+  RecordObject(object);
 }
 
-void TargetState::NoteObject(ObjectKey object) {
+void TargetState::RecordObject(ObjectKey object) {
   if (object.IsEmpty()) {
     return;
   }
@@ -94,29 +98,32 @@
                           MonotonicTime now) {
   outstanding_ -= std::min(outstanding_, 1U);
   if (relative_time) {
-    const double bounded = std::clamp(*relative_time, kFastest, kSlowest);
-    relative_time_ += kSpeedGain * (bounded - relative_time_);
+    const double bounded =
+        std::clamp(*relative_time, kMinRelativeTime, kMaxRelativeTime);
+    relative_time_ += kRelativeTimeGain * (bounded - relative_time_);
   }
   if (IsFailure(end)) {
-    if (++failures_in_a_row_ >= kFailuresToRest) {
-      Rest(now);
+    if (++consecutive_failures_ >= kFailuresBeforeBackoff) {
+      BackOff(now);
     }
     return;
   }
-  failures_in_a_row_ = 0;
-  if (IsBadAnswer(end) && ++bad_answers_in_a_row_ >= kBadAnswersToRest) {
-    Rest(now);
+  consecutive_failures_ = 0;
+  if (IsErrorResponse(end) &&
+      ++consecutive_error_responses_ >= kErrorResponsesBeforeBackoff) {
+    BackOff(now);
     return;
   }
-  if (!IsBadAnswer(end)) {
-    bad_answers_in_a_row_ = 0;
+  if (!IsErrorResponse(end)) {
+    consecutive_error_responses_ = 0;
   }
-  rest_ = Duration(0);
+  backoff_ = Duration(0);
 }
 
-void TargetState::Rest(MonotonicTime now) {
-  rest_ = rest_ == Duration(0) ? kFirstRest : std::min(rest_ * 2, kLongestRest);
-  resting_until_ = now + rest_;
+void TargetState::BackOff(MonotonicTime now) {
+  backoff_ = backoff_ == Duration(0) ? kInitialBackoff
+                                     : std::min(backoff_ * 2, kMaxBackoff);
+  backed_off_until_ = now + backoff_;
 }
 
 void TargetState::OnAbandoned() {
@@ -124,25 +131,27 @@
 }
 
 void TargetState::OnReport(const LoadReport& report, MonotonicTime now) {
-  // The report was made while the answered request still counted.
+  // The target counted the request of this response in its report.
   const double total = report.running + report.waiting;
-  others_load_ = std::max(0.0, total - outstanding_);
-  others_mean_ += kMeanGain * (others_load_ - others_mean_);
+  other_hosts_load_ = std::max(0.0, total - outstanding_);
+  other_hosts_mean_load_ +=
+      kMeanGain * (other_hosts_load_ - other_hosts_mean_load_);
   reported_at_ = now;
 }
 
-double TargetState::EstimatedLoad(std::optional<double> usual,
-                                  double usual_part,
+double TargetState::EstimatedLoad(std::optional<double> region_mean,
+                                  double region_weight,
                                   MonotonicTime now) const {
   if (!reported_at_) {
-    return outstanding_ + usual.value_or(0.0) * usual_part;
+    return outstanding_ + region_mean.value_or(0.0) * region_weight;
   }
-  const double faded =
-      std::exp(-ToSeconds(now - *reported_at_) / kReportFadeSeconds);
-  const double mean =
-      usual ? usual_part * *usual + (1.0 - usual_part) * others_mean_
-            : others_mean_;
-  return outstanding_ + others_load_ * faded + mean * (1.0 - faded);
+  const double decayed =
+      std::exp(-ToSeconds(now - *reported_at_) / kReportDecaySeconds);
+  const double mean = region_mean
+                          ? region_weight * *region_mean +
+                                (1.0 - region_weight) * other_hosts_mean_load_
+                          : other_hosts_mean_load_;
+  return outstanding_ + other_hosts_load_ * decayed + mean * (1.0 - decayed);
 }
 
 std::optional<Duration> TargetState::ReportAge(MonotonicTime now) const {
@@ -154,20 +163,21 @@
          objects_.end();
 }
 
-bool TargetState::IsNews(ObjectKey object, MonotonicTime now) {
-  NoteObject(object);
-  if (object.IsEmpty() || now - objects_.front().told_at < kTellAgain) {
+bool TargetState::ShouldAnnounce(ObjectKey object, MonotonicTime now) {
+  RecordObject(object);
+  if (object.IsEmpty() ||
+      now - objects_.front().announced_at < kReannounceInterval) {
     return false;
   }
-  objects_.front().told_at = now;
+  objects_.front().announced_at = now;
   return true;
 }
 
-bool TargetState::IsResting(MonotonicTime now) const {
-  if (rest_ == Duration(0)) {
+bool TargetState::IsBackedOff(MonotonicTime now) const {
+  if (backoff_ == Duration(0)) {
     return false;
   }
-  return now < resting_until_ || outstanding_ > 0;
+  return now < backed_off_until_ || outstanding_ > 0;
 }
 
 std::uint32_t TargetState::RecentSends(MonotonicTime now) const {
--- a/lib/libmedlarcroft/source/routing/route_table.cc
+++ b/lib/libmedlarcroft/source/routing/route_table.cc
@@ -38,28 +38,28 @@
   }
   routes_.clear();
   for (Route& route : configuration.routes) {
-    auto& of_host = routes_[NormalisedHost(route.host)];
-    of_host.push_back(std::make_shared<const Route>(std::move(route)));
+    auto& host_routes = routes_[NormalisedHost(route.host)];
+    host_routes.push_back(std::make_shared<const Route>(std::move(route)));
   }
-  for (auto& [host, of_host] : routes_) {
-    std::stable_sort(of_host.begin(), of_host.end(),
+  for (auto& [host, host_routes] : routes_) {
+    std::stable_sort(host_routes.begin(), host_routes.end(),
                      [](const auto& left, const auto& right) {
                        return left->path_prefix.size() >
                               right->path_prefix.size();
                      });
   }
-  owed_.clear();
+  credits_.clear();
   return true;
 }
 
 std::shared_ptr<const Route> RouteTable::Find(std::string_view host,
                                               std::string_view target) const {
-  const auto of_host = routes_.find(NormalisedHost(host));
-  if (of_host == routes_.end()) {
+  const auto host_routes = routes_.find(NormalisedHost(host));
+  if (host_routes == routes_.end()) {
     return nullptr;
   }
   const std::string_view path = PathOf(target);
-  for (const auto& route : of_host->second) {
+  for (const auto& route : host_routes->second) {
     if (path.starts_with(route->path_prefix)) {
       return route;
     }
@@ -67,7 +67,7 @@
   return nullptr;
 }
 
-ServiceName RouteTable::ChoosePart(const Route& route) {
+ServiceName RouteTable::ChooseService(const Route& route) {
   if (route.weighted_services.size() == 1) {
     return route.weighted_services.front().service;
   }
@@ -76,14 +76,15 @@
       [](double sum, const WeightedService& part) {
         return sum + part.weight;
       });
-  std::vector<double>& owed = owed_[route.name];
-  owed.resize(route.weighted_services.size());
-  for (std::size_t i = 0; i < owed.size(); ++i) {
-    owed[i] += total > 0 ? route.weighted_services[i].weight / total : 0;
+  std::vector<double>& credits = credits_[route.name];
+  credits.resize(route.weighted_services.size());
+  for (std::size_t i = 0; i < credits.size(); ++i) {
+    credits[i] += total > 0 ? route.weighted_services[i].weight / total : 0;
   }
-  const auto most = std::max_element(owed.begin(), owed.end());
+  const auto most = std::max_element(credits.begin(), credits.end());
   *most -= 1.0;
-  return route.weighted_services[static_cast<std::size_t>(most - owed.begin())]
+  return route
+      .weighted_services[static_cast<std::size_t>(most - credits.begin())]
       .service;
 }
 
--- a/tests/unit/request_path/crash_tracker_test.cc
+++ b/tests/unit/request_path/crash_tracker_test.cc
@@ -23,7 +23,7 @@
 
 class CrashTrackerTest : public testing::Test, public CrashObserver {
  protected:
-  CrashTrackerTest() { ledger_.Observe(this); }
+  CrashTrackerTest() { tracker_.Observe(this); }
 
   void OnPublish(const CrashReport& report) override {
     published_.push_back(report);
@@ -37,7 +37,7 @@
   void OnUnblocked(RequestFingerprint /*request*/) override { ++unblocked_; }
 
   [[nodiscard]] bool IsBlocked(MonotonicTime now = kStart) const {
-    return ledger_.BlockedFor(kRequest, now).has_value();
+    return tracker_.BlockedFor(kRequest, now).has_value();
   }
   [[nodiscard]] std::size_t CountPublished(CrashReportKind kind) const {
     std::size_t count = 0;
@@ -47,10 +47,10 @@
     return count;
   }
   void ReportCrash(std::uint32_t target, MonotonicTime now = kStart) {
-    ledger_.OnReport({.request = kRequest, .target = Target(target)}, now);
+    tracker_.OnReport({.request = kRequest, .target = Target(target)}, now);
   }
 
-  CrashTracker ledger_{{}};
+  CrashTracker tracker_{{}};
   std::vector<CrashReport> published_;
   int blocked_ = 0;
   int unblocked_ = 0;
@@ -85,7 +85,7 @@
 // Crashes of all hosts add up, and repeated reports of a crash count once.
 TEST_P(CrashCountTable, CountsDistinctTargetsAcrossHosts) {
   for (const std::uint32_t target : GetParam().own) {
-    ledger_.OnCrash(kRequest, Target(target), kStart);
+    tracker_.OnCrash(kRequest, Target(target), kStart);
   }
   for (const std::uint32_t target : GetParam().reported) {
     ReportCrash(target);
@@ -108,10 +108,10 @@
 
 // A request that ran concurrently with the crashing one succeeds on the next
 // target and must not be blocked on any host.
-TEST_F(CrashTrackerTest, AnswerClearsRequestOnAllHosts) {
-  ledger_.OnCrash(kRequest, Target(1), kStart);
+TEST_F(CrashTrackerTest, ResponseClearsRequestOnAllHosts) {
+  tracker_.OnCrash(kRequest, Target(1), kStart);
   ReportCrash(2);
-  ledger_.OnAnswered(kRequest, kStart + milliseconds(300));
+  tracker_.OnAnswered(kRequest, kStart + milliseconds(300));
   EXPECT_EQ(CountPublished(CrashReportKind::kAnswered), 1U);
   ReportCrash(3, kStart + seconds(5));
   EXPECT_FALSE(IsBlocked(kStart + seconds(5)));
@@ -120,7 +120,7 @@
 // A frequent request must not be blocked when several targets crash for an
 // unrelated reason.
 TEST_F(CrashTrackerTest, RecentlyAnsweredRequestIsNotBlocked) {
-  ledger_.OnAnswered(kRequest, kStart);
+  tracker_.OnAnswered(kRequest, kStart);
   for (std::uint32_t target = 1; target <= 5; ++target) {
     ReportCrash(target, kStart + milliseconds(1500));
   }
@@ -128,9 +128,9 @@
   EXPECT_EQ(CountPublished(CrashReportKind::kAnswered), 1U);
 }
 
-// A request that starts to crash targets must be blocked despite old answers.
-TEST_F(CrashTrackerTest, ExpiredAnswerDoesNotPreventBlocking) {
-  ledger_.OnAnswered(kRequest, kStart);
+// A request that starts to crash targets must be blocked despite old responses.
+TEST_F(CrashTrackerTest, ExpiredResponseDoesNotPreventBlocking) {
+  tracker_.OnAnswered(kRequest, kStart);
   for (std::uint32_t target = 1; target <= 3; ++target) {
     ReportCrash(target, kStart + milliseconds(2100));
   }
@@ -138,10 +138,10 @@
 }
 
 // A host that was disconnected or restarted may miss the block. A crash report
-// from it is answered with the block, at most once per second.
+// from it triggers another report of the block, at most once per second.
 TEST_F(CrashTrackerTest, RepeatsBlockToHostThatStillSends) {
   for (std::uint32_t target = 1; target <= 3; ++target) {
-    ledger_.OnCrash(kRequest, Target(target), kStart);
+    tracker_.OnCrash(kRequest, Target(target), kStart);
   }
   EXPECT_EQ(CountPublished(CrashReportKind::kBlocked), 1U);
   ReportCrash(7, kStart + milliseconds(500));
@@ -156,16 +156,16 @@
   }
   EXPECT_TRUE(published_.empty());
   EXPECT_FALSE(is_own_);
-  EXPECT_TRUE(ledger_.ReportsToRepeat(10, kStart).empty());
+  EXPECT_TRUE(tracker_.ReportsToRepeat(10, kStart).empty());
 }
 
 TEST_F(CrashTrackerTest, RepeatsCrashesBrieflyAndBlocksUntilExpiry) {
-  ledger_.OnCrash(kRequest, Target(1), kStart);
-  EXPECT_EQ(ledger_.ReportsToRepeat(10, kStart + seconds(4)).size(), 1U);
-  EXPECT_TRUE(ledger_.ReportsToRepeat(10, kStart + seconds(6)).empty());
+  tracker_.OnCrash(kRequest, Target(1), kStart);
+  EXPECT_EQ(tracker_.ReportsToRepeat(10, kStart + seconds(4)).size(), 1U);
+  EXPECT_TRUE(tracker_.ReportsToRepeat(10, kStart + seconds(6)).empty());
   ReportCrash(2, kStart + seconds(6));
   ReportCrash(3, kStart + seconds(6));
-  const auto reports = ledger_.ReportsToRepeat(10, kStart + minutes(2));
+  const auto reports = tracker_.ReportsToRepeat(10, kStart + minutes(2));
   ASSERT_EQ(reports.size(), 1U);
   EXPECT_EQ(reports[0].kind, CrashReportKind::kBlocked);
   EXPECT_LE(reports[0].blocked_for, Duration(minutes(10)));
@@ -173,21 +173,21 @@
 
 // A block must expire, since the target may have been fixed.
 TEST_F(CrashTrackerTest, BlockExpires) {
-  ledger_.OnReport({.kind = CrashReportKind::kBlocked,
-                    .request = kRequest,
-                    .blocked_for = minutes(3)},
-                   kStart);
+  tracker_.OnReport({.kind = CrashReportKind::kBlocked,
+                     .request = kRequest,
+                     .blocked_for = minutes(3)},
+                    kStart);
   EXPECT_TRUE(IsBlocked(kStart + minutes(2)));
   EXPECT_FALSE(IsBlocked(kStart + minutes(4)));
-  ledger_.Advance(kStart + minutes(4));
-  EXPECT_EQ(ledger_.BlockedRequests(), 0U);
+  tracker_.Advance(kStart + minutes(4));
+  EXPECT_EQ(tracker_.BlockedRequests(), 0U);
 }
 
 TEST_F(CrashTrackerTest, UnblockLiftsBlock) {
   for (std::uint32_t target = 1; target <= 3; ++target) {
     ReportCrash(target);
   }
-  ledger_.Unblock(kRequest);
+  tracker_.Unblock(kRequest);
   EXPECT_FALSE(IsBlocked());
   EXPECT_EQ(unblocked_, 1);
 }
@@ -198,14 +198,14 @@
   constexpr std::uint64_t kRequests = 25;
   for (std::uint64_t number = 1; number <= kRequests; ++number) {
     for (std::uint32_t target = 1; target <= 3; ++target) {
-      ledger_.OnCrash(RequestFingerprint::FromValue(number), Target(target),
-                      kStart);
+      tracker_.OnCrash(RequestFingerprint::FromValue(number), Target(target),
+                       kStart);
     }
   }
   std::set<RequestFingerprint> repeated;
   for (int round = 0; round < 3; ++round) {
     for (const CrashReport& report :
-         ledger_.ReportsToRepeat(10, kStart + seconds(round))) {
+         tracker_.ReportsToRepeat(10, kStart + seconds(round))) {
       repeated.insert(report.request);
     }
   }
@@ -214,28 +214,28 @@
 
 // Crashes of many other requests must not evict a blocked request.
 TEST_F(CrashTrackerTest, BlocksAreEvictedLast) {
-  CrashTracker ledger({.most_requests = 10});
-  ledger.OnReport({.kind = CrashReportKind::kBlocked,
-                   .request = kRequest,
-                   .blocked_for = minutes(3)},
-                  kStart);
+  CrashTracker tracker({.max_requests = 10});
+  tracker.OnReport({.kind = CrashReportKind::kBlocked,
+                    .request = kRequest,
+                    .blocked_for = minutes(3)},
+                   kStart);
   for (std::uint64_t number = 1; number <= 100; ++number) {
-    ledger.OnCrash(RequestFingerprint::FromValue(number), Target(1),
-                   kStart + milliseconds(static_cast<int>(number)));
+    tracker.OnCrash(RequestFingerprint::FromValue(number), Target(1),
+                    kStart + milliseconds(static_cast<int>(number)));
   }
-  EXPECT_TRUE(ledger.BlockedFor(kRequest, kStart + seconds(1)).has_value());
+  EXPECT_TRUE(tracker.BlockedFor(kRequest, kStart + seconds(1)).has_value());
 }
 
 // Crashes of many different requests must not exhaust memory.
 TEST_F(CrashTrackerTest, EntryCountIsBounded) {
-  CrashTracker ledger({.most_requests = 10});
+  CrashTracker tracker({.max_requests = 10});
   for (std::uint64_t number = 1; number <= 100; ++number) {
     const auto request = RequestFingerprint::FromValue(number);
-    ledger.OnCrash(request, Target(1),
-                   kStart + milliseconds(static_cast<int>(number)));
+    tracker.OnCrash(request, Target(1),
+                    kStart + milliseconds(static_cast<int>(number)));
   }
-  EXPECT_EQ(ledger.CrashesOf(RequestFingerprint::FromValue(1)), 0U);
-  EXPECT_EQ(ledger.CrashesOf(RequestFingerprint::FromValue(100)), 1U);
+  EXPECT_EQ(tracker.CrashesOf(RequestFingerprint::FromValue(1)), 0U);
+  EXPECT_EQ(tracker.CrashesOf(RequestFingerprint::FromValue(100)), 1U);
 }
 
 }  // namespace
--- a/tests/unit/request_path/placement_policy_test.cc
+++ b/tests/unit/request_path/placement_policy_test.cc
@@ -41,15 +41,15 @@
                          .times = times_,
                          .distances = distances_,
                          .loads = loads_,
-                         .cold_allowance = 1,
+                         .cold_send_limit = 1,
                          .excluded = excluded_,
                          .allowed_regions = allowed_,
                          .options = options_},
                         kStart);
   }
 
-  /// @return an object whose order the first target leads.
-  std::string ObjectOfFirst() {
+  /// @return an object whose order starts with the first target.
+  std::string ObjectPreferringFirstTarget() {
     int number = 0;
     while (true) {
       std::string object = std::to_string(number++);
@@ -73,11 +73,11 @@
   std::vector<RegionName> allowed_;
 };
 
-TEST_F(PlacementTest, NoTargetNoPlacement) {
+TEST_F(PlacementTest, ReturnsNothingWithoutTargets) {
   EXPECT_FALSE(Choose("x"));
 }
 
-TEST_F(PlacementTest, AnObjectKeepsItsTargetWhileThatHasRoom) {
+TEST_F(PlacementTest, ObjectStaysOnItsTargetWhileItHasFreeSlots) {
   for (int i = 0; i < 5; ++i) {
     Add("t" + std::to_string(i), kNear, 7);
   }
@@ -92,10 +92,11 @@
   }
 }
 
-// A region has filled up since its targets last told this host anything, but
-// for one that has just answered. A request that could go there must not take
-// the others for empty: it would wait behind what all other hosts sent.
-TEST_F(PlacementTest, OneReportTellsOfTheTargetsBesideIt) {
+// A region has filled up since this host received the last reports from its
+// targets, except for one new report. The host must not assume that the other
+// targets of the region are idle, or a request would wait behind the requests
+// of all other hosts.
+TEST_F(PlacementTest, OneReportUpdatesTheEstimatesOfTheWholeRegion) {
   TargetState& near = Add("near-1", kNear, 3);
   near.OnReport({.running = 2, .slots = 3}, kStart);
   loads_.OnReport(kNear, 2, kStart);
@@ -112,7 +113,7 @@
   EXPECT_GT(Choose("object")->expected_wait, milliseconds(100));
 }
 
-TEST(RegionLoadTest, FollowsReportsOfTheLastSecond) {
+TEST(RegionLoadTest, FollowsReportsFromTheLastSecond) {
   RegionLoad loads;
   EXPECT_FALSE(loads.MeanOf(kNear));
   loads.OnReport(kNear, 0, kStart);
@@ -124,18 +125,18 @@
   EXPECT_FALSE(loads.MeanOf(kFar));
 }
 
-// All targets are full and one request is for an object that the first of them
-// has. Waiting there a little is dearer for its caller than cold work in a slot
-// that has just come free, and cheaper for all others together: run without the
-// object the request holds that slot three times as long.
-TEST_F(PlacementTest, AFullServiceKeepsObjectsWhereTheyAre) {
+// All targets are full, and the first one has the requested object. A short
+// wait there takes longer for the caller than a cold run in a slot that has
+// just become free, but it is cheaper for all other requests: a cold run
+// occupies that slot for three times as long.
+TEST_F(PlacementTest, SaturatedServiceKeepsObjectsOnTheirTargets) {
   for (int i = 0; i < 4; ++i) {
     TargetState& target = Add("t" + std::to_string(i), kNear, 3);
     target.OnReport({.running = 3, .waiting = i == 0 ? 4U : 0U, .slots = 3},
                     kStart);
     target.OnSentByOtherHost(ObjectKey("some other object"));
   }
-  const std::string object = ObjectOfFirst();
+  const std::string object = ObjectPreferringFirstTarget();
   targets_[0]->OnSentByOtherHost(ObjectKey(object));
   options_.slot_cost_weight = 0;
   EXPECT_NE(Choose(object)->target, targets_[0].get());
@@ -154,20 +155,20 @@
   EXPECT_EQ(used.size(), 6U);
 }
 
-// One object is asked for far more often than a target's slots bear. Its
-// callers must not wait at the one that has it for longer than another one,
-// idle and without the object, would take.
-TEST_F(PlacementTest, APopularObjectSpillsToOtherTargets) {
+// One object is requested far more often than one target's slots can handle.
+// Its callers must not wait for the target that has it for longer than a cold
+// run on an idle target would take.
+TEST_F(PlacementTest, PopularObjectSpillsOverToOtherTargets) {
   for (int i = 0; i < 4; ++i) {
     Add("t" + std::to_string(i), kNear);
   }
-  const Duration idle_and_cold =
+  const Duration cold_run_on_idle_target =
       distances_.RoundTrip(kNear) + times_.Work(false);
   std::set<const TargetState*> used;
   for (int i = 0; i < 24; ++i) {
     const Placement placement = *Choose("popular");
     if (used.size() < 4) {
-      EXPECT_LE(placement.expected, idle_and_cold);
+      EXPECT_LE(placement.expected, cold_run_on_idle_target);
     }
     placement.target->OnSent(ObjectKey("popular"), kStart);
     used.insert(placement.target);
@@ -175,7 +176,7 @@
   EXPECT_EQ(used.size(), 4U);
 }
 
-TEST_F(PlacementTest, TheNearRegionIsTakenUnlessItsWaitIsLongerThanTheWay) {
+TEST_F(PlacementTest, PrefersTheNearRegionUnlessItsWaitExceedsTheRoundTrip) {
   TargetState& near = Add("near", kNear);
   Add("far", kFar);
   EXPECT_EQ(Choose("x")->target, &near);
@@ -186,7 +187,7 @@
   EXPECT_EQ(Choose("x")->target->Region(), kFar);
 }
 
-TEST_F(PlacementTest, OnlyAllowedRegionsAndTargetsNotYetTried) {
+TEST_F(PlacementTest, SkipsForbiddenRegionsAndExcludedTargets) {
   Add("near", kNear);
   Add("far", kFar);
   allowed_ = {kFar};
@@ -195,7 +196,7 @@
   EXPECT_FALSE(Choose("x"));
 }
 
-TEST_F(PlacementTest, AColdTargetGetsNoMoreThanItsAllowance) {
+TEST_F(PlacementTest, ColdTargetGetsNoMoreThanItsSendLimit) {
   TargetState& cold = Add("cold", kNear);
   cold.MarkCold(kStart + seconds(3));
 
@@ -204,24 +205,24 @@
   EXPECT_FALSE(Choose("x"));
 }
 
-TEST_F(PlacementTest, ATargetThatFailsTwiceRestsAndIsTriedWithOneRequest) {
+TEST_F(PlacementTest, BacksOffAfterTwoFailuresAndProbesWithOneRequest) {
   TargetState& target = Add("t", kNear);
   for (int i = 0; i < 2; ++i) {
     target.OnSent(ObjectKey("x"), kStart);
     target.OnEnded(AttemptEnd::kNeverSent, std::nullopt, kStart);
   }
-  EXPECT_TRUE(target.IsResting(kStart));
+  EXPECT_TRUE(target.IsBackedOff(kStart));
   EXPECT_FALSE(Choose("x"));
 
   const MonotonicTime later = kStart + seconds(1);
-  EXPECT_FALSE(target.IsResting(later));
+  EXPECT_FALSE(target.IsBackedOff(later));
   target.OnSent(ObjectKey("x"), later);
-  EXPECT_TRUE(target.IsResting(later));
+  EXPECT_TRUE(target.IsBackedOff(later));
   target.OnEnded(AttemptEnd::kAnswered, 1.0, later);
-  EXPECT_FALSE(target.IsResting(later));
+  EXPECT_FALSE(target.IsBackedOff(later));
 }
 
-TEST_F(PlacementTest, ASlowTargetGetsLess) {
+TEST_F(PlacementTest, AvoidsASlowTarget) {
   TargetState& slow = Add("slow", kNear);
   TargetState& good = Add("good", kNear);
   for (int i = 0; i < 20; ++i) {
@@ -233,7 +234,7 @@
   }
 }
 
-TEST_F(PlacementTest, OtherHostsWorkCountsThroughReportsAndFades) {
+TEST_F(PlacementTest, ReportedLoadFromOtherHostsDecays) {
   TargetState& target = Add("t", kNear);
   target.OnReport({.running = 3, .waiting = 4, .slots = 3}, kStart);
 
@@ -241,10 +242,11 @@
   EXPECT_LT(target.EstimatedLoad({}, 0.5, kStart + seconds(2)), 3.0);
 }
 
-// A target fails at once whatever it is asked, and so looks free. Callers must
-// not be drawn there: after some bad answers in a row it rests, and one that
-// fails a part of its requests keeps its objects.
-TEST_F(PlacementTest, ATargetThatOnlyFailsRestsAndOneThatFailsAPartDoesNot) {
+// A target that fails every request immediately appears idle. It must not
+// attract requests: it is backed off after several consecutive error responses.
+// A target that fails only some of its requests keeps its objects.
+TEST_F(PlacementTest,
+       BacksOffATargetThatAlwaysFailsButNotOneThatFailsSometimes) {
   TargetState& failing = Add("failing", kNear);
   TargetState& shedding = Add("shedding", kNear);
   for (int i = 0; i < 30; ++i) {
@@ -255,8 +257,8 @@
                      std::nullopt, kStart);
   }
 
-  EXPECT_TRUE(failing.IsResting(kStart));
-  EXPECT_FALSE(shedding.IsResting(kStart));
+  EXPECT_TRUE(failing.IsBackedOff(kStart));
+  EXPECT_FALSE(shedding.IsBackedOff(kStart));
   for (const std::string_view object : {"p", "q", "r", "s", "t", "u"}) {
     EXPECT_EQ(Choose(object)->target, &shedding);
   }
--- a/tests/unit/request_path/rate_limits_test.cc
+++ b/tests/unit/request_path/rate_limits_test.cc
@@ -131,9 +131,9 @@
   EXPECT_GT(limits_.OwnRate(kTarget).value(), 0);
 }
 
-// A slow answer without a limit to a request sent before the limit was declared
-// must not lift it.
-TEST_F(RateLimitsTest, OutdatedAnswerDoesNotLiftTheLimit) {
+// A slow response without a limit to a request sent before the limit was
+// declared must not lift it.
+TEST_F(RateLimitsTest, OutdatedResponseDoesNotLiftTheLimit) {
   Answer(2.0, kStart);
   Answer(std::nullopt, kStart + milliseconds(100), seconds(1));
   EXPECT_EQ(lifted_count_, 0);
@@ -156,7 +156,7 @@
   EXPECT_TRUE(limits_.IsEmpty());
 }
 
-// Publishing the limit of each answer would flood the network.
+// Publishing the limit of each response would overload the network.
 TEST_F(RateLimitsTest, PublishesChangesAtOnceAndUnchangedLimitsPeriodically) {
   Answer(2.0, kStart);
   Answer(2.05, kStart + milliseconds(500));
@@ -167,7 +167,7 @@
   EXPECT_EQ(published_.size(), 3U);
 }
 
-// A limit that no answer or report confirms must not stay in force.
+// A limit that no response or report confirms must not stay in force.
 TEST_F(RateLimitsTest, UnconfirmedLimitExpires) {
   Answer(0.0, kStart);
   limits_.Advance(kStart + seconds(59));
@@ -177,7 +177,7 @@
 }
 
 // A report of 0 would end the limit on other hosts, and without probes no
-// answer could ever end it.
+// response could ever end it.
 TEST_F(RateLimitsTest, LimitOfZeroIsReportedAndStillProbed) {
   Answer(0.0, kStart);
   ASSERT_EQ(published_.size(), 1U);
--- a/tests/unit/request_path/region_plan_test.cc
+++ b/tests/unit/request_path/region_plan_test.cc
@@ -34,15 +34,15 @@
   return distance;
 }
 
-struct FirstPlanCase {
+struct InitialPlanCase {
   RegionSlots slots;
   double own;
   double north;
 };
 
-class FirstPlanTable : public testing::TestWithParam<FirstPlanCase> {};
+class InitialPlanTable : public testing::TestWithParam<InitialPlanCase> {};
 
-TEST_P(FirstPlanTable, KeepsWhatTheRegionBearsAndSendsTheRestWhereRoomIsLeft) {
+TEST_P(InitialPlanTable, KeepsTheOwnCapacityAndSendsTheRestToSpareSlots) {
   RegionPlan plan(kOwn, kOptions);
   plan.Advance(GetParam().slots, kStart);
 
@@ -52,17 +52,17 @@
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    FirstPlanTable,
+    InitialPlanTable,
     testing::Values(
-        FirstPlanCase{{{kOwn, 14}, {kSouth, 28}, {kNorth, 42}}, 0.5, 0.5},
-        FirstPlanCase{{{kOwn, 10}, {kSouth, 10}, {kNorth, 10}}, 1.0, 0.0},
-        FirstPlanCase{{{kOwn, 10}}, 1.0, 0.0},
-        FirstPlanCase{{{kNorth, 10}}, 0.0, 1.0}));
-
-// The own region's targets fill within a moment, and no request has room there
-// while another region has. Callers must not be moved at once: what moves in
-// any two seconds stays below the bound.
-TEST(RegionPlanTest, MovesNoFasterThanItsBound) {
+        InitialPlanCase{{{kOwn, 14}, {kSouth, 28}, {kNorth, 42}}, 0.5, 0.5},
+        InitialPlanCase{{{kOwn, 10}, {kSouth, 10}, {kNorth, 10}}, 1.0, 0.0},
+        InitialPlanCase{{{kOwn, 10}}, 1.0, 0.0},
+        InitialPlanCase{{{kNorth, 10}}, 0.0, 1.0}));
+
+// The targets of the host's own region fill up suddenly, and no request finds
+// capacity there while another region has some. Callers must not be moved all
+// at once: the fraction moved in any two seconds stays within the limit.
+TEST(RegionPlanTest, MovesNoFasterThanTheLimit) {
   const RegionSlots slots = {{kOwn, 10}, {kNorth, 10}};
   RegionPlan plan(kOwn, kOptions);
   plan.Advance(slots, kStart);
@@ -80,7 +80,7 @@
   EXPECT_NEAR(ShareOf(plan, kNorth), 1.0, 0.01);
 }
 
-TEST(RegionPlanTest, ObjectsKeepTheirRegionButForThePartThatMoved) {
+TEST(RegionPlanTest, OnlyTheShiftedFractionOfObjectsChangesRegion) {
   const RegionSlots slots = {{kOwn, 10}, {kNorth, 10}, {kSouth, 10}};
   RegionPlan plan(kOwn, kOptions);
   plan.Advance(slots, kStart);
@@ -107,7 +107,7 @@
               Distance(before, moved.Shares()), 0.02);
 }
 
-TEST(RegionPlanTest, ARegionThatLosesAllItsSlotsGetsNothingMore) {
+TEST(RegionPlanTest, RegionWithoutSlotsGetsNoRequests) {
   RegionPlan plan(kOwn, kOptions);
   plan.Advance({{kOwn, 10}, {kNorth, 10}}, kStart);
   plan.Advance({{kNorth, 10}}, kStart + milliseconds(10));
@@ -117,10 +117,11 @@
   }
 }
 
-// All is well, but single requests meet a full target for a popular object.
-// Moving other objects would run them anew elsewhere and help nobody: callers
-// keep their region, and hosts that saw different requests keep one plan.
-TEST(RegionPlanTest, SingleRequestsWithoutRoomMoveNothing) {
+// There is enough capacity, but single requests for a popular object find its
+// target full. Moving other objects would only make them run cold elsewhere.
+// Callers keep their region, and hosts that observed different requests keep
+// the same plan.
+TEST(RegionPlanTest, SingleOverflowingRequestsDoNotChangeThePlan) {
   const RegionSlots slots = {{kOwn, 10}, {kNorth, 20}, {kSouth, 30}};
   RegionPlan plan(kOwn, kOptions);
   RegionPlan other(kOwn, kOptions);
@@ -136,9 +137,9 @@
   EXPECT_NEAR(Distance(plan.Shares(), other.Shares()), 0.0, 1e-9);
 }
 
-// A wave fills the region for some seconds and passes. Callers are moved while
-// it lasts, and come back afterwards as slowly.
-TEST(RegionPlanTest, ComesBackWhenThereIsRoomAgain) {
+// A demand wave fills the region for some seconds and ends. Callers are moved
+// while it lasts, and return afterwards at the same limited rate.
+TEST(RegionPlanTest, ReturnsWhenCapacityIsAvailableAgain) {
   const RegionSlots slots = {{kOwn, 10}, {kNorth, 10}};
   RegionPlan plan(kOwn, kOptions);
   plan.Advance(slots, kStart);
--- a/tests/unit/request_path/request_path_test.cc
+++ b/tests/unit/request_path/request_path_test.cc
@@ -17,7 +17,7 @@
 constexpr MonotonicTime kStart{std::chrono::hours(1)};
 const ServiceName kService("desk");
 
-class NoObserver final : public TargetDirectoryObserver {
+class NullObserver final : public TargetDirectoryObserver {
  public:
   void OnTargetChange(TargetChange /*change*/,
                       const TargetRecord& /*target*/) override {}
@@ -47,7 +47,7 @@
                          .domain = FailureDomainName("d"),
                          .slots = 3});
     }
-    book_.ReplaceAll(records, {}, std::nullopt, kStart);
+    directory_.ReplaceAll(records, {}, std::nullopt, kStart);
   }
 
   RequestStart Begin(std::optional<Duration> time_left = std::nullopt,
@@ -57,144 +57,148 @@
         now);
   }
 
-  NoObserver observer_;
+  NullObserver observer_;
   fakes::SeededRandom random_{1};
   routing::RouteTable routes_;
-  TargetDirectory book_{{{FailureDomainName("d"), RegionName("here")}},
-                        observer_};
+  TargetDirectory directory_{{{FailureDomainName("d"), RegionName("here")}},
+                             observer_};
   RequestPath path_{{.own_region = RegionName("here"),
                      .retry_limit = {.ratio = 0.2, .fixed = 50}},
                     routes_,
-                    book_,
+                    directory_,
                     random_};
   std::uint64_t version_ = 0;
   bool is_sticky_ = true;
 };
 
-const RequestFailure* EndingIn(const Step& step) {
+const RequestFailure* FailureIn(const Step& step) {
   return std::get_if<RequestFailure>(&step);
 }
 
-TEST_F(RequestPathTest, WithoutAConfigurationNothingIsDenied) {
-  const RequestStart begun = Begin();
+TEST_F(RequestPathTest, RefusesWithRetryTimeWhileNotConfigured) {
+  const RequestStart start = Begin();
 
-  ASSERT_NE(EndingIn(begun.step), nullptr);
-  EXPECT_EQ(EndingIn(begun.step)->reason, FailureReason::kNotConfigured);
-  EXPECT_TRUE(EndingIn(begun.step)->is_not_run);
-  EXPECT_TRUE(EndingIn(begun.step)->retry_after);
+  ASSERT_NE(FailureIn(start.step), nullptr);
+  EXPECT_EQ(FailureIn(start.step)->reason, FailureReason::kNotConfigured);
+  EXPECT_TRUE(FailureIn(start.step)->is_not_run);
+  EXPECT_TRUE(FailureIn(start.step)->retry_after);
 }
 
-TEST_F(RequestPathTest, AMissingRouteIsDeniedOnlyWhileTheNewsIsFresh) {
+TEST_F(RequestPathTest, MissingRouteIsFinalOnlyWhileTheConfigurationIsCurrent) {
   Configure(RequestKind::kIdempotent);
   const CallerRequest request{.host = "other", .target = "/"};
 
-  EXPECT_EQ(EndingIn(path_.Begin(request, kStart).step)->reason,
+  EXPECT_EQ(FailureIn(path_.Begin(request, kStart).step)->reason,
             FailureReason::kNoRoute);
   path_.SetConfigurationStale(true);
-  EXPECT_EQ(EndingIn(path_.Begin(request, kStart).step)->reason,
+  EXPECT_EQ(FailureIn(path_.Begin(request, kStart).step)->reason,
             FailureReason::kNoRouteYet);
 }
 
-TEST_F(RequestPathTest, ATargetIsToldTheTimeThatIsLeftAndNeverMore) {
+TEST_F(RequestPathTest, StatesTheRemainingTimeToTheTarget) {
   Configure(RequestKind::kIdempotent);
-  const RequestStart begun = Begin(milliseconds(900));
-  const auto first = std::get<SendAttempt>(begun.step);
+  const RequestStart start = Begin(milliseconds(900));
+  const auto first = std::get<SendAttempt>(start.step);
   EXPECT_LE(first.time_left, milliseconds(900));
 
   const Step step =
-      path_.OnAttemptEnd(begun.ticket, first.attempt, AttemptEnd::kLost,
+      path_.OnAttemptEnd(start.ticket, first.attempt, AttemptEnd::kLost,
                          kStart + milliseconds(300));
   EXPECT_LE(std::get<SendAttempt>(step).time_left, milliseconds(600));
 }
 
-struct RepeatCase {
+struct RetryCase {
   std::string name;
   RequestKind kind;
   AttemptEnd end;
   bool is_sent_again;
-  bool is_not_run;  ///< When it is not sent again.
+  bool is_not_run;  ///< Only if it is not sent again.
 };
 
-class RepeatTable : public RequestPathTest,
-                    public testing::WithParamInterface<RepeatCase> {};
+class RetryTable : public RequestPathTest,
+                   public testing::WithParamInterface<RetryCase> {};
 
-// A send ends without an answer to pass on. What may be repeated is sent to
-// another target; what may not be, only when it is proved that it did not run;
-// and "not run" is said only when that is proved.
-TEST_P(RepeatTable, SendsAgainOnlyWhatMayRunAgain) {
+// A send ends without a response that can be forwarded. An idempotent request
+// is sent to another target. Any other request is sent again only when it is
+// proven that it did not run, and "not run" is reported only when that is
+// proven.
+TEST_P(RetryTable, RetriesOnlyRequestsThatMayRunAgain) {
   Configure(GetParam().kind);
-  const RequestStart begun = Begin();
-  const auto first = std::get<SendAttempt>(begun.step);
+  const RequestStart start = Begin();
+  const auto first = std::get<SendAttempt>(start.step);
 
   const Step step =
-      path_.OnAttemptEnd(begun.ticket, first.attempt, GetParam().end, kStart);
+      path_.OnAttemptEnd(start.ticket, first.attempt, GetParam().end, kStart);
 
   const auto* const again = std::get_if<SendAttempt>(&step);
   EXPECT_EQ(again != nullptr, GetParam().is_sent_again);
   if (again != nullptr) {
     EXPECT_NE(again->target, first.target);
   }
-  if (const RequestFailure* const ending = EndingIn(step)) {
-    EXPECT_EQ(ending->is_not_run, GetParam().is_not_run);
+  if (const RequestFailure* const failure = FailureIn(step)) {
+    EXPECT_EQ(failure->is_not_run, GetParam().is_not_run);
     EXPECT_EQ(path_.InFlight(), 0U);
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    RepeatTable,
-    testing::Values(RepeatCase{"OrderNotRun", RequestKind::kNonIdempotent,
-                               AttemptEnd::kNotRun, true, true},
-                    RepeatCase{"OrderNeverSent", RequestKind::kNonIdempotent,
-                               AttemptEnd::kNeverSent, true, true},
-                    RepeatCase{"OrderOtherTarget", RequestKind::kNonIdempotent,
-                               AttemptEnd::kWrongTarget, true, true},
-                    RepeatCase{"OrderLost", RequestKind::kNonIdempotent,
-                               AttemptEnd::kLost, false, false},
-                    RepeatCase{"OrderTimedOut", RequestKind::kNonIdempotent,
-                               AttemptEnd::kTimedOut, false, false},
-                    RepeatCase{"LookupLost", RequestKind::kIdempotent,
-                               AttemptEnd::kLost, true, false},
-                    RepeatCase{"LookupNotRun", RequestKind::kIdempotent,
-                               AttemptEnd::kNotRun, true, true}),
+    RetryTable,
+    testing::Values(
+        RetryCase{"NonIdempotentNotRun", RequestKind::kNonIdempotent,
+                  AttemptEnd::kNotRun, true, true},
+        RetryCase{"NonIdempotentNeverSent", RequestKind::kNonIdempotent,
+                  AttemptEnd::kNeverSent, true, true},
+        RetryCase{"NonIdempotentWrongTarget", RequestKind::kNonIdempotent,
+                  AttemptEnd::kWrongTarget, true, true},
+        RetryCase{"NonIdempotentLost", RequestKind::kNonIdempotent,
+                  AttemptEnd::kLost, false, false},
+        RetryCase{"NonIdempotentTimedOut", RequestKind::kNonIdempotent,
+                  AttemptEnd::kTimedOut, false, false},
+        RetryCase{"IdempotentLost", RequestKind::kIdempotent, AttemptEnd::kLost,
+                  true, false},
+        RetryCase{"IdempotentNotRun", RequestKind::kIdempotent,
+                  AttemptEnd::kNotRun, true, true}),
     [](const auto& tested) { return tested.param.name; });
 
-TEST_F(RequestPathTest, AnOrdersFailureIsPassedOnAsTheTargetGaveIt) {
+TEST_F(RequestPathTest, ForwardsTheErrorResponseToANonIdempotentRequest) {
   Configure(RequestKind::kNonIdempotent);
-  const RequestStart begun = Begin();
+  const RequestStart start = Begin();
 
   const Step step =
-      path_.OnAttemptEnd(begun.ticket, 1, AttemptEnd::kTargetFailed, kStart);
+      path_.OnAttemptEnd(start.ticket, 1, AttemptEnd::kTargetFailed, kStart);
 
   EXPECT_EQ(std::get<PassOn>(step).attempt, 1U);
 }
 
-// All targets refuse, one after the other: the caller gets its refusal after
-// as many targets as its route allows, and it is true.
-TEST_F(RequestPathTest, NoMoreTargetsThanTheRouteAllows) {
+// All targets refuse the request in turn. After as many targets as the route
+// allows, the caller gets a refusal, which correctly states that the request
+// did not run.
+TEST_F(RequestPathTest, TriesNoMoreTargetsThanTheRouteAllows) {
   Configure(RequestKind::kIdempotent, 5, 3);
-  RequestStart begun = Begin();
-  Step step = begun.step;
+  RequestStart start = Begin();
+  Step step = start.step;
   int sends = 0;
   while (const auto* const send = std::get_if<SendAttempt>(&step)) {
     ++sends;
-    step = path_.OnAttemptEnd(begun.ticket, send->attempt, AttemptEnd::kNotRun,
+    step = path_.OnAttemptEnd(start.ticket, send->attempt, AttemptEnd::kNotRun,
                               kStart);
   }
 
   EXPECT_EQ(sends, 3);
-  EXPECT_EQ(EndingIn(step)->reason, FailureReason::kRetriesExhausted);
-  EXPECT_TRUE(EndingIn(step)->is_not_run);
+  EXPECT_EQ(FailureIn(step)->reason, FailureReason::kRetriesExhausted);
+  EXPECT_TRUE(FailureIn(step)->is_not_run);
 }
 
-TEST_F(RequestPathTest, ASlowLookUpIsTriedBesideAndTheFirstAnswerCounts) {
+TEST_F(RequestPathTest,
+       HedgesASlowIdempotentRequestAndForwardsTheFirstResponse) {
   Configure(RequestKind::kIdempotent);
-  const RequestStart begun = Begin();
-  ASSERT_TRUE(std::get<SendAttempt>(begun.step).hedge_after);
+  const RequestStart start = Begin();
+  ASSERT_TRUE(std::get<SendAttempt>(start.step).hedge_after);
 
-  const Step beside = path_.OnSlow(begun.ticket, kStart + milliseconds(600));
-  ASSERT_TRUE(std::holds_alternative<SendAttempt>(beside));
-  const Step step = path_.OnAttemptEnd(begun.ticket, 2, AttemptEnd::kAnswered,
+  const Step hedged = path_.OnSlow(start.ticket, kStart + milliseconds(600));
+  ASSERT_TRUE(std::holds_alternative<SendAttempt>(hedged));
+  const Step step = path_.OnAttemptEnd(start.ticket, 2, AttemptEnd::kAnswered,
                                        kStart + milliseconds(800));
 
   const auto& pass_on = std::get<PassOn>(step);
@@ -202,35 +206,35 @@
   EXPECT_EQ(pass_on.abandoned, std::vector<AttemptNumber>{1});
 }
 
-TEST_F(RequestPathTest, AnOrderIsNeverTriedBeside) {
+TEST_F(RequestPathTest, NeverHedgesANonIdempotentRequest) {
   Configure(RequestKind::kNonIdempotent);
-  const RequestStart begun = Begin();
+  const RequestStart start = Begin();
 
-  EXPECT_FALSE(std::get<SendAttempt>(begun.step).hedge_after);
+  EXPECT_FALSE(std::get<SendAttempt>(start.step).hedge_after);
 }
 
-TEST_F(RequestPathTest, ATimeoutWhileATargetHasItSaysNothingOfNotRun) {
+TEST_F(RequestPathTest, TimeoutWhileATargetHasTheRequestIsNotReportedAsNotRun) {
   Configure(RequestKind::kNonIdempotent);
-  const RequestStart begun = Begin();
+  const RequestStart start = Begin();
 
-  const RequestFailure ending =
-      path_.OnTimeout(begun.ticket, kStart + seconds(2));
+  const RequestFailure failure =
+      path_.OnTimeout(start.ticket, kStart + seconds(2));
 
-  EXPECT_EQ(ending.reason, FailureReason::kTimedOut);
-  EXPECT_FALSE(ending.is_not_run);
+  EXPECT_EQ(failure.reason, FailureReason::kTimedOut);
+  EXPECT_FALSE(failure.is_not_run);
 }
 
-// Demand passes what the targets bear for a while. Those that would wait
-// longer than their objective allows are refused on arrival, with a time to
-// come back; those that are taken are not held up by them.
-TEST_F(RequestPathTest, SaturationRefusesOnArrivalWithATimeToComeBack) {
+// Demand exceeds the capacity of the targets for a while. Requests that would
+// wait longer than their latency objective allows are refused on arrival with a
+// retry time, so that they do not delay the accepted ones.
+TEST_F(RequestPathTest, RefusesOnArrivalWithARetryTimeWhenSaturated) {
   Configure(RequestKind::kIdempotent, 2);
   int taken = 0;
   const RequestFailure* refused = nullptr;
   Step step;
   while (taken < 100) {
     step = Begin().step;
-    refused = EndingIn(step);
+    refused = FailureIn(step);
     if (refused != nullptr) {
       break;
     }
@@ -245,38 +249,39 @@
   EXPECT_GT(*refused->retry_after, milliseconds(100));
 }
 
-TEST_F(RequestPathTest, WhatCannotEndInTimeIsRefusedOnArrival) {
+TEST_F(RequestPathTest, RefusesRequestsThatCannotFinishInTime) {
   Configure(RequestKind::kIdempotent);
 
-  EXPECT_EQ(EndingIn(Begin(milliseconds(5)).step)->reason,
+  EXPECT_EQ(FailureIn(Begin(milliseconds(5)).step)->reason,
             FailureReason::kDeadlineUnreachable);
 }
 
-// A route was added with a time limit below what cold work takes, and nothing
-// of it is warm yet. Its callers must be tried: refused, nothing would ever get
-// warm, and the route would serve nobody.
-TEST_F(RequestPathTest, ARouteWithAShortLimitIsTriedThoughNothingIsWarm) {
+// A new route has a time limit below the duration of a cold run, and none of
+// its objects are warm yet. Its requests must be sent: if they were refused, no
+// object would ever become warm, and the route would serve no requests.
+TEST_F(RequestPathTest,
+       SendsRequestsWithAShortTimeLimitWhileAllObjectsAreCold) {
   is_sticky_ = false;
   Configure(RequestKind::kIdempotent);
-  const RequestStart begun = Begin(milliseconds(300));
+  const RequestStart start = Begin(milliseconds(300));
 
-  ASSERT_TRUE(std::holds_alternative<SendAttempt>(begun.step));
-  EXPECT_GT(std::get<SendAttempt>(begun.step).placement.expected,
+  ASSERT_TRUE(std::holds_alternative<SendAttempt>(start.step));
+  EXPECT_GT(std::get<SendAttempt>(start.step).placement.expected,
             milliseconds(300));
 }
 
-TEST_F(RequestPathTest, ACallerThatLeavesFreesItsPlace) {
+TEST_F(RequestPathTest, DisconnectedCallerFreesItsSlot) {
   Configure(RequestKind::kIdempotent, 1);
-  const RequestStart begun = Begin();
-  path_.OnCallerGone(begun.ticket);
+  const RequestStart start = Begin();
+  path_.OnCallerGone(start.ticket);
 
   EXPECT_EQ(path_.InFlight(), 0U);
-  EXPECT_EQ(book_.Find({TargetName("t0")})->OwnOutstanding(), 0U);
+  EXPECT_EQ(directory_.Find({TargetName("t0")})->OwnOutstanding(), 0U);
 }
 
 // A blocked request is refused as not run with a retry time, while other
 // requests of the route are served.
-TEST_F(RequestPathTest, ABlockedRequestIsRefusedAndOthersAreServed) {
+TEST_F(RequestPathTest, RefusesABlockedRequestAndServesOthers) {
   Configure(RequestKind::kIdempotent, 5);
   const auto crashing = RequestFingerprint::Of({"crash"});
   const auto ask = [&](RequestFingerprint fingerprint) {
@@ -287,24 +292,24 @@
     path_.Crashes().OnCrash(crashing, TargetNumber{target}, kStart);
   }
   const RequestStart blocked = ask(crashing);
-  ASSERT_NE(EndingIn(blocked.step), nullptr);
-  EXPECT_EQ(EndingIn(blocked.step)->reason, FailureReason::kRequestBlocked);
-  EXPECT_TRUE(EndingIn(blocked.step)->is_not_run);
-  EXPECT_GT(EndingIn(blocked.step)->retry_after, Duration(seconds(1)));
+  ASSERT_NE(FailureIn(blocked.step), nullptr);
+  EXPECT_EQ(FailureIn(blocked.step)->reason, FailureReason::kRequestBlocked);
+  EXPECT_TRUE(FailureIn(blocked.step)->is_not_run);
+  EXPECT_GT(FailureIn(blocked.step)->retry_after, Duration(seconds(1)));
   const RequestStart other = ask(RequestFingerprint::Of({"other"}));
   EXPECT_TRUE(std::holds_alternative<SendAttempt>(other.step));
 }
 
 // A server error, which a target may send without running the request, must
 // not reset the crash count of a request that crashes targets.
-TEST_F(RequestPathTest, AServerErrorDoesNotClearARequestThatCrashesTargets) {
+TEST_F(RequestPathTest, ServerErrorDoesNotResetTheCrashCount) {
   Configure(RequestKind::kIdempotent, 5);
   const auto crashing = RequestFingerprint::Of({"crash"});
   for (std::uint32_t target = 1; target <= 3; ++target) {
-    const RequestStart begun = path_.Begin(
+    const RequestStart start = path_.Begin(
         {.host = "h", .target = "/x", .fingerprint = crashing}, kStart);
     static_cast<void>(
-        path_.OnAttemptEnd(begun.ticket, 1, AttemptEnd::kTargetFailed, kStart));
+        path_.OnAttemptEnd(start.ticket, 1, AttemptEnd::kTargetFailed, kStart));
     path_.Crashes().OnReport(
         {.request = crashing, .target = TargetNumber{target}}, kStart);
   }
@@ -313,22 +318,22 @@
 
 // A request that is blocked while a target runs it must not be retried, and
 // must not be reported as not run.
-TEST_F(RequestPathTest, ARequestBlockedInFlightIsNotSentAgain) {
+TEST_F(RequestPathTest, DoesNotRetryARequestBlockedInFlight) {
   Configure(RequestKind::kIdempotent, 5);
   const auto crashing = RequestFingerprint::Of({"crash"});
-  const RequestStart begun = path_.Begin(
+  const RequestStart start = path_.Begin(
       {.host = "h", .target = "/x", .fingerprint = crashing}, kStart);
   for (std::uint32_t target = 1; target <= 3; ++target) {
     path_.Crashes().OnReport(
         {.request = crashing, .target = TargetNumber{target}}, kStart);
   }
   EXPECT_TRUE(std::holds_alternative<AwaitAttempt>(
-      path_.OnSlow(begun.ticket, kStart + seconds(1))));
-  const Step step = path_.OnAttemptEnd(begun.ticket, 1, AttemptEnd::kLost,
+      path_.OnSlow(start.ticket, kStart + seconds(1))));
+  const Step step = path_.OnAttemptEnd(start.ticket, 1, AttemptEnd::kLost,
                                        kStart + seconds(1));
-  ASSERT_NE(EndingIn(step), nullptr);
-  EXPECT_EQ(EndingIn(step)->reason, FailureReason::kRequestBlocked);
-  EXPECT_FALSE(EndingIn(step)->is_not_run);
+  ASSERT_NE(FailureIn(step), nullptr);
+  EXPECT_EQ(FailureIn(step)->reason, FailureReason::kRequestBlocked);
+  EXPECT_FALSE(FailureIn(step)->is_not_run);
 }
 
 // A target that has used up its rate limit must get no requests, and none may
--- a/tests/unit/request_path/retry_budget_share_test.cc
+++ b/tests/unit/request_path/retry_budget_share_test.cc
@@ -15,7 +15,7 @@
 
 constexpr MonotonicTime kStart{std::chrono::hours(1)};
 
-TEST(EventWindowTest, CountsWhatIsWithinTheWindowAndForgetsTheRest) {
+TEST(EventWindowTest, CountsOnlyEventsWithinTheWindow) {
   EventWindow window(seconds(10));
   window.Add(kStart);
   window.Add(kStart + seconds(5));
@@ -25,17 +25,17 @@
   EXPECT_EQ(window.Count(kStart + seconds(30)), 0U);
 }
 
-// All targets fail at once: every caller's request asks for another send, on
-// every host, for a minute. The hosts know nothing of each other. In whatever
-// ten seconds anyone looks at, all their further sends together stay within a
-// fifth of the requests plus the fixed amount.
-TEST(RetryBudgetShareTest, AllHostsTogetherKeepTheBoundInEveryWindow) {
+// All targets fail at the same time, and every request on every host asks for a
+// retry for a minute, without coordination between the hosts. In any window of
+// ten seconds the retries of all hosts together must not exceed a fifth of the
+// requests plus the fixed amount.
+TEST(RetryBudgetShareTest, AllHostsTogetherStayWithinTheLimitInEveryWindow) {
   constexpr std::uint32_t kHosts = 8;
   const RetryLimit bound{.ratio = 0.2, .fixed = 56, .window = seconds(10)};
   fakes::SeededRandom random(7);
   std::vector<RetryBudgetShare> hosts(kHosts, RetryBudgetShare(bound));
   std::deque<MonotonicTime> requests;
-  std::deque<MonotonicTime> further;
+  std::deque<MonotonicTime> retries;
 
   for (MonotonicTime now = kStart; now < kStart + seconds(60);
        now += milliseconds(5)) {
@@ -43,25 +43,25 @@
     host.OnRequest(now);
     requests.push_back(now);
     if (host.TryTake(kHosts, now)) {
-      further.push_back(now);
+      retries.push_back(now);
     }
     while (requests.front() <= now - bound.window) {
       requests.pop_front();
     }
-    while (!further.empty() && further.front() <= now - bound.window) {
-      further.pop_front();
+    while (!retries.empty() && retries.front() <= now - bound.window) {
+      retries.pop_front();
     }
-    ASSERT_LE(static_cast<double>(further.size()),
+    ASSERT_LE(static_cast<double>(retries.size()),
               bound.ratio * static_cast<double>(requests.size()) + bound.fixed);
   }
-  EXPECT_GT(further.size(), 100U);
+  EXPECT_GT(retries.size(), 100U);
 }
 
-TEST(RetryBudgetShareTest, AHostWithoutRequestsSpendsItsPartOfTheFixedAmount) {
-  RetryBudgetShare allowance({.ratio = 0.2, .fixed = 56});
+TEST(RetryBudgetShareTest, HostWithoutRequestsMayUseItsShareOfTheFixedAmount) {
+  RetryBudgetShare budget({.ratio = 0.2, .fixed = 56});
   int granted = 0;
 
-  while (allowance.TryTake(8, kStart)) {
+  while (budget.TryTake(8, kStart)) {
     ++granted;
   }
 
--- a/tests/unit/request_path/target_directory_test.cc
+++ b/tests/unit/request_path/target_directory_test.cc
@@ -14,7 +14,7 @@
 constexpr MonotonicTime kStart{std::chrono::hours(1)};
 const ServiceName kService("desk");
 
-class NoteChanges final : public TargetDirectoryObserver {
+class RecordingObserver final : public TargetDirectoryObserver {
  public:
   void OnTargetChange(TargetChange change,
                       const TargetRecord& target) override {
@@ -35,7 +35,7 @@
  protected:
   std::vector<TargetName> UsableIds() {
     std::vector<TargetName> ids;
-    for (const RegionTargets& region : book_.Usable(kService)) {
+    for (const RegionTargets& region : directory_.Usable(kService)) {
       for (const TargetState* const target : region.targets) {
         ids.push_back(target->Record().id);
       }
@@ -43,93 +43,96 @@
     return ids;
   }
   void List(std::vector<TargetRecord> targets,
-            std::optional<MonotonicTime> doubted_until = std::nullopt,
+            std::optional<MonotonicTime> retained_until = std::nullopt,
             MonotonicTime now = kStart) {
-    book_.ReplaceAll(targets, {}, doubted_until, now);
+    directory_.ReplaceAll(targets, {}, retained_until, now);
   }
   using Ids = std::vector<TargetName>;
 
-  NoteChanges observer_;
-  TargetDirectory book_{{{FailureDomainName("a"), RegionName("north")},
-                         {FailureDomainName("b"), RegionName("south")}},
-                        observer_};
+  RecordingObserver observer_;
+  TargetDirectory directory_{{{FailureDomainName("a"), RegionName("north")},
+                              {FailureDomainName("b"), RegionName("south")}},
+                             observer_};
 };
 
-// A target says that it leaves. The store's feed is cut, and an older list is
-// read, which still shows it in service. Callers must not be sent there again.
-TEST_F(TargetDirectoryTest, OlderNewsDoesNotBringBackATargetThatLeaves) {
+// A target announces its shutdown. The registry's event stream is then
+// interrupted, and the host reads an outdated list that still contains the
+// target as active. Requests must not be sent there again.
+TEST_F(TargetDirectoryTest, OutdatedListDoesNotRestoreALeavingTarget) {
   List({MakeTarget("t1"), MakeTarget("t2")});
   TargetRecord leaving = MakeTarget("t1");
   leaving.is_leaving = true;
-  book_.Put(leaving, kStart);
+  directory_.Put(leaving, kStart);
 
   List({MakeTarget("t1"), MakeTarget("t2")});
   EXPECT_EQ(UsableIds(), Ids{TargetName("t2")});
 
-  book_.Remove(TargetName("t1"), std::nullopt);
-  book_.Put(MakeTarget("t1"), kStart);
+  directory_.Remove(TargetName("t1"), std::nullopt);
+  directory_.Put(MakeTarget("t1"), kStart);
   EXPECT_EQ(UsableIds(), Ids{TargetName("t2")});
 }
 
-// The store was away and the entries of live targets ran out. Callers go on
-// being served by those that answer; what is not registered again within the
-// time is gone.
-TEST_F(TargetDirectoryTest, LapsedEntriesAreUsedUntilTheDoubtEnds) {
+// The registry was unavailable and the entries of live targets expired.
+// Requests continue to be served by these targets; those that are not
+// registered again in time are removed.
+TEST_F(TargetDirectoryTest, ExpiredEntriesAreRetainedForALimitedTime) {
   List({MakeTarget("t1"), MakeTarget("t2")});
-  const MonotonicTime doubted_until = kStart + seconds(2);
-  List({}, doubted_until);
+  const MonotonicTime retained_until = kStart + seconds(2);
+  List({}, retained_until);
   EXPECT_EQ(UsableIds().size(), 2U);
 
-  book_.Put(MakeTarget("t2"), kStart + seconds(1));
-  book_.Advance(doubted_until);
+  directory_.Put(MakeTarget("t2"), kStart + seconds(1));
+  directory_.Advance(retained_until);
 
   EXPECT_EQ(UsableIds(), Ids{TargetName("t2")});
 }
 
-TEST_F(TargetDirectoryTest, ALeavingTargetIsNeverDoubtedButGone) {
+TEST_F(TargetDirectoryTest, LeavingTargetIsRemovedInsteadOfRetained) {
   TargetRecord leaving = MakeTarget("t1");
   leaving.is_leaving = true;
   List({leaving});
 
   List({}, kStart + seconds(2));
 
-  EXPECT_EQ(book_.Size(), 0U);
+  EXPECT_EQ(directory_.Size(), 0U);
 }
 
-TEST_F(TargetDirectoryTest, ARemovedEntryIsGoneAtOnceWhileTheStoreIsWell) {
+TEST_F(TargetDirectoryTest, RemovesTheTargetAtOnceWhileTheRegistryIsAvailable) {
   List({MakeTarget("t1")});
-  book_.Remove(TargetName("t1"), std::nullopt);
+  directory_.Remove(TargetName("t1"), std::nullopt);
 
   EXPECT_TRUE(UsableIds().empty());
   EXPECT_EQ(observer_.changes.back().first, TargetChange::kRemoved);
 }
 
-TEST_F(TargetDirectoryTest, AnEvacuatedDomainGetsNothingAndComesBackCold) {
-  book_.SetColdTime(kService, seconds(3));
+TEST_F(TargetDirectoryTest, EvacuatedDomainGetsNoRequestsAndReturnsCold) {
+  directory_.SetColdTime(kService, seconds(3));
   List({MakeTarget("t1", "a"), MakeTarget("t2", "b")});
 
-  book_.SetEvacuated({FailureDomainName("a")}, kStart);
+  directory_.SetEvacuated({FailureDomainName("a")}, kStart);
   EXPECT_EQ(UsableIds(), Ids{TargetName("t2")});
 
-  book_.SetEvacuated({}, kStart);
+  directory_.SetEvacuated({}, kStart);
   EXPECT_EQ(UsableIds().size(), 2U);
-  EXPECT_TRUE(book_.Find({TargetName("t1")})->IsCold(kStart + seconds(2)));
-  EXPECT_FALSE(book_.Find({TargetName("t1")})->IsCold(kStart + seconds(3)));
-  EXPECT_FALSE(book_.Find({TargetName("t2")})->IsCold(kStart));
+  EXPECT_TRUE(directory_.Find({TargetName("t1")})->IsCold(kStart + seconds(2)));
+  EXPECT_FALSE(
+      directory_.Find({TargetName("t1")})->IsCold(kStart + seconds(3)));
+  EXPECT_FALSE(directory_.Find({TargetName("t2")})->IsCold(kStart));
 }
 
-TEST_F(TargetDirectoryTest, ATargetThatAppearsLaterIsColdWhateverItSays) {
-  book_.SetColdTime(kService, seconds(3));
+TEST_F(TargetDirectoryTest,
+       TargetThatAppearsLaterIsColdWhateverItsEntryStates) {
+  directory_.SetColdTime(kService, seconds(3));
   List({MakeTarget("t1")});
-  book_.Put(MakeTarget("t2"), kStart);
+  directory_.Put(MakeTarget("t2"), kStart);
 
-  EXPECT_FALSE(book_.Find({TargetName("t1")})->IsCold(kStart));
-  EXPECT_TRUE(book_.Find({TargetName("t2")})->IsCold(kStart + seconds(2)));
+  EXPECT_FALSE(directory_.Find({TargetName("t1")})->IsCold(kStart));
+  EXPECT_TRUE(directory_.Find({TargetName("t2")})->IsCold(kStart + seconds(2)));
 }
 
-TEST_F(TargetDirectoryTest, ATargetWhoseAddressAnotherHasGetsNothing) {
+TEST_F(TargetDirectoryTest, TargetWhoseAddressIsReusedGetsNoRequests) {
   List({MakeTarget("t1")});
-  book_.Find({TargetName("t1")})->MarkReplaced();
+  directory_.Find({TargetName("t1")})->MarkReplaced();
 
   EXPECT_TRUE(UsableIds().empty());
 }
--- a/tests/unit/routing/route_table_test.cc
+++ b/tests/unit/routing/route_table_test.cc
@@ -30,7 +30,7 @@
 
 class RouteMatchTable : public testing::TestWithParam<MatchCase> {};
 
-TEST_P(RouteMatchTable, LongestPrefixOfTheHostTakesTheRequest) {
+TEST_P(RouteMatchTable, FindsTheLongestMatchingPrefixOfTheHost) {
   RouteTable table;
   ASSERT_TRUE(table.Apply(MakeConfiguration(1)));
 
@@ -53,7 +53,7 @@
                     MatchCase{"unknown.example", "/a/", ""},
                     MatchCase{"", "/a/", ""}));
 
-TEST(RouteTableTest, AnOlderOrEqualVersionChangesNothing) {
+TEST(RouteTableTest, IgnoresAnOlderOrEqualVersion) {
   RouteTable table;
   ASSERT_TRUE(table.Apply(MakeConfiguration(7)));
   RoutingConfiguration older = MakeConfiguration(6);
@@ -67,7 +67,7 @@
   EXPECT_NE(table.Find("menus.example", "/"), nullptr);
 }
 
-TEST(RouteTableTest, ARouteInUseOutlivesItsVersion) {
+TEST(RouteTableTest, RouteInUseOutlivesItsVersion) {
   RouteTable table;
   ASSERT_TRUE(table.Apply(MakeConfiguration(1)));
   const auto route = table.Find("menus.example", "/a/b/");
@@ -78,7 +78,7 @@
   EXPECT_EQ(table.Find("menus.example", "/a/b/"), nullptr);
 }
 
-TEST(RouteTableTest, PartsGetTheirWeightInEveryRunOfRequests) {
+TEST(RouteTableTest, EachServiceGetsItsShareInEverySequenceOfRequests) {
   Route route = MakeRoute("split", "menus.example", "/");
   route.weighted_services = {{.service = ServiceName("a"), .weight = 90},
                              {.service = ServiceName("b"), .weight = 10}};
@@ -86,18 +86,18 @@
   std::map<ServiceName, int> counts;
 
   for (int i = 1; i <= 200; ++i) {
-    ++counts[table.ChoosePart(route)];
+    ++counts[table.ChooseService(route)];
     EXPECT_NEAR(counts[ServiceName("b")], i * 0.1, 1.0);
   }
 }
 
-TEST(RouteTableTest, PartsWithoutAnyWeightDoNotDivideByZero) {
+TEST(RouteTableTest, WeightsOfZeroDoNotDivideByZero) {
   Route route = MakeRoute("split", "menus.example", "/");
   route.weighted_services = {{.service = ServiceName("a"), .weight = 0},
                              {.service = ServiceName("b"), .weight = 0}};
   RouteTable table;
 
-  EXPECT_FALSE(table.ChoosePart(route).IsEmpty());
+  EXPECT_FALSE(table.ChooseService(route).IsEmpty());
 }
 
 }  // namespace
