--- a/lib/libmedlarcroft/include/medlarcroft/decision/attempt_rules.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/attempt_rules.h
@@ -5,40 +5,42 @@
 
 namespace medlarcroft::decision {
 
-/// @brief When an attempt's slot at the target may be used again.
+/// @brief When an attempt's slot at the target is released.
 enum class SlotRelease {
-  kAtOnce,         ///< The target has ended the attempt, or never had it.
-  kAfterGrace,     ///< It was told to stop, and does within moments.
-  kAfterDeadline,  ///< It may work on until the deadline that it was given.
+  kImmediately,  ///< The target has ended the attempt or never received it.
+  kAfterGracePeriod,  ///< The target was asked to stop and soon does.
+  kAfterDeadline,     ///< The target may continue until the request deadline.
 };
 
-/// @brief What an outcome of an attempt says and allows.
+/// @brief What the outcome of an attempt proves and permits.
 struct AttemptRules {
   RunState run_state = RunState::kUnknown;
-  /// The answer may be passed to the caller.
+  /// There is a complete answer that may be passed to the caller.
   bool has_answer = false;
-  /// Another attempt may help an idempotent request.
+  /// Another attempt may succeed, if the request can safely be repeated.
   bool is_retryable = false;
+  /// Counts as a failure in the health of the target.
   bool is_target_failure = false;
-  /// Another attempt takes nothing from the retry budget.
+  /// Another attempt takes no token from the retry budget.
   ///
-  /// Failure: hedges have just spent the budget when a target begins to leave.
-  /// Symptom: a planned drain costs callers "not run" refusals. A target that
-  /// said that it leaves gets nothing new, so such retries end with what was in
-  /// flight there, at most its slots; they can't multiply the load.
+  /// Otherwise a planned drain would cause refusals with "not run" for callers
+  /// when hedges have just spent the budget as a target starts to drain. A
+  /// target that reports that it is leaving gets no new requests, so the number
+  /// of such retries is limited to its requests in flight, which is at most its
+  /// number of slots; they cannot multiply the load.
   bool is_retry_budget_exempt = false;
-  SlotRelease release = SlotRelease::kAtOnce;
+  SlotRelease release = SlotRelease::kImmediately;
 };
 
-/// @brief The rules for an outcome.
+/// @brief Returns the rules for an outcome.
 ///
-/// Harm prevented by the slot that is held after a timeout or a lost
-/// connection: the target may still work on the request, and one more sent to
-/// the free-looking slot would be over its limit.
+/// The slot is kept after a timeout or a lost connection because the target may
+/// still be working on the request; another request sent to a slot that only
+/// seems free would exceed the target's limit.
 [[nodiscard]] const AttemptRules& RulesFor(AttemptOutcome outcome);
 
-/// @return whether a request may have another attempt after this outcome: a
-/// non-idempotent one only with proof that it did not run.
+/// @return whether a request may be retried after this outcome; a
+/// non-idempotent request may be retried only if it certainly did not run.
 [[nodiscard]] bool MayRetry(const AttemptRules& rules, bool is_idempotent);
 
 }  // namespace medlarcroft::decision
--- a/lib/libmedlarcroft/include/medlarcroft/decision/explanation.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/explanation.h
@@ -13,28 +13,28 @@
 
 namespace medlarcroft::decision {
 
-/// @brief What this host saw of one target.
+/// @brief What this host has observed of one target.
 struct TargetObservationReport {
   TargetName target;
   bool is_leaving = false;
   bool is_ejected = false;
   std::uint32_t outstanding = 0;
-  /// Mean of recent answers; zero before the first.
+  /// Mean latency of recent answers; zero before the first answer.
   Duration latency{0};
 };
 
-/// @brief The rule that decides how much of a target is used now.
+/// @brief The rule that limits how many slots of a target this host uses now.
 enum class TargetUsageRule {
   kFullShare,
-  kRamping,       ///< Cold, back from ejection, or it shed work.
-  kProbing,       ///< One request at a time after an ejection.
-  kEjected,       ///< Slow or failing by this host's own measurements.
-  kLeaving,       ///< Some source said that it leaves.
-  kLeaseExpired,  ///< This host's share of it has ended.
-  kNoShare,       ///< This host holds no slot of it.
+  kRamping,       ///< Cold start, return from ejection or recent shedding.
+  kProbing,       ///< After an ejection: one request at a time.
+  kEjected,       ///< Slow or failing, as measured by this host.
+  kLeaving,       ///< Reported as leaving by any source.
+  kLeaseExpired,  ///< The lease on this host's share has expired.
+  kNoShare,       ///< This host holds none of its slots.
 };
 
-/// @brief Inputs and rule for one target.
+/// @brief The rule that applies to one target, and its inputs.
 struct TargetExplanation {
   TargetName target;
   TargetUsageRule rule = TargetUsageRule::kFullShare;
@@ -42,14 +42,14 @@
   std::uint32_t share = 0;
   std::uint32_t usable = 0;
   std::uint32_t outstanding = 0;
-  double relative_latency = 1.0;  ///< To the service's mean.
+  double relative_latency = 1.0;  ///< Relative to the service's mean.
   double failure_ratio = 0.0;
-  double score = 0.0;  ///< Of two random choices the lower one is taken.
-  std::optional<Duration> report_age;  ///< Absent: never reported.
+  double score = 0.0;  ///< Of two random candidates, the lower score wins.
+  std::optional<Duration> report_age;  ///< Absent if never reported.
 };
 
-/// @brief Inputs for one brand; the last one stands for all brands that the
-/// catalogue does not name.
+/// @brief Inputs for one brand; the last entry stands for all brands that are
+/// not in the catalogue.
 struct BrandExplanation {
   BrandName brand;
   double weight = 1.0;
@@ -57,11 +57,11 @@
   Duration predicted_wait{0};
 };
 
-/// @brief What happens to a request of an idle brand that arrives now, which
-/// rule decides it, and with which inputs and limits.
+/// @brief The decision for a request of an idle brand that arrives now, with
+/// the rule, inputs and limits that it is based on.
 struct Explanation {
   ServiceName service;
-  /// Absent: it is dispatched or queued.
+  /// Absent if the request would be dispatched or queued.
   std::optional<RefusalReason> would_refuse;
   std::uint32_t usable_slots = 0;
   std::uint32_t outstanding = 0;
--- a/lib/libmedlarcroft/include/medlarcroft/decision/fair_queue.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/fair_queue.h
@@ -15,32 +15,35 @@
 
 namespace medlarcroft::decision {
 
-/// @brief One service's waiting requests, shared fairly between brands
-/// (weighted start-time fair queueing).
+/// @brief Queue of one service's waiting requests, shared between brands by
+/// weighted start-time fair queueing.
 ///
-/// Load: one brand sends many times its share. Harm prevented: the other
-/// brands' callers wait behind it or are refused. Each brand is served in
-/// proportion to its weight while it has work; what it leaves is the others'.
-/// Brands that the catalogue does not name share one flow of weight one, so
-/// that made-up names gain neither slots nor memory.
+/// When one brand sends many times its share, a single queue would make the
+/// callers of the other brands wait behind it or be refused. Here each brand
+/// with waiting requests is served in proportion to its weight, and capacity
+/// that a brand does not use goes to the others. Brands that are not in the
+/// catalogue share one flow of weight one, so that invented brand names gain
+/// neither slots nor memory.
 class FairQueue {
  public:
   using FlowIndex = std::uint32_t;
 
   explicit FairQueue(bool is_fair);
 
-  /// Replaces weights; waiting requests stay, those of a removed brand with
-  /// the unnamed ones.
+  /// Replaces the weights. Waiting requests are kept; those of a removed brand
+  /// move to the flow for brands outside the catalogue.
   void Configure(std::span<const catalogue::BrandShare> brands);
 
   [[nodiscard]] FlowIndex FlowOf(const BrandName& brand) const;
 
   void Push(FlowIndex flow, RequestTicket ticket);
-  /// Puts a request that was dispatched already before the others of its flow.
+  /// Queues a request that has been dispatched before ahead of the others of
+  /// its flow.
   void PushFront(FlowIndex flow, RequestTicket ticket);
-  /// Takes out the request whose turn it is, or nullopt when none waits.
+  /// Removes and returns the next request; nullopt if none is waiting.
   [[nodiscard]] std::optional<RequestTicket> Pop();
-  /// A request that went past the queue still uses up its brand's turn.
+  /// Accounts for a request that bypassed the queue, so that it still counts
+  /// against its brand's share.
   void Charge(FlowIndex flow);
   void Remove(FlowIndex flow, RequestTicket ticket);
 
@@ -48,11 +51,12 @@
   [[nodiscard]] bool IsEmpty() const { return size_ == 0; }
   [[nodiscard]] std::size_t FlowSize(FlowIndex flow) const;
 
-  /// @return the part of the service that the flow gets if it has work, given
-  /// the flows that have work now; above 0, at most 1.
+  /// @return the fraction of the service, in (0, 1], that the flow gets if it
+  /// has waiting requests, given the flows that have some now.
   [[nodiscard]] double ShareOf(FlowIndex flow) const;
 
-  /// @return flows in the catalogue's order; the last one is the unnamed one.
+  /// @return the flows in the order of the catalogue; the last one is the flow
+  /// for brands outside the catalogue.
   [[nodiscard]] std::vector<catalogue::BrandShare> Flows() const;
 
  private:
@@ -68,7 +72,7 @@
 
   bool is_fair_;
   std::vector<Flow> flows_;
-  std::unordered_map<BrandName, FlowIndex> indexes_;
+  std::unordered_map<BrandName, FlowIndex> flow_indexes_;
   double virtual_time_ = 0;
   std::size_t size_ = 0;
 };
--- a/lib/libmedlarcroft/include/medlarcroft/decision/latency_estimate.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/latency_estimate.h
@@ -11,9 +11,10 @@
 
 /// @brief Mean, median and 95th percentile of a service's recent latencies.
 ///
-/// Logarithmic buckets of 9% width from 10 µs; old samples are halved whenever
-/// the window is full, so that about the last two thousand count. Until enough
-/// samples are in, the catalogue's hint is used.
+/// Uses logarithmic buckets of 9% width, starting at 10 µs. All bucket weights
+/// are halved whenever their sum reaches the window size, so that the quantiles
+/// cover about the last two thousand samples. The expected service time from
+/// the catalogue is used until there are enough samples.
 class LatencyEstimate {
  public:
   explicit LatencyEstimate(Duration hint);
@@ -28,19 +29,19 @@
   [[nodiscard]] Duration Percentile95() const;
 
  private:
-  static constexpr std::size_t kBuckets = 208;
+  static constexpr std::size_t kBucketCount = 208;
 
-  void Halve();
-  void Recompute();
-  [[nodiscard]] Duration Quantile(double part) const;
+  void HalveWeights();
+  void RecomputeQuantiles();
+  [[nodiscard]] Duration Quantile(double fraction) const;
 
   Duration hint_;
-  std::array<double, kBuckets> weights_{};
+  std::array<double, kBucketCount> weights_{};
   double total_weight_ = 0;
-  double recent_count_ = 0;
+  double mean_sample_count_ = 0;
   double recent_mean_seconds_ = 0;
   std::uint32_t samples_since_recompute_ = 0;
-  // Reading a quantile walks all buckets, so these are renewed now and then.
+  // Cached, because computing a quantile scans all buckets.
   Duration median_{0};
   Duration percentile95_{0};
 };
--- a/lib/libmedlarcroft/include/medlarcroft/decision/leaving_status.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/leaving_status.h
@@ -5,39 +5,46 @@
 
 namespace medlarcroft::decision {
 
-/// @brief Whether a target is leaving, from signs that lag behind each other.
+/// @brief Whether a target is leaving, from sources with different delays.
 ///
-/// Load: a target drains at the peak, and the snapshot, the host list and its
-/// own answers say so seconds apart. Harm prevented: a late "it lives" from a
-/// lagging source sends it new work. The first sign wins, and only the source
-/// of a sign undoes it. The target's own sign ends when the target, asked after
-/// it, says that it stays; when the snapshot, having shown the target as
-/// leaving, shows it as staying; or after fifteen minutes, longer than any
-/// planned drain, so that a target restarted under the same name is not lost
-/// for good. The snapshot's sign ends with the snapshot's word.
+/// When a target drains at peak load, the snapshot, the host list and the
+/// target's own answers report it seconds apart. An outdated report from a
+/// slower source that the target is available would send it new requests.
+/// Therefore the first report that the target is leaving takes effect, and only
+/// its source can revoke it. The target's own report ends when the target,
+/// queried after that report, answers that it is staying; when the snapshot,
+/// after listing the target as leaving, no longer does so; or after fifteen
+/// minutes, which is longer than any planned drain, so that a target that was
+/// restarted under the same name is not excluded permanently. The snapshot's
+/// report ends when the snapshot no longer lists the target as leaving.
 ///
-/// The two are kept apart because the snapshot is made from what the hosts see.
-/// Failure: a host that reports the snapshot's word as its own sight. Symptom:
-/// hosts confirm each other for ever and a target is never used again after its
-/// drain. `IsSigned` is therefore all that a host may report.
+/// The two sources are kept apart because the snapshot is built from the
+/// observations of the hosts. If a host reported what the snapshot says as its
+/// own observation, the hosts would confirm each other indefinitely, and the
+/// target would never be used again after its drain. A host must therefore
+/// report `IsReportedLeaving` only.
 class LeavingStatus {
  public:
-  /// The target itself says that it leaves.
-  void OnSign(MonotonicTime now);
-  /// The target, asked at `asked_at`, says that it stays.
-  void OnStayingSign(MonotonicTime asked_at);
+  /// The target itself reports that it is leaving.
+  void OnLeavingReport(MonotonicTime now);
+  /// The target, queried at `queried_at`, reports that it is staying.
+  void OnStayingReport(MonotonicTime queried_at);
   void OnSnapshot(bool is_leaving, MonotonicTime now);
 
   [[nodiscard]] bool IsLeaving(MonotonicTime now) const;
-  /// @return whether the target's own sign is in force here.
-  [[nodiscard]] bool IsSigned(MonotonicTime now) const;
-  /// @return when the target's own sign ends; the past when there is none.
-  [[nodiscard]] MonotonicTime EndsAt() const { return signed_until_; }
+  /// @return whether the target's own report, as received by this host, is in
+  /// effect.
+  [[nodiscard]] bool IsReportedLeaving(MonotonicTime now) const;
+  /// @return when the target's own report expires; in the past if there is
+  /// none.
+  [[nodiscard]] MonotonicTime ReportExpiresAt() const {
+    return report_expires_at_;
+  }
 
  private:
-  bool is_in_snapshot_ = false;
-  MonotonicTime signed_at_{};
-  MonotonicTime signed_until_{};
+  bool is_leaving_in_snapshot_ = false;
+  MonotonicTime reported_at_{};
+  MonotonicTime report_expires_at_{};
 };
 
 }  // namespace medlarcroft::decision
--- a/lib/libmedlarcroft/include/medlarcroft/decision/placement.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/placement.h
@@ -11,32 +11,36 @@
 
 namespace medlarcroft::decision {
 
-/// @brief How much a report still counts: 1 when fresh, 0 at two seconds or
-/// when there was none.
+/// @brief Weight of a target's latest load report: falls linearly from 1 when
+/// fresh to 0 at an age of two seconds; 0 when there is no report.
 [[nodiscard]] double ReportWeight(const TargetState& target, MonotonicTime now);
 
-/// @brief How late a request would be served by the target; lower is better.
+/// @brief Estimates the relative delay of a request that is sent to the target;
+/// lower is better.
 ///
-/// Load: targets that differ in speed and in what other hosts send them, with
-/// load reports that lag, stop or lie. Harm prevented: work goes where it
-/// waits. Own outstanding work counts exactly. Other hosts' work is taken from
-/// the report as far as that is fresh, and otherwise assumed to be like our
-/// own; it never counts for more than the slots that others hold, so a report
-/// that is wrong can mislead only that far. The sum is weighed by the target's
-/// own measured latency, within a quarter and four times the mean.
+/// Targets differ in speed and in the load that other hosts send them, and
+/// their load reports may be delayed, missing or wrong. Without this estimate,
+/// requests are sent to targets where they have to wait. This host's own
+/// outstanding requests count exactly. The load from other hosts is taken from
+/// the report, weighted by its freshness; for the remainder, the other hosts
+/// are assumed to use their slots to the same degree as this host. It is capped
+/// at the number of slots that other hosts hold, which limits the effect of a
+/// wrong report. The sum is multiplied by the target's measured latency
+/// relative to the mean, clamped to between 1/4 and 4.
 ///
-/// The score of a target that recovers from sheds is also divided by the part
-/// of its share in use. Fewer slots alone are not enough: at least one stays
-/// usable, so a target with a low measured latency could keep the best score
-/// and spend the retry budget on requests that it sheds. The part halves with
-/// each shed and can fall below what the latency factor can offset.
+/// The score of a target that is recovering from load shedding is also divided
+/// by the fraction of its share that is in use. Reducing the slots is not
+/// enough: at least one slot stays usable, so a target with a low measured
+/// latency could keep the best score and use up the retry budget with requests
+/// that it sheds. The fraction halves with each shed request and can become
+/// smaller than the latency factor can compensate for.
 ///
-/// A target that is probed is otherwise scored as if it were well, with its
-/// whole share.
-/// Failure: with its one usable slot and its old latency it looks busier than
-/// any other target. Symptom: under light load it is never chosen, so a target
-/// that has recovered stays out for good. One request at a time bounds the harm
-/// when it has not.
+/// A target in the probing state is scored with its whole share and without its
+/// latency factor. Its one usable slot and its latency from before the ejection
+/// would otherwise make it look busier than any other target. Under light load
+/// it would then never be chosen, and a recovered target would stay ejected
+/// permanently. If the target has not recovered, the limit of one request at a
+/// time keeps the damage small.
 [[nodiscard]] double PlacementScore(const TargetState& target,
                                     double relative_latency,
                                     MonotonicTime now);
@@ -46,7 +50,7 @@
  public:
   virtual ~PlacementStrategy() = default;
 
-  /// @param available not empty.
+  /// @param available must not be empty.
   [[nodiscard]] virtual TargetIndex Choose(
       std::span<const TargetIndex> available,
       const TargetTable& targets,
--- a/lib/libmedlarcroft/include/medlarcroft/decision/rate_meter.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/rate_meter.h
@@ -5,17 +5,19 @@
 
 namespace medlarcroft::decision {
 
-/// @brief Events a second, averaged with an exponential window of five
-/// seconds: long enough to be steady at ten requests a second, short enough
-/// that the peers hear of a burst while it lasts.
+/// @brief Events per second, averaged with an exponential window of five
+/// seconds.
+///
+/// The window is long enough for a steady value at ten requests per second, and
+/// short enough for peers to learn of a burst while it is still going on.
 class RateMeter {
  public:
   void Add(MonotonicTime now);
   [[nodiscard]] double PerSecond(MonotonicTime now) const;
 
  private:
-  double count_ = 0;
-  MonotonicTime last_{};
+  double decayed_count_ = 0;
+  MonotonicTime last_event_at_{};
 };
 
 }  // namespace medlarcroft::decision
--- a/lib/libmedlarcroft/include/medlarcroft/decision/request.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/request.h
@@ -11,15 +11,15 @@
 
 namespace medlarcroft::decision {
 
-/// @brief One request known to the scheduler; valid until its final answer.
+/// @brief Identifies a request in the scheduler; valid until the final answer.
 struct RequestTicket {
   std::uint64_t id = 0;
 
   friend auto operator<=>(const RequestTicket&, const RequestTicket&) = default;
 };
 
-/// @brief One dispatch of a request; a request has several when it is retried
-/// or hedged.
+/// @brief Identifies one dispatch of a request; a request that is retried or
+/// hedged has several.
 struct AttemptId {
   RequestTicket ticket;
   std::uint32_t number = 0;
@@ -27,47 +27,47 @@
   friend auto operator<=>(const AttemptId&, const AttemptId&) = default;
 };
 
-/// @brief What a caller asks for.
+/// @brief A caller's request for a service.
 struct RequestDescription {
   ServiceName service;
   BrandName brand;
-  /// Time left until the caller's deadline; the class's deadline when absent.
+  /// Time left until the caller's deadline; the class's deadline if absent.
   std::optional<Duration> time_left;
-  /// Sent on by an entry host of another failure domain.
+  /// Forwarded by an entry host of another failure domain.
   bool is_shifted_in = false;
 };
 
 /// @brief Why a request ends without an answer from a target.
 enum class RefusalReason {
   kUnknownService,     ///< No such service in the routing snapshot.
-  kNoTarget,           ///< Every target is gone or leaving.
-  kNoShare,            ///< This host holds no slot of any target now.
-  kDeadlineTooShort,   ///< It would end after its deadline, also when run now.
-  kQueueTooLong,       ///< The predicted wait passes the class's queue limit.
-  kHeadroomReserved,   ///< Shifted-in work would use the reserved headroom.
-  kWaitedTooLong,      ///< It was queued, and no slot came free in time.
-  kRetryNotAllowed,    ///< It may have run, so a second run is ruled out.
-  kRetryBudgetSpent,   ///< Retries pass their part of the successes.
-  kAttemptsExhausted,  ///< Every attempt that it may have was made.
+  kNoTarget,           ///< Every target has been removed or is leaving.
+  kNoShare,            ///< This host has no usable slot of any target.
+  kDeadlineTooShort,   ///< Its deadline leaves too little time to run it.
+  kQueueTooLong,       ///< The predicted wait is above the class limit.
+  kHeadroomReserved,   ///< A shifted-in request would use the headroom.
+  kWaitedTooLong,      ///< No slot became free while it was queued.
+  kRetryNotAllowed,    ///< It may have run and must not run twice.
+  kRetryBudgetSpent,   ///< Too many retries per successful request.
+  kAttemptsExhausted,  ///< The maximum number of attempts was made.
 };
 
 /// @brief Whether a target ran a request, as far as this host can prove.
 enum class RunState { kNotRun, kUnknown, kRan };
 
-/// @brief A final answer without a result; it is given at once.
+/// @brief A final answer without a result, to be sent immediately.
 struct Refusal {
   RefusalReason reason = RefusalReason::kNoTarget;
   RunState run_state = RunState::kNotRun;
-  /// When the caller should come back, jittered and spread over callers.
-  /// Zero: coming back does not help.
+  /// When the caller should retry; jittered and spread over callers.
+  /// Zero if a retry does not help.
   Duration retry_after{0};
 };
 
 enum class DispatchKind { kFirst, kRetry, kHedge };
 
-/// @brief Send the request to `target` now; a slot of it is taken until
-/// RequestScheduler::OnAttemptEnd. The target is told the deadline, and at the
-/// deadline the attempt is ended as kTimedOut.
+/// @brief Instruction to send the request to `target` now. A slot of the target
+/// is taken until RequestScheduler::OnAttemptEnd. The deadline must be sent to
+/// the target, and an attempt that reaches it must be ended as kTimedOut.
 struct Dispatch {
   AttemptId attempt;
   TargetName target;
@@ -75,51 +75,55 @@
   DispatchKind kind = DispatchKind::kFirst;
 };
 
-/// @brief Wait: a later RequestScheduler::Advance dispatches or refuses it.
+/// @brief The request waits until RequestScheduler::Advance dispatches or
+/// refuses it.
 struct Queued {
   RequestTicket ticket;
   /// The latest time at which it is dispatched or refused.
   MonotonicTime give_up_at;
 };
 
-/// @brief The answer to RequestScheduler::Submit.
+/// @brief The result of RequestScheduler::Submit.
 using Admission = std::variant<Dispatch, Queued, Refusal>;
 
-/// @brief How an attempt ended, as the transport saw it.
+/// @brief How an attempt ended, as observed by the transport.
 enum class AttemptOutcome {
-  kAnswered,          ///< A whole answer.
-  kServerError,       ///< A whole answer that reports a failure of the target.
-  kNeverSent,         ///< No byte was sent: connecting failed.
-  kShed,              ///< The target says: not run, too busy.
-  kTargetLeaving,     ///< The target says: not run, draining.
-  kTruncated,         ///< The answer broke off.
-  kConnectionLost,    ///< The connection ended between request and answer.
-  kTimedOut,          ///< No whole answer by the attempt's deadline.
-  kSilentConnection,  ///< The connection was found silent; the target is not
-                      ///< to blame.
+  kAnswered,        ///< A complete answer.
+  kServerError,     ///< A complete answer that reports an error of the target.
+  kNeverSent,       ///< Connecting failed; no byte was sent.
+  kShed,            ///< The target was too busy and did not run it.
+  kTargetLeaving,   ///< The target is draining and did not run it.
+  kTruncated,       ///< The answer ended prematurely.
+  kConnectionLost,  ///< The connection was lost before the answer began.
+  kTimedOut,        ///< No complete answer by the deadline.
+  kSilentConnection,  ///< No data arrives on the open connection; not
+                      ///< counted as a failure of the target.
   kCancelled,         ///< Cancelled by this host.
 };
 
-/// @brief Pass the attempt's answer to the caller, whole; the request is done.
+/// @brief Instruction to pass the attempt's complete answer to the caller; the
+/// request is finished.
 struct Finished {
-  /// Hedged attempts to cancel; report each as kCancelled when it is.
+  /// Other attempts to cancel; each must be reported as kCancelled once it has
+  /// been cancelled.
   std::vector<AttemptId> to_cancel;
 };
 
-/// @brief Another attempt of the request still runs; its end decides.
+/// @brief There is nothing to do for this attempt: another one is still running
+/// and decides the result, or the request has already been answered.
 struct AwaitOtherAttempt {};
 
-/// @brief The answer to RequestScheduler::OnAttemptEnd.
+/// @brief The result of RequestScheduler::OnAttemptEnd.
 using NextStep =
     std::variant<Finished, Dispatch, Queued, AwaitOtherAttempt, Refusal>;
 
-/// @brief A queued request that is given up: answer its caller now.
+/// @brief A queued request has expired; its caller must be answered now.
 struct Expiry {
   RequestTicket ticket;
   Refusal refusal;
 };
 
-/// @brief What RequestScheduler::Advance asks the caller to do.
+/// @brief An instruction from RequestScheduler::Advance to its caller.
 using Action = std::variant<Dispatch, Expiry>;
 
 }  // namespace medlarcroft::decision
--- a/lib/libmedlarcroft/include/medlarcroft/decision/request_scheduler.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/request_scheduler.h
@@ -24,65 +24,69 @@
 
 namespace medlarcroft::decision {
 
-/// @brief Decides for one entry host which requests run, wait or are refused,
-/// and on which target they run.
+/// @brief Decides for one entry host which requests are dispatched, queued or
+/// refused, and which target each of them is sent to.
 ///
-/// It does no I/O and starts no threads: the caller holds a lock, reports what
-/// happened and carries out what is returned. `now` must never run backwards.
-/// After any call, `NextWake` tells when `Advance` is due; a slot that came
-/// free makes it due at once.
+/// It does no I/O and starts no threads. The caller serializes all calls with a
+/// lock, reports events and carries out the returned actions. `now` must never
+/// decrease between calls. After each call, `NextWake` returns when `Advance`
+/// is due; if a slot was released while requests are queued, it is due
+/// immediately.
 class RequestScheduler {
  public:
   /// @param random must outlive the scheduler.
   RequestScheduler(const SchedulerOptions& options,
                    ports::RandomSource& random);
-  /// @param slots asked for each slot at the moment of dispatch; must outlive
-  /// the scheduler.
+  /// @param slots must grant each slot at dispatch; must outlive the scheduler.
   RequestScheduler(const SchedulerOptions& options,
                    ports::RandomSource& random,
                    ports::SlotSource& slots);
 
-  /// Replaces limits, targets, weights and shares. Requests under way and
-  /// measurements stay; requests queued for a service that is gone are refused
-  /// by the next `Advance`.
+  /// Replaces limits, targets, weights and shares. Current requests and
+  /// measurements are kept; requests that are queued for a removed service are
+  /// refused by the next `Advance`.
   void Configure(std::span<const ServiceConfig> services, MonotonicTime now);
 
-  /// Admits a request: dispatch it now, let it wait, or refuse it now.
+  /// Decides whether a new request is dispatched, queued or refused.
   [[nodiscard]] Admission Submit(const RequestDescription& description,
                                  MonotonicTime now);
 
-  /// Reports the end of an attempt; each one is reported once. An attempt that
-  /// is not known, or whose request has its answer already, yields
-  /// AwaitOtherAttempt: nothing is to be passed on.
+  /// Reports the end of an attempt; must be called once for each attempt.
+  /// @return AwaitOtherAttempt for an unknown attempt and for one whose request
+  /// has already been answered: there is nothing to pass to the caller.
   [[nodiscard]] NextStep OnAttemptEnd(AttemptId attempt,
                                       AttemptOutcome outcome,
                                       MonotonicTime now);
 
-  /// The caller went away.
-  /// @return attempts to cancel; report each as kCancelled when it is.
+  /// Reports that the caller has abandoned the request.
+  /// @return attempts to cancel; each must be reported as kCancelled once it
+  /// has been cancelled.
   [[nodiscard]] std::vector<AttemptId> Cancel(RequestTicket ticket,
                                               MonotonicTime now);
 
-  /// Dispatches, hedges and gives up whatever is due.
+  /// Dispatches, hedges and expires the requests that are due.
   [[nodiscard]] std::vector<Action> Advance(MonotonicTime now);
-  /// @return when `Advance` is due, possibly in the past; nullopt: only after
-  /// another call.
+  /// @return when `Advance` is due, possibly in the past; nullopt if it is not
+  /// due before another call has been made.
   [[nodiscard]] std::optional<MonotonicTime> NextWake() const;
 
-  /// A target's own count of its requests from all hosts, `age` old.
+  /// Reports the target's own count of outstanding requests from all hosts.
+  /// @param age time since the target took the count.
   void OnTargetReport(const TargetName& target,
                       std::uint32_t outstanding,
                       Duration age,
                       MonotonicTime now);
-  /// A connection to the target was found silent. Timeouts of the next second
-  /// are not held against the target; failures to connect are.
+  /// Reports that a connection to the target was found silent: it is open, but
+  /// no data arrives. For the next second, timeouts and lost connections are
+  /// not counted as failures of the target; failures to connect still are.
   void OnSilentConnection(const TargetName& target, MonotonicTime now);
-  /// Any sign that the target leaves: it gets no new work from now on.
+  /// Reports that the target is leaving: it gets no new requests.
   void MarkLeaving(const TargetName& target, MonotonicTime now);
-  /// The target, asked at `asked_at`, says that it stays: its own earlier sign
-  /// of leaving ends, but not an operator's or its host's.
+  /// Reports that the target, queried at `queried_at`, is not leaving. This
+  /// overrides an earlier report by the target itself, but not one made by an
+  /// operator or the target's host.
   void MarkStaying(const TargetName& target,
-                   MonotonicTime asked_at,
+                   MonotonicTime queried_at,
                    MonotonicTime now);
 
   [[nodiscard]] std::optional<ServiceLoad> Load(const ServiceName& service,
@@ -95,13 +99,13 @@
                                                    MonotonicTime now) const;
 
  private:
-  [[nodiscard]] AdmissionInputs InputsFor(ServiceIndex service,
-                                          FairQueue::FlowIndex flow,
-                                          Duration time_left,
-                                          MonotonicTime now) const;
+  [[nodiscard]] AdmissionInputs AdmissionInputsFor(ServiceIndex service,
+                                                   FairQueue::FlowIndex flow,
+                                                   Duration time_left,
+                                                   MonotonicTime now) const;
   [[nodiscard]] Refusal Refuse(ServiceIndex service,
                                RefusalReason reason,
-                               const AdmissionVerdict& verdict,
+                               const AdmissionResult& result,
                                MonotonicTime now);
   [[nodiscard]] Queued Enqueue(RequestState& request,
                                bool at_front,
@@ -114,19 +118,19 @@
                                                     MonotonicTime now);
   void SetHedgeTimer(RequestState& request, MonotonicTime now);
 
-  void SettleAttempt(RequestState& request,
+  void FinishAttempt(RequestState& request,
                      AttemptState& attempt,
                      AttemptOutcome outcome,
                      MonotonicTime now);
-  void LearnFrom(const RequestState& request,
-                 const AttemptState& attempt,
-                 AttemptOutcome outcome,
-                 MonotonicTime now);
+  void RecordOutcome(const RequestState& request,
+                     const AttemptState& attempt,
+                     AttemptOutcome outcome,
+                     MonotonicTime now);
   [[nodiscard]] NextStep Answer(RequestState& request);
   [[nodiscard]] NextStep RetryOrGiveUp(RequestState& request,
                                        AttemptOutcome outcome,
                                        MonotonicTime now);
-  [[nodiscard]] std::optional<RefusalReason> ReasonNotToRetry(
+  [[nodiscard]] std::optional<RefusalReason> RetryRefusalReason(
       const RequestState& request,
       const AttemptRules& rules,
       MonotonicTime now);
@@ -141,7 +145,8 @@
   void Expire(RequestState& request,
               MonotonicTime now,
               std::vector<Action>& actions);
-  void ExpireHopeless(MonotonicTime now, std::vector<Action>& actions);
+  void ExpireUnservableRequests(MonotonicTime now,
+                                std::vector<Action>& actions);
   void DispatchQueued(MonotonicTime now, std::vector<Action>& actions);
   [[nodiscard]] std::optional<ServiceIndex> NextBackloggedService() const;
   void ChargeService(ServiceIndex service);
--- a/lib/libmedlarcroft/include/medlarcroft/decision/request_table.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/request_table.h
@@ -19,7 +19,7 @@
 struct AttemptState {
   AttemptId id;
   TargetIndex target = 0;
-  MonotonicTime started;
+  MonotonicTime started_at;
   bool is_running = true;
 };
 
@@ -31,9 +31,10 @@
   BrandName brand;
   MonotonicTime deadline;
   bool is_queued = false;
-  bool is_answered = false;  ///< The caller has its answer, or went away.
+  /// The caller has been answered or has abandoned the request.
+  bool is_answered = false;
   RunState run_state = RunState::kNotRun;
-  /// When a queued request is given up, or a running one hedged.
+  /// When a queued request expires, or a running one is hedged.
   std::optional<MonotonicTime> timer;
   std::vector<AttemptState> attempts;
 
@@ -41,7 +42,7 @@
   [[nodiscard]] std::vector<AttemptId> RunningAttempts() const;
 };
 
-/// @brief All requests under way, and the earliest of their timers.
+/// @brief All current requests, with their timers in order.
 class RequestTable {
  public:
   RequestState& Add(ServiceIndex service);
@@ -50,8 +51,9 @@
 
   void SetTimer(RequestState& request, MonotonicTime at);
   void ClearTimer(RequestState& request);
-  /// Takes out the request with the earliest timer if that is due.
-  [[nodiscard]] RequestState* TakeDue(MonotonicTime now);
+  /// Clears the earliest timer if it is due.
+  /// @return its request; null if no timer is due.
+  [[nodiscard]] RequestState* PopDue(MonotonicTime now);
   [[nodiscard]] std::optional<MonotonicTime> NextTimer() const;
 
   [[nodiscard]] std::size_t Size() const { return requests_.size(); }
--- a/lib/libmedlarcroft/include/medlarcroft/decision/retry_after_pacer.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/retry_after_pacer.h
@@ -6,26 +6,28 @@
 
 namespace medlarcroft::decision {
 
-/// @brief Tells refused callers when to come back.
+/// @brief Computes the Retry-After of refused requests.
 ///
-/// Load: more demand than slots, so that many callers are refused in the same
-/// second. Harm prevented: with one fixed Retry-After they all return at the
-/// same moment and are refused again. Each refusal therefore takes the next
-/// place in a schedule that fills half of the service's rate, which leaves the
-/// rest to new requests; jitter of a fifth keeps hosts apart. Reason for the
-/// limit: beyond twenty seconds nobody can tell what the load will be, so no
-/// longer wait is asked for, and places there are spread over the last half.
+/// When demand exceeds the slots, many callers are refused within the same
+/// second. With a fixed Retry-After they would all return at the same moment
+/// and be refused again. Each refusal is therefore given the next time in a
+/// schedule that uses half of the service's rate, which leaves the other half
+/// to new requests. Jitter of up to a fifth keeps the schedules of different
+/// hosts apart. The load cannot be predicted for more than twenty seconds, so
+/// the wait before jitter is limited to that; return times beyond it are spread
+/// randomly over the second half of that time.
 class RetryAfterPacer {
  public:
-  /// @param not_before the earliest useful return, counted from now.
-  /// @param rate_per_second requests that the service ends a second now.
+  /// @param min_delay the shortest delay after which a retry may succeed.
+  /// @param rate_per_second requests that the service currently completes per
+  /// second.
   [[nodiscard]] Duration Next(MonotonicTime now,
-                              Duration not_before,
+                              Duration min_delay,
                               double rate_per_second,
                               ports::RandomSource& random);
 
  private:
-  MonotonicTime next_place_{};
+  MonotonicTime next_return_time_{};
 };
 
 }  // namespace medlarcroft::decision
--- a/lib/libmedlarcroft/include/medlarcroft/decision/retry_budget.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/retry_budget.h
@@ -3,22 +3,22 @@
 
 namespace medlarcroft::decision {
 
-/// @brief Token bucket that is filled by successes and emptied by retries and
-/// hedges.
+/// @brief Token bucket for retries and hedges, refilled by successful requests.
 ///
-/// Load: targets fail or shed for many requests at once. Harm prevented:
-/// retries multiply the load just when there is least room. Reason for the
-/// limit: with a tenth of the successes, retries add at most 10% to the load,
-/// and none once successes stop and what was saved is spent. A busy service may
-/// save up a second's worth, so that connections that break at once, which
-/// costs no target anything, do not use up the budget of all.
+/// When targets fail or shed many requests at once, unlimited retries multiply
+/// the load at the time of least capacity. With a refill of a tenth of a token
+/// per success, retries add at most 10% to the load, and nothing once successes
+/// stop and the accumulated tokens are spent. A busy service may accumulate the
+/// tokens of one second, so that many connections that break at the same time,
+/// which costs the targets nothing, do not use up the budget for all requests.
 class RetryBudget {
  public:
   RetryBudget(double ratio, double burst);
 
-  /// @param per_second requests that arrive a second.
-  void OnSuccess(double per_second);
-  /// @return true when an extra attempt is granted; it is then paid for.
+  /// @param requests_per_second current arrival rate of requests.
+  void OnSuccess(double requests_per_second);
+  /// Takes a token for an additional attempt.
+  /// @return whether a token was available.
   [[nodiscard]] bool TryTake();
   [[nodiscard]] double Tokens() const { return tokens_; }
 
--- a/lib/libmedlarcroft/include/medlarcroft/decision/service_config.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/service_config.h
@@ -12,15 +12,16 @@
 
 namespace medlarcroft::decision {
 
-/// @brief One target as this host may use it.
+/// @brief One target and the limits within which this host may use it.
 struct TargetConfig {
   TargetName name;
-  std::uint32_t slots = 1;  ///< Requests it works on at once, from all hosts.
-  std::uint32_t share = 1;  ///< Slots of it that this host may use.
+  std::uint32_t slots = 1;  ///< Concurrent requests from all hosts.
+  std::uint32_t share = 1;  ///< Slots that this host may use.
   std::uint32_t max_connections = 330;
   bool is_leaving = false;
-  /// The share ends here on this host's clock; checked again at each dispatch,
-  /// as the host may have been paused. Absent: no lease is needed.
+  /// When the lease on the share expires, on this host's clock. Checked at each
+  /// dispatch, because the host may have been paused. Absent if no lease is
+  /// needed.
   std::optional<MonotonicTime> share_lease_until;
 };
 
@@ -30,11 +31,13 @@
   catalogue::RequestClass request_class;
   std::vector<catalogue::BrandShare> brands;
   std::vector<TargetConfig> targets;
-  /// Part of the usable slots that shifted-in work leaves free, 0 to 1.
+  /// Fraction of the usable slots, 0 to 1, that requests shifted in from other
+  /// failure domains must leave free.
   double reserved_headroom = 0.2;
 };
 
-/// @brief How a target is chosen; all but the first are kept for comparison.
+/// @brief How a target is chosen. All kinds but the first are baselines for
+/// comparison.
 enum class PlacementKind {
   kPowerOfTwoChoices,
   kOptimisticPowerOfTwoChoices,
@@ -43,32 +46,35 @@
   kLeastReportedLoad,
 };
 
-/// @brief Which requests are refused on arrival.
+/// @brief The limit beyond which arriving requests are refused.
 enum class QueueBound {
-  kTime,       ///< By predicted wait and deadline.
-  kUnbounded,  ///< None; kept for comparison.
+  kTime,       ///< Limit by predicted wait and deadline.
+  kUnbounded,  ///< No limit; a baseline for comparison.
 };
 
-/// @brief Fixed for the life of a scheduler. The defaults are those weighed in
-/// docs/decisions.
+/// @brief Options that stay fixed for the lifetime of a scheduler. The reasons
+/// for the defaults are in docs/decisions.
 struct SchedulerOptions {
   PlacementKind placement = PlacementKind::kPowerOfTwoChoices;
   QueueBound queue_bound = QueueBound::kTime;
   bool is_fair_between_brands = true;
   bool is_hedging_enabled = true;
   bool is_ejection_enabled = true;
-  /// Off: every refusal says one second; kept for comparison.
+  /// If false, every refusal has a Retry-After of one second; a baseline for
+  /// comparison.
   bool is_retry_after_paced = true;
-  /// A target that appears in a running service gets its share in this time.
+  /// Time over which a target that joins a running service ramps up to its full
+  /// share.
   Duration cold_ramp = std::chrono::seconds(10);
-  /// Retries and hedges per success, and how many of them a service with
-  /// little demand may save up.
+  /// Retries and hedges allowed per successful request, and how many of them a
+  /// service with little demand may accumulate.
   double retry_ratio = 0.1;
   double retry_burst = 10.0;
   std::uint32_t max_attempts = 3;
-  /// Hedging stops above this part of the usable slots in use.
+  /// Requests are hedged only while the fraction of usable slots in use is
+  /// below this.
   double hedge_utilisation_limit = 0.7;
-  /// Memory bound of one service's queue.
+  /// Maximum length of one service's queue, to bound its memory.
   std::size_t max_queued = 10'000;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/decision/service_state.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/service_state.h
@@ -13,16 +13,17 @@
 
 namespace medlarcroft::decision {
 
-/// @brief One service's queue, measurements and budgets; they outlive a change
-/// of its configuration.
+/// @brief One service's queue, measurements and budgets, which are kept when
+/// its configuration changes.
 struct ServiceState {
   ServiceState(const ServiceConfig& service_config,
                const SchedulerOptions& options);
 
-  /// Takes in how long a target worked on a request.
-  void OnServiceTime(Duration elapsed, std::size_t targets);
-  /// @return `elapsed` relative to the recent mean; 1 until that is measured.
-  [[nodiscard]] double Relative(Duration elapsed) const;
+  /// Records how long a target worked on a request.
+  void OnServiceTime(Duration elapsed, std::size_t target_count);
+  /// @return `elapsed` relative to the recent mean; 1 until there are enough
+  /// measurements.
+  [[nodiscard]] double RelativeServiceTime(Duration elapsed) const;
 
   ServiceConfig config;
   bool is_configured = true;
@@ -34,15 +35,16 @@
   RateMeter refused;
   RateMeter shifted_in;
   std::uint32_t outstanding = 0;
-  /// Slot time that was given to the service, as virtual time between the
+  /// Slot time used by the service, as virtual time for fair scheduling between
   /// services that share targets.
   double start_tag = 0;
 
  private:
-  // Averages over as many answers of each target as the targets' own averages
-  // do: when all slow down together, none of them stands out.
+  // Averaged over as many answers per target as the averages of the targets
+  // themselves, so that no target looks like an outlier when all of them become
+  // slower at the same time.
   double recent_mean_seconds_ = 0;
-  std::uint64_t samples_ = 0;
+  std::uint64_t sample_count_ = 0;
 };
 
 }  // namespace medlarcroft::decision
--- a/lib/libmedlarcroft/include/medlarcroft/decision/slot_ramp.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/slot_ramp.h
@@ -7,33 +7,37 @@
 
 namespace medlarcroft::decision {
 
-/// @brief How much of a target's share is used while it warms up.
+/// @brief Slow start: limits the usable part of a target's share while the
+/// target warms up.
 ///
-/// Load: a target that just started, came back or shed work meets its full
-/// share at once. Harm prevented: with cold caches every one of these requests
-/// is slow, and it looks broken. The share grows in even steps from one slot,
-/// which keeps it warm and measured. A target that shed falls to half of what
-/// it had, for a shorter time.
+/// A target that has just started, returned from an ejection or shed requests
+/// may have cold caches. If it gets its full share at once, every request is
+/// slow and the target looks broken. The number of usable slots therefore grows
+/// linearly, and at least one stays usable, which keeps the target warm and its
+/// measurements current. After shedding, the target drops to half of its
+/// current fraction and ramps up over a shorter time.
 class SlotRamp {
  public:
-  void Start(MonotonicTime now, double from, Duration length);
-  /// Falls to half of the present part and grows back.
-  void Halve(MonotonicTime now, Duration length);
-
-  [[nodiscard]] bool IsActive(MonotonicTime now) const { return now < end_; }
-  /// @return the slots of `share` in use now; at least 1 when `share` is.
+  void Start(MonotonicTime now, double start_fraction, Duration duration);
+  /// Drops to half of the current fraction and ramps up again.
+  void Halve(MonotonicTime now, Duration duration);
+
+  [[nodiscard]] bool IsActive(MonotonicTime now) const {
+    return now < end_time_;
+  }
+  /// @return the usable slots of `share`; at least 1 if `share` is.
   [[nodiscard]] std::uint32_t Usable(std::uint32_t share,
                                      MonotonicTime now) const;
-  /// @return the part of the share in use, in (0, 1], while the target recovers
-  /// from a shed; 1 otherwise.
+  /// @return the usable fraction of the share, in (0, 1], while the target
+  /// recovers from shedding requests; 1 otherwise.
   [[nodiscard]] double FractionAfterShed(MonotonicTime now) const;
 
  private:
-  [[nodiscard]] double Part(MonotonicTime now) const;
+  [[nodiscard]] double Fraction(MonotonicTime now) const;
 
-  MonotonicTime start_{};
-  MonotonicTime end_{};
-  double from_ = 1.0;
+  MonotonicTime start_time_{};
+  MonotonicTime end_time_{};
+  double start_fraction_ = 1.0;
   bool is_after_shed_ = false;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/decision/target_health.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/target_health.h
@@ -9,38 +9,42 @@
 
 enum class HealthState { kHealthy, kEjected, kProbing };
 
-/// @brief Finds a slow or failing target by this host's own measurements.
+/// @brief Outlier detection: finds a slow or failing target from this host's
+/// own measurements.
 ///
-/// Load: one target of many answers several times slower than the rest, or
-/// fails at once and so attracts work, while its own reports look fine. Harm
-/// prevented: a fixed part of all callers is late or gets errors. A target is
-/// out when it takes three times the service's mean over enough answers, half
-/// of its attempts fail, or five fail in a row; then it is tried with one
-/// request at a time. How many may be out at once is bounded by the caller of
-/// `Eject`.
+/// A target may answer several times more slowly than the others, or fail
+/// immediately and thereby attract requests, while its own reports look normal.
+/// A constant fraction of all callers would then get late answers or errors. A
+/// target is an outlier if its latency is above three times the service's mean
+/// over enough answers, if more than half of its attempts fail, or if five
+/// consecutive attempts fail. After its ejection it is probed with one request
+/// at a time. The caller of `Eject` limits how many targets are ejected at
+/// once.
 class TargetHealth {
  public:
-  /// @param relative the latency divided by the service's mean.
-  void OnAnswer(double relative, Duration latency);
+  /// @param relative_latency the latency divided by the service's mean.
+  void OnAnswer(double relative_latency, Duration latency);
   void OnFailure();
 
-  /// @return whether it is healthy and ought to be taken out, if the bound on
-  /// ejected targets allows.
+  /// @return whether the target is healthy so far and should be ejected, if the
+  /// limit on ejected targets allows it.
   [[nodiscard]] bool IsOutlier() const;
 
   void Eject(MonotonicTime now);
-  /// Moves from ejected to probing, and between probing and the other states
-  /// as the probes turn out.
-  /// @return true when the state changed.
+  /// Changes from ejected to probing when the ejection ends, and from probing
+  /// to healthy or ejected depending on the results of the probes.
+  /// @return whether the state has changed.
   bool Update(MonotonicTime now);
 
   [[nodiscard]] HealthState State() const { return state_; }
-  /// @return when `Update` next has work; the maximum when it has none.
+  /// @return when the ejection ends; `MonotonicTime::max()` if not ejected.
   [[nodiscard]] MonotonicTime NextChange() const;
 
-  /// @return mean latency relative to the service's; 1 with few samples.
+  /// @return mean latency relative to the service's mean; 1 if there are too
+  /// few samples.
   [[nodiscard]] double RelativeLatency() const;
-  /// @return the lowest mean that the samples do not rule out.
+  /// @return a lower bound of the mean relative latency, one standard error
+  /// below the measured mean.
   [[nodiscard]] double OptimisticRelativeLatency() const;
   [[nodiscard]] double FailureRatio() const { return failure_ratio_; }
   [[nodiscard]] Duration Latency() const { return latency_; }
@@ -48,15 +52,15 @@
  private:
   HealthState state_ = HealthState::kHealthy;
   MonotonicTime ejected_until_{};
-  Duration next_ejection_ = std::chrono::seconds(5);
-  double relative_mean_ = 1.0;
+  Duration next_ejection_duration_ = std::chrono::seconds(5);
+  double relative_latency_mean_ = 1.0;
   double failure_ratio_ = 0.0;
   Duration latency_{0};
-  std::uint32_t answers_ = 0;
-  std::uint32_t attempts_ = 0;
-  std::uint32_t failures_in_a_row_ = 0;
-  std::uint32_t probes_ = 0;
-  double probe_sum_ = 0.0;
+  std::uint32_t answer_count_ = 0;
+  std::uint32_t attempt_count_ = 0;
+  std::uint32_t consecutive_failures_ = 0;
+  std::uint32_t probe_count_ = 0;
+  double probe_latency_sum_ = 0.0;
   bool has_probe_failed_ = false;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/decision/target_table.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/target_table.h
@@ -29,60 +29,66 @@
 struct TargetMembership {
   ServiceIndex service = 0;
   std::uint32_t outstanding = 0;
-  /// False once a snapshot took the target out of the service.
+  /// False after a snapshot has removed the target from the service.
   bool is_member = true;
-  /// Its class runs far longer than another on this target.
+  /// The request class takes much longer than the shortest class on this
+  /// target.
   bool is_long_running = false;
-  /// Place in the service's list of available targets, if it is there.
+  /// Position in the service's list of available targets; absent if not
+  /// listed.
   std::optional<std::size_t> position;
 };
 
-/// @brief What is known of one target; shared by all services that use it.
+/// @brief State of one target, shared by all services that use it.
 struct TargetState {
   TargetConfig config;
   bool is_configured = false;
-  bool is_watched = false;        ///< Refreshed at intervals.
-  std::uint32_t outstanding = 0;  ///< This host's, with slots still held.
+  bool is_watched = false;        ///< Refreshed periodically.
+  std::uint32_t outstanding = 0;  ///< This host's, including delayed releases.
   std::uint32_t usable = 0;       ///< As of the last refresh.
   LeavingStatus leaving;
   TargetHealth health;
   SlotRamp ramp;
-  /// Work of other hosts at the last report, and when that was true.
+  /// Outstanding requests from all hosts in the latest report.
   std::uint32_t reported_total = 0;
+  /// Outstanding requests from other hosts in the latest report.
   std::uint32_t reported_by_others = 0;
+  /// When the target counted them; absent if there is no report.
   std::optional<MonotonicTime> reported_at;
-  /// Until then timeouts say nothing about the target: connections to it were
-  /// found silent, and others opened as early may be so too.
-  MonotonicTime no_blame_until{};
+  /// Until this time, timeouts and lost connections are not counted as failures
+  /// of the target: a connection to it was found silent (open, but no data
+  /// arrives), and others that were opened as early may be silent too.
+  MonotonicTime failures_excused_until{};
   std::vector<TargetMembership> memberships;
 };
 
-/// @brief A service's targets as a snapshot names them.
+/// @brief A service's targets according to a routing snapshot.
 struct ServiceTargets {
   ServiceIndex service = 0;
   Duration expected_service_time{0};
   std::span<const TargetConfig> targets;
 };
 
-/// @brief All targets, how many of their slots may be used now, and which have
-/// one free.
+/// @brief All targets, the number of their slots that are usable now, and the
+/// targets with a free slot.
 ///
-/// A slot is taken at dispatch and comes back when the attempt has ended for
-/// certain, so that this host never has more at a target than its share.
-/// Choosing needs no walk over all targets: the available ones stand in one
-/// array for each service.
+/// A slot is taken at dispatch and released once the attempt has definitely
+/// ended, so that this host never exceeds its share of a target. Each service
+/// has an array of its available targets, so choosing one does not require a
+/// scan of all targets.
 class TargetTable {
  public:
   void Configure(std::span<const ServiceTargets> services,
                  Duration cold_ramp,
                  MonotonicTime now);
 
-  /// @return targets of the service with a free slot, as of the last refresh.
+  /// @return targets of the service that had a free slot at the last refresh.
   [[nodiscard]] std::span<const TargetIndex> Available(
       ServiceIndex service) const;
   [[nodiscard]] std::span<const TargetIndex> Members(
       ServiceIndex service) const;
   [[nodiscard]] std::uint32_t UsableSlots(ServiceIndex service) const;
+  /// @return whether any target of the service is not leaving.
   [[nodiscard]] bool HasLiveTarget(ServiceIndex service,
                                    MonotonicTime now) const;
 
@@ -92,7 +98,7 @@
   }
   [[nodiscard]] TargetState& At(TargetIndex target) { return targets_[target]; }
 
-  /// Visits every target of the present snapshot.
+  /// Visits every target of the current snapshot.
   template <typename Visitor>
   void ForEach(Visitor&& visit) const {
     for (const TargetState& target : targets_) {
@@ -101,40 +107,44 @@
     }
   }
 
-  /// @brief Sets who is asked for each slot at the moment of dispatch, beside
-  /// the configured share. None by default.
+  /// @brief Sets the source that must grant each slot at dispatch, in addition
+  /// to the limit of the configured share. There is none by default.
   void SetSlotSource(ports::SlotSource& slots) { slots_ = &slots; }
 
-  /// Takes a slot, unless the target may no longer be used at `now`.
+  /// Takes a slot, unless the target may not be used at `now`.
+  /// @return whether a slot was taken.
   [[nodiscard]] bool TryTake(TargetIndex target,
                              ServiceIndex service,
                              MonotonicTime now);
   void Release(TargetIndex target, ServiceIndex service, MonotonicTime now);
-  /// Keeps the slot until `until`: the target may work on the attempt until
-  /// then, although this host has ended it.
+  /// Releases the slot at `until`: this host has ended the attempt, but the
+  /// target may still be working on it.
   void ReleaseAt(TargetIndex target, ServiceIndex service, MonotonicTime until);
 
-  /// Takes out an outlier unless too many of its services' targets are out.
+  /// Ejects the target if it is an outlier, unless too many targets of one of
+  /// its services are ejected already.
   void EjectIfOutlier(TargetIndex target, MonotonicTime now);
-  /// Notes a sign that the target leaves: it gets no new work from now on.
+  /// Records a report that the target is leaving: it gets no new requests.
   void MarkLeaving(TargetIndex target, MonotonicTime now);
   void MarkStaying(TargetIndex target,
-                   MonotonicTime asked_at,
+                   MonotonicTime queried_at,
                    MonotonicTime now);
-  /// Works out anew what is usable of the target.
+  /// Recomputes the usable slots and the availability of the target.
   void Refresh(TargetIndex target, MonotonicTime now);
-  /// Takes the target out of the available lists until its next refresh.
-  void Hide(TargetIndex target);
+  /// Removes the target from the lists of available targets until its next
+  /// refresh.
+  void HideUntilRefresh(TargetIndex target);
 
   void Advance(MonotonicTime now);
-  /// @return when `Advance` next has work; the maximum when it has none.
+  /// @return when `Advance` next has work to do; `MonotonicTime::max()` if
+  /// never.
   [[nodiscard]] MonotonicTime NextChange() const;
 
   [[nodiscard]] TargetUsageRule RuleOf(TargetIndex target,
                                        MonotonicTime now) const;
 
  private:
-  struct ServiceView {
+  struct ServiceTargetLists {
     std::vector<TargetIndex> members;
     std::vector<TargetIndex> available;
     std::uint32_t usable = 0;
@@ -152,32 +162,33 @@
                         Duration cold_ramp,
                         MonotonicTime now);
   void AddMembership(const ServiceTargets& service, TargetIndex target);
-  void MarkLongClasses(std::span<const ServiceTargets> services);
-  void ForgetRemoved();
+  void MarkLongRunningClasses(std::span<const ServiceTargets> services);
+  void EraseRemovedTargets();
   [[nodiscard]] bool MayEject(TargetIndex target, MonotonicTime now) const;
-  [[nodiscard]] std::uint32_t UsableNow(const TargetState& target,
-                                        MonotonicTime now) const;
-  [[nodiscard]] static bool HasRoom(const TargetState& target,
-                                    const TargetMembership& membership);
+  [[nodiscard]] std::uint32_t ComputeUsableSlots(const TargetState& target,
+                                                 MonotonicTime now) const;
+  [[nodiscard]] static bool HasFreeSlot(const TargetState& target,
+                                        const TargetMembership& membership);
   void SetAvailable(TargetIndex target,
                     TargetMembership& membership,
                     bool is_available);
-  [[nodiscard]] TargetMembership* MembershipOf(TargetIndex target,
-                                               ServiceIndex service);
+  [[nodiscard]] TargetMembership* FindMembership(TargetIndex target,
+                                                 ServiceIndex service);
   void RefreshAll(MonotonicTime now);
-  void WatchIfChanging(TargetIndex target, MonotonicTime now);
+  void WatchIfTransitional(TargetIndex target, MonotonicTime now);
 
   ports::SlotSource* slots_ = nullptr;
   std::vector<TargetState> targets_;
-  std::vector<TargetIndex> free_indexes_;
+  std::vector<TargetIndex> free_target_indexes_;
   std::unordered_map<TargetName, TargetIndex> indexes_;
-  std::vector<ServiceView> services_;
-  std::priority_queue<HeldSlot, std::vector<HeldSlot>, std::greater<>> held_;
-  // Ramping, ejected or probing: refreshed at intervals.
-  std::vector<TargetIndex> changing_;
+  std::vector<ServiceTargetLists> services_;
+  std::priority_queue<HeldSlot, std::vector<HeldSlot>, std::greater<>>
+      held_slots_;
+  // Ramping, ejected or probing targets, which are refreshed periodically.
+  std::vector<TargetIndex> watched_targets_;
   MonotonicTime next_refresh_ = MonotonicTime::max();
-  // The earliest end of a lease or of an unconfirmed leaving mark.
-  MonotonicTime next_limit_end_ = MonotonicTime::max();
+  // The earliest expiry of a lease or of a report that a target is leaving.
+  MonotonicTime next_expiry_ = MonotonicTime::max();
 };
 
 }  // namespace medlarcroft::decision
--- a/lib/libmedlarcroft/source/decision/admission.cc
+++ b/lib/libmedlarcroft/source/decision/admission.cc
@@ -5,72 +5,75 @@
 namespace medlarcroft::decision {
 namespace {
 
-// The prediction is a mean: a request is queued only if it would start within
-// this part of its limit, so that hardly any waits and is refused after all.
-constexpr double kQueuedWithin = 0.8;
+// The predicted wait is a mean. A request is queued only if the prediction is
+// within this fraction of its limit, so that very few requests are refused
+// after they have waited.
+constexpr double kMaxPredictedWaitFraction = 0.8;
 
 Duration PredictedWait(const AdmissionInputs& inputs) {
   if (inputs.has_free_target && inputs.queued == 0)
     return Duration(0);
 
-  // Each slot at work ends one request in a mean service time, and the brand
-  // gets its share of these ends. Usable slots that other services work on, or
-  // that are held after a lost connection, end nothing for this one.
-  const std::uint32_t at_work =
+  // Each active slot completes one request per mean service time, and the brand
+  // gets its share of these completions. Usable slots that are occupied by
+  // other services, or still held after a lost connection, complete no request
+  // of this service.
+  const std::uint32_t active_slots =
       std::clamp(inputs.outstanding, 1U, inputs.usable_slots);
-  const double ends_per_second =
-      at_work / std::max(ToSeconds(inputs.service_time_mean), 1e-6);
-  const double place = static_cast<double>(inputs.queued_of_brand) + 1.0;
-  return FromSeconds(place / (ends_per_second * inputs.share_of_brand));
+  const double completions_per_second =
+      active_slots / std::max(ToSeconds(inputs.service_time_mean), 1e-6);
+  const double queue_position = static_cast<double>(inputs.brand_queued) + 1.0;
+  return FromSeconds(queue_position /
+                     (completions_per_second * inputs.brand_share));
 }
 
-bool WouldUseHeadroom(const AdmissionInputs& inputs) {
-  const double free_for_shifted =
+bool WouldUseReservedHeadroom(const AdmissionInputs& inputs) {
+  const double shifted_in_limit =
       inputs.usable_slots * (1.0 - inputs.reserved_headroom);
-  return inputs.outstanding + 1 > free_for_shifted;
+  return inputs.outstanding + 1 > shifted_in_limit;
 }
 
 }  // namespace
 
-Duration RunningReserve(const AdmissionInputs& inputs) {
+Duration ExecutionTimeReserve(const AdmissionInputs& inputs) {
   return inputs.service_time_p95 <= inputs.class_deadline
              ? inputs.service_time_p95
              : inputs.service_time_mean;
 }
 
-AdmissionVerdict Admit(const AdmissionInputs& inputs) {
-  AdmissionVerdict verdict;
+AdmissionResult Admit(const AdmissionInputs& inputs) {
+  AdmissionResult result;
   if (!inputs.has_live_target) {
-    verdict.refusal = RefusalReason::kNoTarget;
-    return verdict;
+    result.refusal = RefusalReason::kNoTarget;
+    return result;
   }
   if (inputs.usable_slots == 0) {
-    verdict.refusal = RefusalReason::kNoShare;
-    return verdict;
+    result.refusal = RefusalReason::kNoShare;
+    return result;
   }
 
-  verdict.predicted_wait = PredictedWait(inputs);
-  verdict.must_wait = verdict.predicted_wait > Duration(0);
-  if (inputs.bound == QueueBound::kUnbounded) {
-    verdict.wait_limit = Duration::max();
-    return verdict;
+  result.predicted_wait = PredictedWait(inputs);
+  result.must_wait = result.predicted_wait > Duration(0);
+  if (inputs.queue_bound == QueueBound::kUnbounded) {
+    result.wait_limit = Duration::max();
+    return result;
   }
 
-  const Duration latest_start = inputs.time_left - RunningReserve(inputs);
-  verdict.wait_limit = FromSeconds(
-      kQueuedWithin * ToSeconds(std::min(inputs.queue_limit, latest_start)));
+  const Duration latest_start = inputs.time_left - ExecutionTimeReserve(inputs);
+  result.wait_limit =
+      FromSeconds(kMaxPredictedWaitFraction *
+                  ToSeconds(std::min(inputs.queue_limit, latest_start)));
   if (inputs.time_left < inputs.service_time_mean) {
-    verdict.refusal = RefusalReason::kDeadlineTooShort;
-  } else if (inputs.is_shifted_in && WouldUseHeadroom(inputs)) {
-    verdict.refusal = RefusalReason::kHeadroomReserved;
-  } else if (verdict.must_wait &&
-             (verdict.predicted_wait > verdict.wait_limit ||
-              inputs.queued >= inputs.max_queued)) {
-    verdict.refusal = latest_start < inputs.queue_limit
-                          ? RefusalReason::kDeadlineTooShort
-                          : RefusalReason::kQueueTooLong;
+    result.refusal = RefusalReason::kDeadlineTooShort;
+  } else if (inputs.is_shifted_in && WouldUseReservedHeadroom(inputs)) {
+    result.refusal = RefusalReason::kHeadroomReserved;
+  } else if (result.must_wait && (result.predicted_wait > result.wait_limit ||
+                                  inputs.queued >= inputs.max_queued)) {
+    result.refusal = latest_start < inputs.queue_limit
+                         ? RefusalReason::kDeadlineTooShort
+                         : RefusalReason::kQueueTooLong;
   }
-  return verdict;
+  return result;
 }
 
 }  // namespace medlarcroft::decision
--- a/lib/libmedlarcroft/source/decision/attempt_rules.cc
+++ b/lib/libmedlarcroft/source/decision/attempt_rules.cc
@@ -22,7 +22,7 @@
                                       .is_retry_budget_exempt = true};
 constexpr AttemptRules kTruncated{.is_retryable = true,
                                   .is_target_failure = true,
-                                  .release = SlotRelease::kAfterGrace};
+                                  .release = SlotRelease::kAfterGracePeriod};
 constexpr AttemptRules kConnectionLost{.is_retryable = true,
                                        .is_target_failure = true,
                                        .release = SlotRelease::kAfterDeadline};
@@ -30,9 +30,9 @@
 constexpr AttemptRules kSilentConnection{
     .is_retryable = true,
     .release = SlotRelease::kAfterDeadline};
-constexpr AttemptRules kCancelled{.release = SlotRelease::kAfterGrace};
+constexpr AttemptRules kCancelled{.release = SlotRelease::kAfterGracePeriod};
 
-// In the order of AttemptOutcome.
+// Indexed by AttemptOutcome.
 constexpr std::array kRules{
     kAnswered,  kServerError,    kNeverSent, kNotRunByTarget,   kTargetLeaving,
     kTruncated, kConnectionLost, kTimedOut,  kSilentConnection, kCancelled};
--- a/lib/libmedlarcroft/source/decision/fair_queue.cc
+++ b/lib/libmedlarcroft/source/decision/fair_queue.cc
@@ -5,8 +5,8 @@
 namespace medlarcroft::decision {
 namespace {
 
-// A weight of zero would never be served.
-constexpr double kLowestWeight = 0.01;
+// A flow with a weight of zero would never be served.
+constexpr double kMinWeight = 0.01;
 
 }  // namespace
 
@@ -14,33 +14,34 @@
 
 void FairQueue::Configure(std::span<const catalogue::BrandShare> brands) {
   std::vector<Flow> previous = std::move(flows_);
-  const auto previous_indexes = std::move(indexes_);
+  const auto previous_indexes = std::move(flow_indexes_);
   flows_.clear();
-  indexes_.clear();
+  flow_indexes_.clear();
 
-  const std::size_t named = is_fair_ ? brands.size() : 0;
-  flows_.resize(named + 1);
+  const std::size_t named_count = is_fair_ ? brands.size() : 0;
+  flows_.resize(named_count + 1);
   flows_.back().start_tag = virtual_time_;
-  for (std::size_t i = 0; i < named; ++i) {
+  for (std::size_t i = 0; i < named_count; ++i) {
     flows_[i].brand = brands[i].brand;
-    flows_[i].weight = std::max(brands[i].weight, kLowestWeight);
+    flows_[i].weight = std::max(brands[i].weight, kMinWeight);
     flows_[i].start_tag = virtual_time_;
-    indexes_.emplace(brands[i].brand, static_cast<FlowIndex>(i));
+    flow_indexes_.emplace(brands[i].brand, static_cast<FlowIndex>(i));
   }
 
   for (std::size_t i = 0; i < previous.size(); ++i) {
-    Flow& old = previous[i];
+    Flow& previous_flow = previous[i];
     const bool was_named = i + 1 < previous.size();
-    Flow& flow = was_named ? flows_[FlowOf(old.brand)] : flows_.back();
-    flow.start_tag = std::max(flow.start_tag, old.start_tag);
-    flow.tickets.insert(flow.tickets.end(), old.tickets.begin(),
-                        old.tickets.end());
+    Flow& flow =
+        was_named ? flows_[FlowOf(previous_flow.brand)] : flows_.back();
+    flow.start_tag = std::max(flow.start_tag, previous_flow.start_tag);
+    flow.tickets.insert(flow.tickets.end(), previous_flow.tickets.begin(),
+                        previous_flow.tickets.end());
   }
 }
 
 FairQueue::FlowIndex FairQueue::FlowOf(const BrandName& brand) const {
-  const auto found = indexes_.find(brand);
-  if (found != indexes_.end())
+  const auto found = flow_indexes_.find(brand);
+  if (found != flow_indexes_.end())
     return found->second;
   return static_cast<FlowIndex>(flows_.size() - 1);
 }
@@ -97,13 +98,13 @@
 }
 
 double FairQueue::ShareOf(FlowIndex flow) const {
-  double backlogged = 0;
+  double total_weight = 0;
   for (std::size_t i = 0; i < flows_.size(); ++i) {
     if (i == flow || !flows_[i].tickets.empty()) {
-      backlogged += flows_[i].weight;
+      total_weight += flows_[i].weight;
     }
   }
-  return flows_[flow].weight / backlogged;
+  return flows_[flow].weight / total_weight;
 }
 
 std::vector<catalogue::BrandShare> FairQueue::Flows() const {
@@ -115,7 +116,8 @@
 }
 
 void FairQueue::Activate(Flow& flow) {
-  // An idle flow must not save up turns, or its return would block the others.
+  // An idle flow must not accumulate credit. Otherwise it would block the other
+  // flows once it has requests again.
   if (flow.tickets.empty()) {
     flow.start_tag = std::max(flow.start_tag, virtual_time_);
   }
--- a/lib/libmedlarcroft/source/decision/leaving_status.cc
+++ b/lib/libmedlarcroft/source/decision/leaving_status.cc
@@ -3,35 +3,35 @@
 namespace medlarcroft::decision {
 namespace {
 
-constexpr Duration kSignLasts = std::chrono::minutes(15);
+constexpr Duration kReportLifetime = std::chrono::minutes(15);
 
 }  // namespace
 
-void LeavingStatus::OnSign(MonotonicTime now) {
-  signed_at_ = now;
-  signed_until_ = now + kSignLasts;
+void LeavingStatus::OnLeavingReport(MonotonicTime now) {
+  reported_at_ = now;
+  report_expires_at_ = now + kReportLifetime;
 }
 
-void LeavingStatus::OnStayingSign(MonotonicTime asked_at) {
-  // An answer to an older question may have been given before the sign.
-  if (asked_at > signed_at_) {
-    signed_until_ = signed_at_;
+void LeavingStatus::OnStayingReport(MonotonicTime queried_at) {
+  // An answer to an earlier query may predate the report that it is leaving.
+  if (queried_at > reported_at_) {
+    report_expires_at_ = reported_at_;
   }
 }
 
 void LeavingStatus::OnSnapshot(bool is_leaving, MonotonicTime now) {
-  if (is_in_snapshot_ && !is_leaving) {
-    signed_until_ = now;
+  if (is_leaving_in_snapshot_ && !is_leaving) {
+    report_expires_at_ = now;
   }
-  is_in_snapshot_ = is_leaving;
+  is_leaving_in_snapshot_ = is_leaving;
 }
 
 bool LeavingStatus::IsLeaving(MonotonicTime now) const {
-  return is_in_snapshot_ || IsSigned(now);
+  return is_leaving_in_snapshot_ || IsReportedLeaving(now);
 }
 
-bool LeavingStatus::IsSigned(MonotonicTime now) const {
-  return now < signed_until_;
+bool LeavingStatus::IsReportedLeaving(MonotonicTime now) const {
+  return now < report_expires_at_;
 }
 
 }  // namespace medlarcroft::decision
--- a/lib/libmedlarcroft/source/decision/placement.cc
+++ b/lib/libmedlarcroft/source/decision/placement.cc
@@ -7,18 +7,21 @@
 namespace {
 
 constexpr double kReportLifetimeSeconds = 2.0;
-constexpr double kLowestLatencyFactor = 0.25;
-constexpr double kHighestLatencyFactor = 4.0;
+constexpr double kMinLatencyFactor = 0.25;
+constexpr double kMaxLatencyFactor = 4.0;
 
-TargetIndex ChooseAny(std::span<const TargetIndex> available,
-                      ports::RandomSource& random) {
+TargetIndex ChooseRandom(std::span<const TargetIndex> available,
+                         ports::RandomSource& random) {
   return available[random.NextBelow(available.size())];
 }
 
-/// Two random choices: near the balance of a full search at the cost of two
-/// reads, and hosts with the same old view do not all pick the same target.
+/// @brief Picks the better of two random targets ("power of two choices").
+///
+/// The balance is close to that of a full search at the cost of reading two
+/// targets, and hosts with the same outdated reports do not all choose the same
+/// target.
 template <double (TargetHealth::*kRelativeLatency)() const>
-class TwoChoices final : public PlacementStrategy {
+class PowerOfTwoChoices final : public PlacementStrategy {
  public:
   TargetIndex Choose(std::span<const TargetIndex> available,
                      const TargetTable& targets,
@@ -32,48 +35,48 @@
     if (second >= first)
       ++second;
 
-    const auto score = [&](std::size_t place) {
-      const TargetState& target = targets.At(available[place]);
+    const auto score = [&](std::size_t position) {
+      const TargetState& target = targets.At(available[position]);
       return PlacementScore(target, (target.health.*kRelativeLatency)(), now);
     };
     return score(second) < score(first) ? available[second] : available[first];
   }
 };
 
-class RandomChoice final : public PlacementStrategy {
+class RandomPlacement final : public PlacementStrategy {
  public:
   TargetIndex Choose(std::span<const TargetIndex> available,
                      const TargetTable& /*targets*/,
                      MonotonicTime /*now*/,
                      ports::RandomSource& random) override {
-    return ChooseAny(available, random);
+    return ChooseRandom(available, random);
   }
 };
 
-class RoundRobin final : public PlacementStrategy {
+class RoundRobinPlacement final : public PlacementStrategy {
  public:
   TargetIndex Choose(std::span<const TargetIndex> available,
                      const TargetTable& /*targets*/,
                      MonotonicTime /*now*/,
                      ports::RandomSource& /*random*/) override {
-    // The available targets change between calls; the next one in the order
-    // of indexes is the one whose turn it is.
+    // The available targets change between calls, so the next one is found by
+    // its index rather than by its position in the list.
     TargetIndex lowest = available.front();
     std::optional<TargetIndex> next;
     for (const TargetIndex target : available) {
       lowest = std::min(lowest, target);
-      if (target > last_ && (!next || target < *next))
+      if (target > last_chosen_ && (!next || target < *next))
         next = target;
     }
-    last_ = next.value_or(lowest);
-    return last_;
+    last_chosen_ = next.value_or(lowest);
+    return last_chosen_;
   }
 
  private:
-  TargetIndex last_ = 0;
+  TargetIndex last_chosen_ = 0;
 };
 
-class LeastReportedLoad final : public PlacementStrategy {
+class LeastReportedLoadPlacement final : public PlacementStrategy {
  public:
   TargetIndex Choose(std::span<const TargetIndex> available,
                      const TargetTable& targets,
@@ -108,14 +111,14 @@
   const double weight = ReportWeight(target, now);
   const double reported =
       std::min<double>(target.reported_by_others, held_by_others);
-  const double like_ours = held_by_others * std::min(1.0, own / usable);
-  const double others = weight * reported + (1.0 - weight) * like_ours;
-
-  const double factor = is_probing
-                            ? 1.0
-                            : std::clamp(relative_latency, kLowestLatencyFactor,
-                                         kHighestLatencyFactor);
-  return (own + others + 1.0) / (usable + held_by_others) * factor /
+  const double estimated = held_by_others * std::min(1.0, own / usable);
+  const double others = weight * reported + (1.0 - weight) * estimated;
+
+  const double latency_factor =
+      is_probing
+          ? 1.0
+          : std::clamp(relative_latency, kMinLatencyFactor, kMaxLatencyFactor);
+  return (own + others + 1.0) / (usable + held_by_others) * latency_factor /
          target.ramp.FractionAfterShed(now);
 }
 
@@ -123,17 +126,17 @@
   switch (kind) {
     case PlacementKind::kOptimisticPowerOfTwoChoices:
       return std::make_unique<
-          TwoChoices<&TargetHealth::OptimisticRelativeLatency>>();
+          PowerOfTwoChoices<&TargetHealth::OptimisticRelativeLatency>>();
     case PlacementKind::kRandom:
-      return std::make_unique<RandomChoice>();
+      return std::make_unique<RandomPlacement>();
     case PlacementKind::kRoundRobin:
-      return std::make_unique<RoundRobin>();
+      return std::make_unique<RoundRobinPlacement>();
     case PlacementKind::kLeastReportedLoad:
-      return std::make_unique<LeastReportedLoad>();
+      return std::make_unique<LeastReportedLoadPlacement>();
     case PlacementKind::kPowerOfTwoChoices:
       break;
   }
-  return std::make_unique<TwoChoices<&TargetHealth::RelativeLatency>>();
+  return std::make_unique<PowerOfTwoChoices<&TargetHealth::RelativeLatency>>();
 }
 
 }  // namespace medlarcroft::decision
--- a/lib/libmedlarcroft/source/decision/rate_meter.cc
+++ b/lib/libmedlarcroft/source/decision/rate_meter.cc
@@ -10,14 +10,15 @@
 }  // namespace
 
 void RateMeter::Add(MonotonicTime now) {
-  count_ = PerSecond(now) * kWindowSeconds + 1.0;
-  last_ = now;
+  decayed_count_ = PerSecond(now) * kWindowSeconds + 1.0;
+  last_event_at_ = now;
 }
 
 double RateMeter::PerSecond(MonotonicTime now) const {
-  if (count_ == 0)
+  if (decayed_count_ == 0)
     return 0;
-  return count_ * std::exp(-ToSeconds(now - last_) / kWindowSeconds) /
+  return decayed_count_ *
+         std::exp(-ToSeconds(now - last_event_at_) / kWindowSeconds) /
          kWindowSeconds;
 }
 
--- a/lib/libmedlarcroft/source/decision/request_scheduler.cc
+++ b/lib/libmedlarcroft/source/decision/request_scheduler.cc
@@ -5,7 +5,7 @@
 namespace medlarcroft::decision {
 namespace {
 
-constexpr Duration kWaitWithoutTarget = std::chrono::seconds(1);
+constexpr Duration kNoTargetRetryAfter = std::chrono::seconds(1);
 constexpr Duration kUnpacedRetryAfter = std::chrono::seconds(1);
 
 }  // namespace
@@ -70,17 +70,17 @@
   const FairQueue::FlowIndex flow = service.queue.FlowOf(description.brand);
   const Duration time_left =
       description.time_left.value_or(service.config.request_class.deadline);
-  AdmissionInputs inputs = InputsFor(*index, flow, time_left, now);
+  AdmissionInputs inputs = AdmissionInputsFor(*index, flow, time_left, now);
   inputs.is_shifted_in = description.is_shifted_in;
-  const AdmissionVerdict verdict = Admit(inputs);
-  if (verdict.refusal)
-    return Refuse(*index, *verdict.refusal, verdict, now);
+  const AdmissionResult result = Admit(inputs);
+  if (result.refusal)
+    return Refuse(*index, *result.refusal, result, now);
 
   RequestState& request = requests_.Add(*index);
   request.flow = flow;
   request.brand = description.brand;
   request.deadline = now + time_left;
-  if (!verdict.must_wait) {
+  if (!result.must_wait) {
     if (auto dispatch = TryDispatch(request, DispatchKind::kFirst, now)) {
       service.queue.Charge(flow);
       return *dispatch;
@@ -110,14 +110,14 @@
 std::vector<Action> RequestScheduler::Advance(MonotonicTime now) {
   std::vector<Action> actions;
   targets_.Advance(now);
-  while (RequestState* request = requests_.TakeDue(now)) {
+  while (RequestState* request = requests_.PopDue(now)) {
     if (request->is_queued) {
       Expire(*request, now, actions);
     } else {
       Hedge(*request, now, actions);
     }
   }
-  ExpireHopeless(now, actions);
+  ExpireUnservableRequests(now, actions);
   DispatchQueued(now, actions);
   return actions;
 }
@@ -134,10 +134,10 @@
   return next;
 }
 
-AdmissionInputs RequestScheduler::InputsFor(ServiceIndex service,
-                                            FairQueue::FlowIndex flow,
-                                            Duration time_left,
-                                            MonotonicTime now) const {
+AdmissionInputs RequestScheduler::AdmissionInputsFor(ServiceIndex service,
+                                                     FairQueue::FlowIndex flow,
+                                                     Duration time_left,
+                                                     MonotonicTime now) const {
   const ServiceState& state = services_[service];
   const std::uint32_t usable = targets_.UsableSlots(service);
   return {.has_live_target = usable > 0 || targets_.HasLiveTarget(service, now),
@@ -145,8 +145,8 @@
           .usable_slots = usable,
           .outstanding = state.outstanding,
           .queued = state.queue.Size(),
-          .queued_of_brand = state.queue.FlowSize(flow),
-          .share_of_brand = state.queue.ShareOf(flow),
+          .brand_queued = state.queue.FlowSize(flow),
+          .brand_share = state.queue.ShareOf(flow),
           .service_time_mean = state.latency.Mean(),
           .service_time_p95 = state.latency.Percentile95(),
           .time_left = time_left,
@@ -154,18 +154,18 @@
           .queue_limit = state.config.request_class.queue_limit,
           .reserved_headroom = state.config.reserved_headroom,
           .max_queued = options_.max_queued,
-          .bound = options_.queue_bound};
+          .queue_bound = options_.queue_bound};
 }
 
 Refusal RequestScheduler::Refuse(ServiceIndex service,
                                  RefusalReason reason,
-                                 const AdmissionVerdict& verdict,
+                                 const AdmissionResult& result,
                                  MonotonicTime now) {
   ServiceState& state = services_[service];
   state.refused.Add(now);
   Refusal refusal{.reason = reason};
-  // Its time is shorter than a run takes, whatever the load.
-  if (reason == RefusalReason::kDeadlineTooShort && !verdict.must_wait) {
+  // The deadline is too short regardless of the load, so a retry cannot help.
+  if (reason == RefusalReason::kDeadlineTooShort && !result.must_wait) {
     return refusal;
   }
 
@@ -177,8 +177,8 @@
   const std::uint32_t usable = targets_.UsableSlots(service);
   const Duration not_before =
       usable == 0
-          ? kWaitWithoutTarget
-          : std::max(Duration(0), verdict.predicted_wait - verdict.wait_limit);
+          ? kNoTargetRetryAfter
+          : std::max(Duration(0), result.predicted_wait - result.wait_limit);
   const double rate = usable / std::max(ToSeconds(state.latency.Mean()), 1e-6);
   refusal.retry_after = state.pacer.Next(now, not_before, rate, random_);
   return refusal;
@@ -190,10 +190,10 @@
   ServiceState& service = services_[request.service];
   MonotonicTime give_up_at = request.deadline;
   if (options_.queue_bound == QueueBound::kTime) {
-    const AdmissionInputs inputs =
-        InputsFor(request.service, request.flow, request.deadline - now, now);
+    const AdmissionInputs inputs = AdmissionInputsFor(
+        request.service, request.flow, request.deadline - now, now);
     give_up_at = std::min(now + service.config.request_class.queue_limit,
-                          request.deadline - RunningReserve(inputs));
+                          request.deadline - ExecutionTimeReserve(inputs));
     requests_.SetTimer(request, give_up_at);
   }
 
@@ -209,16 +209,18 @@
 std::optional<Dispatch> RequestScheduler::TryDispatch(RequestState& request,
                                                       DispatchKind kind,
                                                       MonotonicTime now) {
-  // A target that failed this request is not asked again if another can be.
+  // Targets that have already been tried are used again only for queued
+  // requests, if no other target has a free slot.
   for (const AttemptState& attempt : request.attempts) {
-    targets_.Hide(attempt.target);
+    targets_.HideUntilRefresh(attempt.target);
   }
   std::optional<TargetIndex> target = TakeSlot(request.service, now);
   for (const AttemptState& attempt : request.attempts) {
     targets_.Refresh(attempt.target, now);
   }
-  const bool may_repeat = kind != DispatchKind::kHedge && request.is_queued;
-  if (!target && may_repeat)
+  const bool may_reuse_target =
+      kind != DispatchKind::kHedge && request.is_queued;
+  if (!target && may_reuse_target)
     target = TakeSlot(request.service, now);
   if (!target)
     return std::nullopt;
@@ -228,7 +230,7 @@
   const AttemptId id{
       .ticket = request.ticket,
       .number = static_cast<std::uint32_t>(request.attempts.size()) + 1};
-  request.attempts.push_back({.id = id, .target = *target, .started = now});
+  request.attempts.push_back({.id = id, .target = *target, .started_at = now});
   if (kind != DispatchKind::kHedge)
     SetHedgeTimer(request, now);
   return Dispatch{.attempt = id,
@@ -242,7 +244,7 @@
   while (!targets_.Available(service).empty()) {
     const TargetIndex target =
         placement_->Choose(targets_.Available(service), targets_, now, random_);
-    // A target that may no longer be used leaves the list with this call.
+    // A failed call removes the target from the list of available targets.
     if (targets_.TryTake(target, service, now))
       return target;
   }
@@ -279,9 +281,10 @@
   requests_.Erase(request.ticket);
 }
 
-void RequestScheduler::ExpireHopeless(MonotonicTime now,
-                                      std::vector<Action>& actions) {
-  // With every target leaving, no wait can help: the callers are told at once.
+void RequestScheduler::ExpireUnservableRequests(MonotonicTime now,
+                                                std::vector<Action>& actions) {
+  // If every target is leaving, waiting cannot help, so the callers are refused
+  // immediately.
   for (ServiceIndex service = 0; service < services_.size(); ++service) {
     ServiceState& state = services_[service];
     if (state.queue.IsEmpty() || targets_.UsableSlots(service) > 0 ||
@@ -324,8 +327,8 @@
 }
 
 void RequestScheduler::ChargeService(ServiceIndex service) {
-  // Services that share targets get equal slot time: by count, one of long
-  // work would hold nearly all slots.
+  // Services that share targets get equal slot time. With equal request counts,
+  // a service with long requests would occupy nearly all slots.
   ServiceState& state = services_[service];
   state.start_tag = std::max(state.start_tag, service_virtual_time_);
   service_virtual_time_ = state.start_tag;
--- a/lib/libmedlarcroft/source/decision/request_scheduler_attempts.cc
+++ b/lib/libmedlarcroft/source/decision/request_scheduler_attempts.cc
@@ -1,5 +1,5 @@
-// The part of RequestScheduler that follows an attempt from its end to the
-// request's next step.
+// RequestScheduler: handles the end of an attempt and decides how its request
+// continues.
 #include <algorithm>
 #include <variant>
 
@@ -8,9 +8,10 @@
 namespace medlarcroft::decision {
 namespace {
 
-constexpr Duration kShedRamp = std::chrono::seconds(2);
-// Longer than a cancellation or a deadline's signal takes inside a domain.
-constexpr Duration kStopGrace = std::chrono::milliseconds(10);
+constexpr Duration kShedRampDuration = std::chrono::seconds(2);
+// Longer than it takes a cancellation or an expired deadline to stop the
+// attempt at a target in the same failure domain.
+constexpr Duration kStopGracePeriod = std::chrono::milliseconds(10);
 
 }  // namespace
 
@@ -22,7 +23,7 @@
   if (attempt == nullptr || !attempt->is_running)
     return AwaitOtherAttempt{};
 
-  SettleAttempt(*request, *attempt, outcome, now);
+  FinishAttempt(*request, *attempt, outcome, now);
   const bool is_other_running = !request->RunningAttempts().empty();
   if (request->is_answered) {
     if (!is_other_running)
@@ -40,7 +41,7 @@
   return RetryOrGiveUp(*request, outcome, now);
 }
 
-void RequestScheduler::SettleAttempt(RequestState& request,
+void RequestScheduler::FinishAttempt(RequestState& request,
                                      AttemptState& attempt,
                                      AttemptOutcome outcome,
                                      MonotonicTime now) {
@@ -48,33 +49,34 @@
   attempt.is_running = false;
   request.run_state = std::max(request.run_state, rules.run_state);
   --services_[request.service].outstanding;
-  LearnFrom(request, attempt, outcome, now);
+  RecordOutcome(request, attempt, outcome, now);
 
   switch (rules.release) {
-    case SlotRelease::kAtOnce:
+    case SlotRelease::kImmediately:
       targets_.Release(attempt.target, request.service, now);
       break;
-    case SlotRelease::kAfterGrace:
-      targets_.ReleaseAt(attempt.target, request.service, now + kStopGrace);
+    case SlotRelease::kAfterGracePeriod:
+      targets_.ReleaseAt(attempt.target, request.service,
+                         now + kStopGracePeriod);
       break;
     case SlotRelease::kAfterDeadline:
       targets_.ReleaseAt(attempt.target, request.service,
-                         std::max(now, request.deadline) + kStopGrace);
+                         std::max(now, request.deadline) + kStopGracePeriod);
       break;
   }
 }
 
-void RequestScheduler::LearnFrom(const RequestState& request,
-                                 const AttemptState& attempt,
-                                 AttemptOutcome outcome,
-                                 MonotonicTime now) {
+void RequestScheduler::RecordOutcome(const RequestState& request,
+                                     const AttemptState& attempt,
+                                     AttemptOutcome outcome,
+                                     MonotonicTime now) {
   ServiceState& service = services_[request.service];
   TargetState& target = targets_.At(attempt.target);
-  const Duration elapsed = now - attempt.started;
+  const Duration elapsed = now - attempt.started_at;
   const std::size_t members = targets_.Members(request.service).size();
 
   if (outcome == AttemptOutcome::kAnswered) {
-    target.health.OnAnswer(service.Relative(elapsed), elapsed);
+    target.health.OnAnswer(service.RelativeServiceTime(elapsed), elapsed);
     service.OnServiceTime(elapsed, members);
     service.budget.OnSuccess(service.demand.PerSecond(now));
   }
@@ -82,12 +84,12 @@
     service.OnServiceTime(elapsed, members);
   }
   if (outcome == AttemptOutcome::kShed)
-    target.ramp.Halve(now, kShedRamp);
+    target.ramp.Halve(now, kShedRampDuration);
   if (outcome == AttemptOutcome::kTargetLeaving) {
     targets_.MarkLeaving(attempt.target, now);
   }
 
-  const bool is_excused = now < target.no_blame_until &&
+  const bool is_excused = now < target.failures_excused_until &&
                           (outcome == AttemptOutcome::kTimedOut ||
                            outcome == AttemptOutcome::kConnectionLost);
   if (RulesFor(outcome).is_target_failure && !is_excused) {
@@ -111,8 +113,8 @@
                                          AttemptOutcome outcome,
                                          MonotonicTime now) {
   const AttemptRules& rules = RulesFor(outcome);
-  if (const auto reason = ReasonNotToRetry(request, rules, now)) {
-    // A whole answer that reports a failure is still the caller's answer.
+  if (const auto reason = RetryRefusalReason(request, rules, now)) {
+    // A complete answer that reports an error is still passed to the caller.
     if (rules.has_answer)
       return Answer(request);
     return GiveUp(request, *reason, now);
@@ -129,7 +131,7 @@
   return Enqueue(request, /*at_front=*/true, now);
 }
 
-std::optional<RefusalReason> RequestScheduler::ReasonNotToRetry(
+std::optional<RefusalReason> RequestScheduler::RetryRefusalReason(
     const RequestState& request,
     const AttemptRules& rules,
     MonotonicTime now) {
@@ -154,9 +156,9 @@
   const ServiceState& service = services_[request.service];
   Refusal refusal = Refuse(request.service, reason, {.must_wait = true}, now);
   refusal.run_state = request.run_state;
-  const bool may_come_back = service.config.request_class.IsIdempotent() ||
-                             request.run_state == RunState::kNotRun;
-  if (!may_come_back)
+  const bool is_retry_useful = service.config.request_class.IsIdempotent() ||
+                               request.run_state == RunState::kNotRun;
+  if (!is_retry_useful)
     refusal.retry_after = Duration(0);
   requests_.Erase(request.ticket);
   return refusal;
@@ -170,7 +172,7 @@
   if (!request_class.IsIdempotent() || !state.latency.IsMeasured()) {
     return false;
   }
-  // Under load a second copy takes the slot of another caller's first one.
+  // Under load, a hedge would take a slot from another caller's first attempt.
   const double limit =
       targets_.UsableSlots(service) * options_.hedge_utilisation_limit;
   return state.queue.IsEmpty() && state.outstanding < limit;
--- a/lib/libmedlarcroft/source/decision/request_scheduler_reports.cc
+++ b/lib/libmedlarcroft/source/decision/request_scheduler_reports.cc
@@ -1,4 +1,4 @@
-// The part of RequestScheduler that takes in reports and gives them.
+// RequestScheduler: incoming reports on targets, and reports on its own state.
 #include <algorithm>
 
 #include "medlarcroft/decision/request_scheduler.h"
@@ -6,7 +6,7 @@
 namespace medlarcroft::decision {
 namespace {
 
-constexpr Duration kSilenceGrace = std::chrono::seconds(1);
+constexpr Duration kSilentConnectionGracePeriod = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -32,7 +32,8 @@
 void RequestScheduler::OnSilentConnection(const TargetName& name,
                                           MonotonicTime now) {
   if (const auto target = targets_.Find(name)) {
-    targets_.At(*target).no_blame_until = now + kSilenceGrace;
+    targets_.At(*target).failures_excused_until =
+        now + kSilentConnectionGracePeriod;
   }
 }
 
@@ -43,10 +44,10 @@
 }
 
 void RequestScheduler::MarkStaying(const TargetName& name,
-                                   MonotonicTime asked_at,
+                                   MonotonicTime queried_at,
                                    MonotonicTime now) {
   if (const auto target = targets_.Find(name)) {
-    targets_.MarkStaying(*target, asked_at, now);
+    targets_.MarkStaying(*target, queried_at, now);
   }
 }
 
@@ -85,7 +86,7 @@
   targets_.ForEach([&](const TargetState& target) {
     observations.push_back(
         {.target = target.config.name,
-         .is_leaving = target.leaving.IsSigned(now),
+         .is_leaving = target.leaving.IsReportedLeaving(now),
          .is_ejected = target.health.State() != HealthState::kHealthy,
          .outstanding = target.outstanding,
          .latency = target.health.Latency()});
@@ -103,19 +104,19 @@
   const Duration deadline = state.config.request_class.deadline;
   const std::vector<catalogue::BrandShare> flows = state.queue.Flows();
   const auto unnamed = static_cast<FairQueue::FlowIndex>(flows.size() - 1);
-  const AdmissionVerdict verdict =
-      Admit(InputsFor(*index, unnamed, deadline, now));
+  const AdmissionResult result =
+      Admit(AdmissionInputsFor(*index, unnamed, deadline, now));
 
   Explanation explanation{
       .service = name,
-      .would_refuse = verdict.refusal,
+      .would_refuse = result.refusal,
       .usable_slots = targets_.UsableSlots(*index),
       .outstanding = state.outstanding,
       .queued = static_cast<std::uint32_t>(state.queue.Size()),
       .service_time_mean = state.latency.Mean(),
       .service_time_p95 = state.latency.Percentile95(),
-      .predicted_wait = verdict.predicted_wait,
-      .wait_limit = verdict.wait_limit,
+      .predicted_wait = result.predicted_wait,
+      .wait_limit = result.wait_limit,
       .retry_tokens = state.budget.Tokens(),
       .may_hedge_now = MayHedge(*index)};
   for (const TargetIndex target : targets_.Members(*index)) {
@@ -127,7 +128,8 @@
          .weight = flows[flow].weight,
          .queued = static_cast<std::uint32_t>(state.queue.FlowSize(flow)),
          .predicted_wait =
-             Admit(InputsFor(*index, flow, deadline, now)).predicted_wait});
+             Admit(AdmissionInputsFor(*index, flow, deadline, now))
+                 .predicted_wait});
   }
   return explanation;
 }
--- a/lib/libmedlarcroft/source/decision/request_table.cc
+++ b/lib/libmedlarcroft/source/decision/request_table.cc
@@ -54,7 +54,7 @@
   request.timer.reset();
 }
 
-RequestState* RequestTable::TakeDue(MonotonicTime now) {
+RequestState* RequestTable::PopDue(MonotonicTime now) {
   if (timers_.empty() || timers_.begin()->first > now)
     return nullptr;
 
--- a/lib/libmedlarcroft/source/decision/retry_after_pacer.cc
+++ b/lib/libmedlarcroft/source/decision/retry_after_pacer.cc
@@ -5,30 +5,32 @@
 namespace medlarcroft::decision {
 namespace {
 
-constexpr double kPartForReturning = 0.5;
-constexpr double kLowestRate = 1.0;
-constexpr double kJitter = 0.2;
-constexpr Duration kShortest = std::chrono::milliseconds(100);
-constexpr Duration kLongest = std::chrono::seconds(20);
+constexpr double kReturningRateFraction = 0.5;
+constexpr double kMinRatePerSecond = 1.0;
+constexpr double kJitterFraction = 0.2;
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(20);
 
 }  // namespace
 
 Duration RetryAfterPacer::Next(MonotonicTime now,
-                               Duration not_before,
+                               Duration min_delay,
                                double rate_per_second,
                                ports::RandomSource& random) {
-  const Duration earliest = std::max(not_before, kShortest);
+  const Duration min_wait = std::max(min_delay, kMinRetryAfter);
   const double rate =
-      std::max(rate_per_second, kLowestRate) * kPartForReturning;
+      std::max(rate_per_second, kMinRatePerSecond) * kReturningRateFraction;
 
-  const MonotonicTime place = std::max(next_place_, now + earliest);
-  const Duration wait = place - now;
-  if (wait > kLongest) {
-    return FromSeconds(ToSeconds(kLongest) * (0.5 + 0.5 * random.NextUnit()));
+  const MonotonicTime return_time = std::max(next_return_time_, now + min_wait);
+  const Duration wait = return_time - now;
+  if (wait > kMaxRetryAfter) {
+    return FromSeconds(ToSeconds(kMaxRetryAfter) *
+                       (0.5 + 0.5 * random.NextUnit()));
   }
 
-  next_place_ = place + FromSeconds(1.0 / rate);
-  return FromSeconds(ToSeconds(wait) * (1.0 + kJitter * random.NextUnit()));
+  next_return_time_ = return_time + FromSeconds(1.0 / rate);
+  return FromSeconds(ToSeconds(wait) *
+                     (1.0 + kJitterFraction * random.NextUnit()));
 }
 
 }  // namespace medlarcroft::decision
--- a/lib/libmedlarcroft/source/decision/retry_budget.cc
+++ b/lib/libmedlarcroft/source/decision/retry_budget.cc
@@ -7,9 +7,9 @@
 RetryBudget::RetryBudget(double ratio, double burst)
     : ratio_(ratio), burst_(burst), tokens_(burst) {}
 
-void RetryBudget::OnSuccess(double per_second) {
-  const double most = std::max(burst_, ratio_ * per_second);
-  tokens_ = std::min(most, tokens_ + ratio_);
+void RetryBudget::OnSuccess(double requests_per_second) {
+  const double max_tokens = std::max(burst_, ratio_ * requests_per_second);
+  tokens_ = std::min(max_tokens, tokens_ + ratio_);
 }
 
 bool RetryBudget::TryTake() {
--- a/lib/libmedlarcroft/source/decision/service_state.cc
+++ b/lib/libmedlarcroft/source/decision/service_state.cc
@@ -5,7 +5,7 @@
 namespace medlarcroft::decision {
 namespace {
 
-constexpr double kAnswersOfEachTarget = 10.0;
+constexpr double kAnswersPerTarget = 10.0;
 
 }  // namespace
 
@@ -18,21 +18,22 @@
   queue.Configure(config.brands);
 }
 
-void ServiceState::OnServiceTime(Duration elapsed, std::size_t targets) {
+void ServiceState::OnServiceTime(Duration elapsed, std::size_t target_count) {
   latency.Add(elapsed);
 
-  // The first samples are averaged evenly: one of them alone would set the
-  // measure that every target is judged by.
-  ++samples_;
+  // The first samples have equal weights. Otherwise the very first one would
+  // dominate the mean that all targets are compared with.
+  ++sample_count_;
   const double seconds = ToSeconds(elapsed);
-  const double newest =
-      1.0 / (kAnswersOfEachTarget *
-             static_cast<double>(std::max<std::size_t>(targets, 1)));
-  const double weight = std::max(newest, 1.0 / static_cast<double>(samples_));
+  const double steady_weight =
+      1.0 / (kAnswersPerTarget *
+             static_cast<double>(std::max<std::size_t>(target_count, 1)));
+  const double weight =
+      std::max(steady_weight, 1.0 / static_cast<double>(sample_count_));
   recent_mean_seconds_ += weight * (seconds - recent_mean_seconds_);
 }
 
-double ServiceState::Relative(Duration elapsed) const {
+double ServiceState::RelativeServiceTime(Duration elapsed) const {
   if (!latency.IsMeasured())
     return 1.0;
   return ToSeconds(elapsed) / std::max(recent_mean_seconds_, 1e-6);
--- a/lib/libmedlarcroft/source/decision/target_table.cc
+++ b/lib/libmedlarcroft/source/decision/target_table.cc
@@ -6,11 +6,13 @@
 namespace {
 
 constexpr Duration kRefreshInterval = std::chrono::milliseconds(50);
-// A target of n slots leaves n/4, at least one, to the short class.
-constexpr std::uint32_t kReservedForShort = 4;
-// At most a third of a service's targets is out at once: with more of them
-// slow, the cause is common, and the rest could not carry the load.
-constexpr std::size_t kEjectedPart = 3;
+// Long-running classes leave 1/4 of the usable slots of a target, at least one,
+// to the other classes.
+constexpr std::uint32_t kShortClassReserveDivisor = 4;
+// At most 1/3 of a service's targets is ejected at the same time. If more of
+// them are slow, they have a common cause, and the remaining targets could not
+// carry the load.
+constexpr std::size_t kEjectedTargetsDivisor = 3;
 
 }  // namespace
 
@@ -45,25 +47,26 @@
                           ServiceIndex service,
                           MonotonicTime now) {
   TargetState& state = targets_[target];
-  // The host may have been paused since the last refresh: a share whose lease
-  // has ended belongs to another host by now.
-  if (state.outstanding >= UsableNow(state, now)) {
+  // The host may have been paused since the last refresh. If the lease on its
+  // share has expired, the slots may already belong to another host.
+  if (state.outstanding >= ComputeUsableSlots(state, now)) {
     Refresh(target, now);
     return false;
   }
-  // Refused: the share has shrunk since it was configured. The next snapshot
-  // tells by how much; until then the target is passed over.
+  // If the slot is not granted, the share has shrunk since it was configured.
+  // The target is skipped until its next refresh; the next snapshot has the new
+  // share.
   if (slots_ != nullptr && !slots_->TryTake(state.config.name)) {
-    Hide(target);
+    HideUntilRefresh(target);
     return false;
   }
 
   ++state.outstanding;
-  TargetMembership* membership = MembershipOf(target, service);
+  TargetMembership* membership = FindMembership(target, service);
   ++membership->outstanding;
   for (TargetMembership& each : state.memberships) {
     if (each.is_member)
-      SetAvailable(target, each, HasRoom(state, each));
+      SetAvailable(target, each, HasFreeSlot(state, each));
   }
   return true;
 }
@@ -75,7 +78,7 @@
   if (slots_ != nullptr) {
     slots_->Release(targets_[target].config.name);
   }
-  if (TargetMembership* membership = MembershipOf(target, service)) {
+  if (TargetMembership* membership = FindMembership(target, service)) {
     --membership->outstanding;
   }
   Refresh(target, now);
@@ -84,7 +87,7 @@
 void TargetTable::ReleaseAt(TargetIndex target,
                             ServiceIndex service,
                             MonotonicTime until) {
-  held_.push({.until = until, .target = target, .service = service});
+  held_slots_.push({.until = until, .target = target, .service = service});
 }
 
 void TargetTable::EjectIfOutlier(TargetIndex target, MonotonicTime now) {
@@ -97,24 +100,24 @@
 
 void TargetTable::MarkLeaving(TargetIndex target, MonotonicTime now) {
   TargetState& state = targets_[target];
-  state.leaving.OnSign(now);
-  next_limit_end_ = std::min(next_limit_end_, state.leaving.EndsAt());
+  state.leaving.OnLeavingReport(now);
+  next_expiry_ = std::min(next_expiry_, state.leaving.ReportExpiresAt());
   Refresh(target, now);
 }
 
 void TargetTable::MarkStaying(TargetIndex target,
-                              MonotonicTime asked_at,
+                              MonotonicTime queried_at,
                               MonotonicTime now) {
   TargetState& state = targets_[target];
-  if (state.leaving.IsSigned(now)) {
-    state.leaving.OnStayingSign(asked_at);
+  if (state.leaving.IsReportedLeaving(now)) {
+    state.leaving.OnStayingReport(queried_at);
     Refresh(target, now);
   }
 }
 
 void TargetTable::Refresh(TargetIndex target, MonotonicTime now) {
   TargetState& state = targets_[target];
-  const std::uint32_t usable = UsableNow(state, now);
+  const std::uint32_t usable = ComputeUsableSlots(state, now);
   for (const TargetMembership& membership : state.memberships) {
     if (!membership.is_member)
       continue;
@@ -125,33 +128,33 @@
   for (TargetMembership& membership : state.memberships) {
     if (!membership.is_member)
       continue;
-    SetAvailable(target, membership, HasRoom(state, membership));
+    SetAvailable(target, membership, HasFreeSlot(state, membership));
   }
-  WatchIfChanging(target, now);
+  WatchIfTransitional(target, now);
 }
 
-void TargetTable::Hide(TargetIndex target) {
+void TargetTable::HideUntilRefresh(TargetIndex target) {
   for (TargetMembership& membership : targets_[target].memberships) {
     SetAvailable(target, membership, false);
   }
 }
 
 void TargetTable::Advance(MonotonicTime now) {
-  while (!held_.empty() && held_.top().until <= now) {
-    const HeldSlot held = held_.top();
-    held_.pop();
+  while (!held_slots_.empty() && held_slots_.top().until <= now) {
+    const HeldSlot held = held_slots_.top();
+    held_slots_.pop();
     Release(held.target, held.service, now);
   }
 
-  if (now >= next_limit_end_)
+  if (now >= next_expiry_)
     RefreshAll(now);
 
   if (now < next_refresh_)
     return;
   next_refresh_ = MonotonicTime::max();
-  const std::vector<TargetIndex> changing = std::move(changing_);
-  changing_.clear();
-  for (const TargetIndex target : changing) {
+  const std::vector<TargetIndex> due_targets = std::move(watched_targets_);
+  watched_targets_.clear();
+  for (const TargetIndex target : due_targets) {
     TargetState& state = targets_[target];
     state.is_watched = false;
     const bool was_probing = state.health.State() == HealthState::kProbing;
@@ -165,9 +168,9 @@
 }
 
 MonotonicTime TargetTable::NextChange() const {
-  MonotonicTime next = std::min(next_refresh_, next_limit_end_);
-  if (!held_.empty())
-    next = std::min(next, held_.top().until);
+  MonotonicTime next = std::min(next_refresh_, next_expiry_);
+  if (!held_slots_.empty())
+    next = std::min(next, held_slots_.top().until);
   return next;
 }
 
@@ -196,24 +199,25 @@
   return std::ranges::all_of(
       targets_[target].memberships, [&](const TargetMembership& membership) {
         std::size_t live = 0;
-        std::size_t out = 0;
+        std::size_t ejected = 0;
         for (const TargetIndex each : services_[membership.service].members) {
           const TargetState& state = targets_[each];
-          // What gives no capacity anyway cannot stand in for the target.
+          // Targets without capacity cannot replace the ejected one.
           if (state.leaving.IsLeaving(now) || state.config.share == 0)
             continue;
           ++live;
           if (state.health.State() != HealthState::kHealthy)
-            ++out;
+            ++ejected;
         }
         if (live < 2)
           return false;
-        return out < std::max<std::size_t>(1, live / kEjectedPart);
+        return ejected <
+               std::max<std::size_t>(1, live / kEjectedTargetsDivisor);
       });
 }
 
-std::uint32_t TargetTable::UsableNow(const TargetState& target,
-                                     MonotonicTime now) const {
+std::uint32_t TargetTable::ComputeUsableSlots(const TargetState& target,
+                                              MonotonicTime now) const {
   const TargetConfig& config = target.config;
   if (!target.is_configured || target.leaving.IsLeaving(now))
     return 0;
@@ -230,15 +234,15 @@
   return target.ramp.Usable(share, now);
 }
 
-bool TargetTable::HasRoom(const TargetState& target,
-                          const TargetMembership& membership) {
+bool TargetTable::HasFreeSlot(const TargetState& target,
+                              const TargetMembership& membership) {
   if (target.outstanding >= target.usable)
     return false;
   if (!membership.is_long_running || target.usable < 2)
     return true;
 
   const std::uint32_t reserved =
-      std::max(1U, target.usable / kReservedForShort);
+      std::max(1U, target.usable / kShortClassReserveDivisor);
   return membership.outstanding < target.usable - reserved;
 }
 
@@ -255,18 +259,18 @@
     return;
   }
 
-  const std::size_t hole = *membership.position;
+  const std::size_t vacated_position = *membership.position;
   const TargetIndex last = available.back();
-  available[hole] = last;
+  available[vacated_position] = last;
   available.pop_back();
   membership.position.reset();
   if (last != target) {
-    MembershipOf(last, membership.service)->position = hole;
+    FindMembership(last, membership.service)->position = vacated_position;
   }
 }
 
-TargetMembership* TargetTable::MembershipOf(TargetIndex target,
-                                            ServiceIndex service) {
+TargetMembership* TargetTable::FindMembership(TargetIndex target,
+                                              ServiceIndex service) {
   std::vector<TargetMembership>& memberships = targets_[target].memberships;
   const auto found =
       std::ranges::find(memberships, service, &TargetMembership::service);
@@ -274,7 +278,7 @@
 }
 
 void TargetTable::RefreshAll(MonotonicTime now) {
-  next_limit_end_ = MonotonicTime::max();
+  next_expiry_ = MonotonicTime::max();
   for (TargetIndex target = 0; target < targets_.size(); ++target) {
     Refresh(target, now);
     const TargetState& state = targets_[target];
@@ -283,14 +287,15 @@
 
     const MonotonicTime lease_end =
         state.config.share_lease_until.value_or(MonotonicTime::max());
-    for (const MonotonicTime end : {lease_end, state.leaving.EndsAt()}) {
+    for (const MonotonicTime end :
+         {lease_end, state.leaving.ReportExpiresAt()}) {
       if (end > now)
-        next_limit_end_ = std::min(next_limit_end_, end);
+        next_expiry_ = std::min(next_expiry_, end);
     }
   }
 }
 
-void TargetTable::WatchIfChanging(TargetIndex target, MonotonicTime now) {
+void TargetTable::WatchIfTransitional(TargetIndex target, MonotonicTime now) {
   const TargetState& state = targets_[target];
   if (!state.is_configured)
     return;
@@ -300,7 +305,7 @@
   }
 
   if (!targets_[target].is_watched)
-    changing_.push_back(target);
+    watched_targets_.push_back(target);
   targets_[target].is_watched = true;
   next_refresh_ = std::min(next_refresh_, now + kRefreshInterval);
 }
--- a/lib/libmedlarcroft/source/decision/target_table_configuration.cc
+++ b/lib/libmedlarcroft/source/decision/target_table_configuration.cc
@@ -1,4 +1,4 @@
-// The part of TargetTable that takes in a snapshot.
+// TargetTable: applies a routing snapshot.
 #include <algorithm>
 
 #include "medlarcroft/decision/target_table.h"
@@ -6,22 +6,24 @@
 namespace medlarcroft::decision {
 namespace {
 
-// A class is kept off the last slots when it runs this much longer.
-constexpr int kLongRatio = 4;
+// A request class counts as long-running, and may not use the reserved slots,
+// if it takes more than this many times as long as the shortest one on the
+// target.
+constexpr int kLongRunningRatio = 4;
 
 }  // namespace
 
 void TargetTable::Configure(std::span<const ServiceTargets> services,
                             Duration cold_ramp,
                             MonotonicTime now) {
-  std::vector<ServiceView> previous = std::move(services_);
+  std::vector<ServiceTargetLists> previous = std::move(services_);
   services_.clear();
-  std::size_t highest = previous.size();
+  std::size_t service_count = previous.size();
   for (const ServiceTargets& service : services) {
-    highest = std::max<std::size_t>(highest, service.service + 1);
+    service_count = std::max<std::size_t>(service_count, service.service + 1);
   }
-  services_.resize(highest);
-  previous.resize(highest);
+  services_.resize(service_count);
+  previous.resize(service_count);
 
   for (TargetState& target : targets_) {
     target.is_configured = false;
@@ -32,15 +34,16 @@
   }
 
   for (const ServiceTargets& service : services) {
-    // What appears in a running service starts cold; a starting host knows
-    // nothing of what ran before it and must not slow everything down.
+    // Only a target that joins a running service starts cold. A host that has
+    // just started does not know which targets were running before, and must
+    // not ramp up all of them.
     const bool is_cold = !previous[service.service].members.empty();
     for (const TargetConfig& config : service.targets) {
       AddMembership(service, FindOrAdd(config, is_cold, cold_ramp, now));
     }
   }
 
-  MarkLongClasses(services);
+  MarkLongRunningClasses(services);
   for (TargetState& target : targets_) {
     target.usable = 0;
     std::erase_if(target.memberships, [](const TargetMembership& membership) {
@@ -48,7 +51,7 @@
     });
   }
   RefreshAll(now);
-  ForgetRemoved();
+  EraseRemovedTargets();
 }
 
 TargetIndex TargetTable::FindOrAdd(const TargetConfig& config,
@@ -57,7 +60,8 @@
                                    MonotonicTime now) {
   const auto found = indexes_.find(config.name);
   if (found != indexes_.end() && targets_[found->second].is_configured) {
-    // Another service named it already: the tighter limits hold.
+    // Another service in this snapshot uses the target too: apply the smaller
+    // share.
     TargetConfig& merged = targets_[found->second].config;
     merged.share = std::min(merged.share, config.share);
     if (config.is_leaving) {
@@ -69,9 +73,9 @@
   TargetIndex target = 0;
   if (found != indexes_.end()) {
     target = found->second;
-  } else if (!free_indexes_.empty()) {
-    target = free_indexes_.back();
-    free_indexes_.pop_back();
+  } else if (!free_target_indexes_.empty()) {
+    target = free_target_indexes_.back();
+    free_target_indexes_.pop_back();
   } else {
     target = static_cast<TargetIndex>(targets_.size());
     targets_.emplace_back();
@@ -91,7 +95,7 @@
 
 void TargetTable::AddMembership(const ServiceTargets& service,
                                 TargetIndex target) {
-  TargetMembership* known = MembershipOf(target, service.service);
+  TargetMembership* known = FindMembership(target, service.service);
   if (known != nullptr && known->is_member)
     return;
 
@@ -103,7 +107,8 @@
   }
 }
 
-void TargetTable::MarkLongClasses(std::span<const ServiceTargets> services) {
+void TargetTable::MarkLongRunningClasses(
+    std::span<const ServiceTargets> services) {
   std::vector<Duration> expected(services_.size(), Duration(0));
   for (const ServiceTargets& service : services) {
     expected[service.service] = service.expected_service_time;
@@ -115,18 +120,18 @@
     }
     for (TargetMembership& membership : target.memberships) {
       membership.is_long_running =
-          expected[membership.service] > shortest * kLongRatio;
+          expected[membership.service] > shortest * kLongRunningRatio;
     }
   }
 }
 
-void TargetTable::ForgetRemoved() {
+void TargetTable::EraseRemovedTargets() {
   std::erase_if(indexes_, [&](const auto& entry) {
     TargetState& target = targets_[entry.second];
     if (target.is_configured || target.outstanding > 0)
       return false;
     target = TargetState{};
-    free_indexes_.push_back(entry.second);
+    free_target_indexes_.push_back(entry.second);
     return true;
   });
 }
--- a/tests/unit/decision/attempt_rules_test.cc
+++ b/tests/unit/decision/attempt_rules_test.cc
@@ -5,43 +5,49 @@
 namespace medlarcroft::decision {
 namespace {
 
-struct Case {
+struct AttemptRulesCase {
   AttemptOutcome outcome;
   RunState run_state;
-  bool idempotent_again;
-  bool non_idempotent_again;
-  bool is_blamed;
+  bool idempotent_may_retry;
+  bool non_idempotent_may_retry;
+  bool is_target_failure;
 };
 
-class AttemptRulesTest : public ::testing::TestWithParam<Case> {};
+class AttemptRulesTest : public ::testing::TestWithParam<AttemptRulesCase> {};
 
-TEST_P(AttemptRulesTest, FollowsTheTable) {
+TEST_P(AttemptRulesTest, MatchesOutcome) {
   const AttemptRules& rules = RulesFor(GetParam().outcome);
 
   EXPECT_EQ(rules.run_state, GetParam().run_state);
-  EXPECT_EQ(MayRetry(rules, true), GetParam().idempotent_again);
-  EXPECT_EQ(MayRetry(rules, false), GetParam().non_idempotent_again);
-  EXPECT_EQ(rules.is_target_failure, GetParam().is_blamed);
+  EXPECT_EQ(MayRetry(rules, true), GetParam().idempotent_may_retry);
+  EXPECT_EQ(MayRetry(rules, false), GetParam().non_idempotent_may_retry);
+  EXPECT_EQ(rules.is_target_failure, GetParam().is_target_failure);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Outcomes,
     AttemptRulesTest,
-    ::testing::Values(
-        Case{AttemptOutcome::kAnswered, RunState::kRan, false, false, false},
-        Case{AttemptOutcome::kServerError, RunState::kRan, true, false, true},
-        Case{AttemptOutcome::kNeverSent, RunState::kNotRun, true, true, true},
-        Case{AttemptOutcome::kShed, RunState::kNotRun, true, true, false},
-        Case{AttemptOutcome::kTargetLeaving, RunState::kNotRun, true, true,
-             false},
-        Case{AttemptOutcome::kTruncated, RunState::kUnknown, true, false, true},
-        Case{AttemptOutcome::kConnectionLost, RunState::kUnknown, true, false,
-             true},
-        Case{AttemptOutcome::kTimedOut, RunState::kUnknown, true, false, true},
-        Case{AttemptOutcome::kSilentConnection, RunState::kUnknown, true, false,
-             false},
-        Case{AttemptOutcome::kCancelled, RunState::kUnknown, false, false,
-             false}));
+    ::testing::Values(AttemptRulesCase{AttemptOutcome::kAnswered,
+                                       RunState::kRan, false, false, false},
+                      AttemptRulesCase{AttemptOutcome::kServerError,
+                                       RunState::kRan, true, false, true},
+                      AttemptRulesCase{AttemptOutcome::kNeverSent,
+                                       RunState::kNotRun, true, true, true},
+                      AttemptRulesCase{AttemptOutcome::kShed, RunState::kNotRun,
+                                       true, true, false},
+                      AttemptRulesCase{AttemptOutcome::kTargetLeaving,
+                                       RunState::kNotRun, true, true, false},
+                      AttemptRulesCase{AttemptOutcome::kTruncated,
+                                       RunState::kUnknown, true, false, true},
+                      AttemptRulesCase{AttemptOutcome::kConnectionLost,
+                                       RunState::kUnknown, true, false, true},
+                      AttemptRulesCase{AttemptOutcome::kTimedOut,
+                                       RunState::kUnknown, true, false, true},
+                      AttemptRulesCase{AttemptOutcome::kSilentConnection,
+                                       RunState::kUnknown, true, false, false},
+                      AttemptRulesCase{AttemptOutcome::kCancelled,
+                                       RunState::kUnknown, false, false,
+                                       false}));
 
 }  // namespace
 }  // namespace medlarcroft::decision
--- a/tests/unit/decision/fair_queue_test.cc
+++ b/tests/unit/decision/fair_queue_test.cc
@@ -20,9 +20,9 @@
   return ids;
 }
 
-// The caller sees: a quiet brand's request is served next although a loud one
-// queued a hundred before it. Why: turns go round brands, not arrivals.
-TEST(FairQueue, AQuietBrandPassesALoudOne) {
+// A request of a brand with little demand is served next although another brand
+// queued a hundred requests before it: the order is by brand, not by arrival.
+TEST(FairQueue, ServesNewlyActiveBrandBeforeBacklogOfAnother) {
   FairQueue queue(/*is_fair=*/true);
   queue.Configure(Brands());
   for (std::uint64_t id = 1; id <= 100; ++id)
@@ -34,7 +34,7 @@
   EXPECT_EQ(queue.Pop()->id, 500U);
 }
 
-TEST(FairQueue, AnIdleBrandSavesUpNoTurns) {
+TEST(FairQueue, IdleBrandAccumulatesNoCredit) {
   FairQueue queue(/*is_fair=*/true);
   queue.Configure(Brands());
   for (std::uint64_t id = 1; id <= 10; ++id)
@@ -67,7 +67,7 @@
   EXPECT_DOUBLE_EQ(queue.ShareOf(0), 0.25);
 }
 
-TEST(FairQueue, ConfigureKeepsWhatWaits) {
+TEST(FairQueue, ConfigureKeepsWaitingRequests) {
   FairQueue queue(/*is_fair=*/true);
   queue.Configure(Brands());
   queue.Push(0, {.id = 1});
@@ -81,7 +81,7 @@
   EXPECT_EQ(PopAll(queue).size(), 2U);
 }
 
-TEST(FairQueue, RemoveTakesOutOneRequest) {
+TEST(FairQueue, RemoveErasesOneRequest) {
   FairQueue queue(/*is_fair=*/true);
   queue.Push(0, {.id = 1});
   queue.Push(0, {.id = 2});
--- a/tests/unit/decision/latency_estimate_test.cc
+++ b/tests/unit/decision/latency_estimate_test.cc
@@ -25,7 +25,7 @@
   EXPECT_LE(estimate.Percentile95(), milliseconds(1045));
 }
 
-TEST(LatencyEstimate, TheMeanOfTheFirstAnswersIsExact) {
+TEST(LatencyEstimate, MeanOfTheFirstAnswersIsExact) {
   LatencyEstimate estimate(milliseconds(1));
   for (int i = 1; i <= 200; ++i)
     estimate.Add(milliseconds(i));
@@ -33,9 +33,9 @@
   EXPECT_NEAR(ToSeconds(estimate.Mean()), 0.1005, 0.0001);
 }
 
-// Targets slow down at full saturation. Callers must be told soon how long they
-// would wait, while a few slow answers must not turn the tail at once.
-TEST(LatencyEstimate, TheMeanFollowsAChangeSoonAndTheTailLater) {
+// When targets slow down at full saturation, the predicted wait must follow
+// soon, whereas a few answers must not change the 95th percentile at once.
+TEST(LatencyEstimate, MeanFollowsAChangeSoonerThanPercentile95) {
   LatencyEstimate estimate(milliseconds(20));
   for (int i = 0; i < 1900; ++i)
     estimate.Add(milliseconds(20));
@@ -49,7 +49,7 @@
   EXPECT_GE(estimate.Percentile95(), milliseconds(90));
 }
 
-TEST(LatencyEstimate, FollowsAChange) {
+TEST(LatencyEstimate, MeanFollowsALastingChange) {
   LatencyEstimate estimate(milliseconds(20));
   for (int i = 0; i < 5000; ++i)
     estimate.Add(milliseconds(20));
--- a/tests/unit/decision/leaving_status_test.cc
+++ b/tests/unit/decision/leaving_status_test.cc
@@ -10,68 +10,68 @@
 
 constexpr MonotonicTime kNow{std::chrono::hours(1)};
 
-// The caller sees: no request lands on the target again. In order: it says that
-// it drains; a snapshot made before that still says it stays. Why: the sources
-// lag, so a sign of life may be older than the sign of leaving.
-TEST(LeavingStatus, AnOlderSignOfLifeDoesNotUndoIt) {
+// The target reports that it is draining, then a snapshot built before that
+// report arrives and does not list it as leaving. The sources have different
+// delays, so the outdated snapshot must not send new requests to the target.
+TEST(LeavingStatus, OutdatedSnapshotDoesNotRevokeReport) {
   LeavingStatus mark;
-  mark.OnSign(kNow);
+  mark.OnLeavingReport(kNow);
 
   mark.OnSnapshot(/*is_leaving=*/false, kNow + seconds(1));
 
   EXPECT_TRUE(mark.IsLeaving(kNow + seconds(1)));
 }
 
-TEST(LeavingStatus, TheSnapshotUndoesWhatItConfirmed) {
+TEST(LeavingStatus, SnapshotRevokesReportThatItHadConfirmed) {
   LeavingStatus mark;
-  mark.OnSign(kNow);
+  mark.OnLeavingReport(kNow);
   mark.OnSnapshot(/*is_leaving=*/true, kNow + seconds(2));
   mark.OnSnapshot(/*is_leaving=*/false, kNow + minutes(2));
 
   EXPECT_FALSE(mark.IsLeaving(kNow + minutes(2)));
 }
 
-TEST(LeavingStatus, AnUnconfirmedMarkEnds) {
+TEST(LeavingStatus, UnconfirmedReportExpires) {
   LeavingStatus mark;
-  mark.OnSign(kNow);
+  mark.OnLeavingReport(kNow);
 
   EXPECT_TRUE(mark.IsLeaving(kNow + minutes(14)));
   EXPECT_FALSE(mark.IsLeaving(kNow + minutes(15)));
 }
 
-// The caller sees: a target that was drained for a short repair serves again.
-// In order: it says that it drains, the hosts tell each other, it says that it
-// stays. Why: what the snapshot says is no sight of this host's own; reported
-// as such it would confirm itself for ever.
-TEST(LeavingStatus, TheSnapshotsWordIsNotReportedAsAnOwnSign) {
+// A target reports that it is draining for a short repair, the hosts inform
+// each other, and the target then reports that it is staying; it must be used
+// again. If a host reported what the snapshot says as its own observation, the
+// hosts would confirm each other indefinitely.
+TEST(LeavingStatus, SnapshotIsNotReportedAsOwnObservation) {
   LeavingStatus mark;
   mark.OnSnapshot(/*is_leaving=*/true, kNow);
 
   EXPECT_TRUE(mark.IsLeaving(kNow));
-  EXPECT_FALSE(mark.IsSigned(kNow));
+  EXPECT_FALSE(mark.IsReportedLeaving(kNow));
 }
 
-// The caller sees: no request lands on a target that leaves. In order: it is
-// asked, it says that it drains on another connection, then the older answer
-// arrives and says that it stays. Why: only a question put later counts.
-TEST(LeavingStatus, OnlyALaterWordOfTheTargetEndsItsSign) {
+// The target is queried, then reports on another connection that it is
+// draining, and then the answer to the earlier query arrives and says that it
+// is staying. Only an answer to a later query may make the target usable again.
+TEST(LeavingStatus, OnlyALaterQueryRevokesTheReportOfTheTarget) {
   LeavingStatus mark;
-  mark.OnSign(kNow);
+  mark.OnLeavingReport(kNow);
 
-  mark.OnStayingSign(kNow - seconds(1));
+  mark.OnStayingReport(kNow - seconds(1));
   EXPECT_TRUE(mark.IsLeaving(kNow));
 
-  mark.OnStayingSign(kNow + seconds(1));
+  mark.OnStayingReport(kNow + seconds(1));
   EXPECT_FALSE(mark.IsLeaving(kNow + seconds(2)));
 }
 
-// The caller sees: no request lands on a target that an operator drains. In
-// order: the snapshot shows the drain, the target itself says that it stays.
-// Why: a target need not know that its operator wants it empty.
-TEST(LeavingStatus, TheTargetsWordDoesNotUndoTheSnapshots) {
+// The snapshot lists a target as leaving because an operator drains it, while
+// the target itself, which may not know of that, reports that it is staying. It
+// must not get new requests.
+TEST(LeavingStatus, ReportOfTheTargetDoesNotRevokeTheSnapshot) {
   LeavingStatus mark;
   mark.OnSnapshot(/*is_leaving=*/true, kNow);
-  mark.OnStayingSign(kNow + seconds(1));
+  mark.OnStayingReport(kNow + seconds(1));
 
   EXPECT_TRUE(mark.IsLeaving(kNow + seconds(2)));
 }
--- a/tests/unit/decision/placement_test.cc
+++ b/tests/unit/decision/placement_test.cc
@@ -12,7 +12,7 @@
 
 constexpr MonotonicTime kNow{std::chrono::hours(1)};
 
-TargetState Target(std::uint32_t own, std::uint32_t reported_by_others) {
+TargetState MakeTarget(std::uint32_t own, std::uint32_t reported_by_others) {
   TargetState target;
   target.config = {.slots = 8, .share = 4};
   target.usable = 4;
@@ -22,8 +22,8 @@
   return target;
 }
 
-TEST(PlacementScore, FollowsTheReportOnlyWhileItIsFresh) {
-  TargetState target = Target(2, 4);
+TEST(PlacementScore, UsesReportOnlyWhileFresh) {
+  TargetState target = MakeTarget(2, 4);
   const double fresh = PlacementScore(target, 1.0, kNow);
   const double old =
       PlacementScore(target, 1.0, kNow + std::chrono::seconds(3));
@@ -35,39 +35,39 @@
   EXPECT_DOUBLE_EQ(never, 5.0 / 8.0);
 }
 
-TEST(PlacementScore, AReportCountsForNoMoreThanTheOthersSlots) {
-  EXPECT_DOUBLE_EQ(PlacementScore(Target(0, 1000), 1.0, kNow),
-                   PlacementScore(Target(0, 4), 1.0, kNow));
+TEST(PlacementScore, LimitsReportedLoadToSlotsHeldByOthers) {
+  EXPECT_DOUBLE_EQ(PlacementScore(MakeTarget(0, 1000), 1.0, kNow),
+                   PlacementScore(MakeTarget(0, 4), 1.0, kNow));
 }
 
-TEST(PlacementScore, ASlowTargetScoresWorseWithinLimits) {
-  const TargetState target = Target(1, 0);
+TEST(PlacementScore, SlowTargetScoresWorseWithinLimits) {
+  const TargetState target = MakeTarget(1, 0);
   EXPECT_GT(PlacementScore(target, 2.0, kNow),
             PlacementScore(target, 1.0, kNow));
   EXPECT_DOUBLE_EQ(PlacementScore(target, 50.0, kNow),
                    PlacementScore(target, 4.0, kNow));
 }
 
-// The caller sees: a target that was restarted serves again, also at night. In
-// order: it fails, is ejected and comes to be probed while the others are idle.
-// Why: nobody would send it the probes that bring it back if its one usable
-// slot and its old latency made it look busier than an idle target.
-TEST(PlacementScore, AProbedTargetCompetesWithIdleOnes) {
-  TargetState probed = Target(0, 0);
+// A target fails, is ejected and restarted, and is probed at a time of low
+// load, when the other targets are idle. If its one usable slot and its latency
+// from before the ejection made it look busier than an idle target, it would
+// get no probe requests and stay ejected permanently.
+TEST(PlacementScore, ProbedTargetScoresLikeAnIdleTarget) {
+  TargetState probed = MakeTarget(0, 0);
   probed.health.Eject(kNow);
   ASSERT_TRUE(probed.health.Update(kNow + std::chrono::minutes(2)));
   ASSERT_EQ(probed.health.State(), HealthState::kProbing);
   probed.usable = 1;
 
   EXPECT_LE(PlacementScore(probed, 4.0, kNow),
-            PlacementScore(Target(0, 0), 1.0, kNow));
+            PlacementScore(MakeTarget(0, 0), 1.0, kNow));
   EXPECT_LT(PlacementScore(probed, 4.0, kNow),
-            PlacementScore(Target(1, 0), 1.0, kNow));
+            PlacementScore(MakeTarget(1, 0), 1.0, kNow));
 }
 
 class PlacementTest : public ::testing::TestWithParam<PlacementKind> {};
 
-TEST_P(PlacementTest, UsesEveryTargetAndStaysWithinSlots) {
+TEST_P(PlacementTest, UsesEveryTargetWithinItsSlots) {
   std::vector<TargetConfig> configs;
   for (const char* name : {"a", "b", "c", "d"}) {
     configs.push_back({.name = TargetName(name), .slots = 3, .share = 3});
--- a/tests/unit/decision/request_scheduler_reports_test.cc
+++ b/tests/unit/decision/request_scheduler_reports_test.cc
@@ -7,8 +7,8 @@
 
 class SchedulerReportsTest : public SchedulerFixture {};
 
-TEST_F(SchedulerReportsTest, LoadCountsWhatPeersNeed) {
-  Configure(Service(Targets(1, 2)));
+TEST_F(SchedulerReportsTest, LoadIncludesAllCounters) {
+  Configure(MakeService(MakeTargets(1, 2)));
   for (int i = 0; i < 3; ++i)
     static_cast<void>(Submit());
   static_cast<void>(scheduler_.Submit({.service = ServiceName("lookup-desk"),
@@ -29,8 +29,8 @@
   EXPECT_FALSE(scheduler_.Load(ServiceName("none"), clock_.Now()).has_value());
 }
 
-TEST_F(SchedulerReportsTest, ObservationsTellWhatThisHostSaw) {
-  Configure(Service(Targets(2, 2)));
+TEST_F(SchedulerReportsTest, ObservationsIncludeLatencyAndLeaving) {
+  Configure(MakeService(MakeTargets(2, 2)));
   Serve(20, milliseconds(20));
   scheduler_.MarkLeaving(TargetName("t1"), clock_.Now());
 
@@ -42,10 +42,10 @@
   EXPECT_TRUE(observations[1].is_leaving);
 }
 
-TEST_F(SchedulerReportsTest, AnOlderReportDoesNotReplaceANewerOne) {
-  std::vector<TargetConfig> targets = Targets(1, 4);
+TEST_F(SchedulerReportsTest, OlderReportDoesNotReplaceANewerOne) {
+  std::vector<TargetConfig> targets = MakeTargets(1, 4);
   targets[0].share = 2;
-  Configure(Service(targets));
+  Configure(MakeService(targets));
 
   scheduler_.OnTargetReport(TargetName("t0"), 2, milliseconds(100),
                             clock_.Now());
@@ -57,8 +57,8 @@
   EXPECT_DOUBLE_EQ(Explain().targets[0].score, score);
 }
 
-TEST_F(SchedulerReportsTest, ExplainNamesTheRuleAndItsLimit) {
-  Configure(Service(Targets(1, 1)));
+TEST_F(SchedulerReportsTest, ExplainReturnsLimitAndPredictedWaits) {
+  Configure(MakeService(MakeTargets(1, 1)));
   EXPECT_EQ(Explain().would_refuse, std::nullopt);
   EXPECT_EQ(Explain().predicted_wait, Duration(0));
   for (int i = 0; i < 20; ++i)
--- a/tests/unit/decision/request_scheduler_test.cc
+++ b/tests/unit/decision/request_scheduler_test.cc
@@ -12,7 +12,7 @@
 class RequestSchedulerTest : public SchedulerFixture {};
 
 TEST_F(RequestSchedulerTest, DispatchesUpToTheShareAndQueuesTheRest) {
-  Configure(Service(Targets(2, 3)));
+  Configure(MakeService(MakeTargets(2, 3)));
 
   for (int i = 0; i < 6; ++i) {
     EXPECT_TRUE(std::holds_alternative<Dispatch>(Submit()));
@@ -23,8 +23,8 @@
             1U);
 }
 
-TEST_F(RequestSchedulerTest, DispatchesTheQueuedOneAsSoonAsASlotIsFree) {
-  Configure(Service(Targets(1, 1)));
+TEST_F(RequestSchedulerTest, DispatchesTheQueuedRequestOnceASlotIsFree) {
+  Configure(MakeService(MakeTargets(1, 1)));
   const Dispatch first = SubmitAndDispatch();
   const Queued second = std::get<Queued>(Submit());
   clock_.Advance(milliseconds(20));
@@ -38,7 +38,7 @@
 }
 
 TEST_F(RequestSchedulerTest, RefusesAnUnknownServiceWithoutRetryAfter) {
-  Configure(Service(Targets(1, 1)));
+  Configure(MakeService(MakeTargets(1, 1)));
 
   const Admission admission = scheduler_.Submit(
       {.service = ServiceName("none"), .brand = BrandName("a")}, clock_.Now());
@@ -48,12 +48,11 @@
   EXPECT_EQ(std::get<Refusal>(admission).retry_after, Duration(0));
 }
 
-// The caller sees: an answer "not run" the moment that the queue's bound is
-// passed, well before its own deadline, with a time to come back at.
-// In order: the only slot is busy, a request waits, its queue limit passes.
-// Why: an answer held back to the deadline leaves no time to go elsewhere.
-TEST_F(RequestSchedulerTest, GivesUpAQueuedRequestAtItsQueueLimit) {
-  Configure(Service(Targets(1, 1)));
+// The only slot is busy and a queued request reaches its queue limit. Its
+// caller must get "not run" and a Retry-After at that moment, well before its
+// own deadline. A refusal at the deadline leaves no time to try elsewhere.
+TEST_F(RequestSchedulerTest, RefusesAQueuedRequestAtItsQueueLimit) {
+  Configure(MakeService(MakeTargets(1, 1)));
   static_cast<void>(SubmitAndDispatch());
   const Queued queued = std::get<Queued>(Submit());
   EXPECT_EQ(queued.give_up_at, clock_.Now() + milliseconds(100));
@@ -68,14 +67,14 @@
   EXPECT_GT(expiry.refusal.retry_after, Duration(0));
 }
 
-// The caller sees: one dispatch, then "unknown"; never a second run.
-// In order: the request is sent, the connection breaks, no answer comes.
-// Why: the target may have recorded the order; a second one doubles it.
-TEST_F(RequestSchedulerTest, NeverRunsANonIdempotentRequestAgainInDoubt) {
+// A request is sent and the connection breaks before the answer is complete.
+// The target may have recorded an order, which a retry would duplicate, so the
+// caller must get "unknown" after the only dispatch.
+TEST_F(RequestSchedulerTest, NeverRetriesANonIdempotentRequestThatMayHaveRun) {
   for (const AttemptOutcome outcome :
        {AttemptOutcome::kConnectionLost, AttemptOutcome::kTruncated,
         AttemptOutcome::kTimedOut, AttemptOutcome::kSilentConnection}) {
-    Configure(NonIdempotentService(Targets(3, 3)));
+    Configure(MakeNonIdempotentService(MakeTargets(3, 3)));
     const Dispatch dispatch = SubmitAndDispatch();
 
     const NextStep step = End(dispatch.attempt, outcome);
@@ -87,11 +86,11 @@
   }
 }
 
-TEST_F(RequestSchedulerTest, RetriesElsewhereWhenTheTargetDidNotRunIt) {
+TEST_F(RequestSchedulerTest, RetriesOnAnotherTargetIfNotRun) {
   for (const AttemptOutcome outcome :
        {AttemptOutcome::kNeverSent, AttemptOutcome::kShed,
         AttemptOutcome::kTargetLeaving}) {
-    Configure(NonIdempotentService(Targets(4, 2)));
+    Configure(MakeNonIdempotentService(MakeTargets(4, 2)));
     const Dispatch first = SubmitAndDispatch();
 
     const NextStep step = End(first.attempt, outcome);
@@ -103,10 +102,10 @@
   }
 }
 
-// Guards against sending most requests first to a target that sheds them all
-// but has the lowest measured latency, which spends the retry budget.
-TEST_F(RequestSchedulerTest, AFastTargetThatShedsDoesNotSpendTheRetryBudget) {
-  Configure(NonIdempotentService(Targets(4, 4)));
+// A target with the lowest measured latency sheds all requests. If most
+// requests were still sent to it first, they would use up the retry budget.
+TEST_F(RequestSchedulerTest, FastTargetThatShedsDoesNotExhaustTheRetryBudget) {
+  Configure(MakeNonIdempotentService(MakeTargets(4, 4)));
   const TargetName fast("t0");
   for (int i = 0; i < 100; ++i) {
     const Dispatch dispatch = SubmitAndDispatch();
@@ -130,8 +129,8 @@
   EXPECT_LE(sheds, 10);
 }
 
-TEST_F(RequestSchedulerTest, RetriesEndWithTheBudget) {
-  Configure(Service(Targets(8, 8)));
+TEST_F(RequestSchedulerTest, StopsRetryingWhenTheBudgetIsSpent) {
+  Configure(MakeService(MakeTargets(8, 8)));
 
   int retries = 0;
   bool is_spent = false;
@@ -149,21 +148,21 @@
   EXPECT_EQ(retries, 10);
 }
 
-// The caller sees: an answer, though not "not run". In order: hedges and lost
-// connections spend the budget; a target with requests in flight says that it
-// leaves, and refuses them; each goes to another target. Why: a planned drain
-// must cost callers nothing, and its repeats end with what was in flight there,
-// since the target gets nothing new.
-TEST_F(RequestSchedulerTest, RequestsOfALeavingTargetNeedNoBudget) {
-  Configure(Service(Targets(8, 8)));
-  std::vector<Dispatch> at_first;
+// Hedges and lost connections have spent the retry budget when a target with
+// requests in flight reports that it is leaving and refuses them. Each request
+// must be retried on another target instead of ending with "not run", because a
+// planned drain must not fail requests. The number of these retries is limited
+// to the requests in flight, as the target gets no new ones.
+TEST_F(RequestSchedulerTest, RetriesFromALeavingTargetNeedNoBudget) {
+  Configure(MakeService(MakeTargets(8, 8)));
+  std::vector<Dispatch> on_t0;
   std::vector<Dispatch> elsewhere;
   for (int i = 0; i < 32; ++i) {
     const Dispatch dispatch = SubmitAndDispatch();
-    const bool is_first = dispatch.target == TargetName("t0");
-    (is_first ? at_first : elsewhere).push_back(dispatch);
+    const bool is_t0 = dispatch.target == TargetName("t0");
+    (is_t0 ? on_t0 : elsewhere).push_back(dispatch);
   }
-  ASSERT_GE(at_first.size(), 2U);
+  ASSERT_GE(on_t0.size(), 2U);
   for (const Dispatch& dispatch : elsewhere) {
     static_cast<void>(End(dispatch.attempt, AttemptOutcome::kAnswered));
   }
@@ -177,18 +176,18 @@
         std::get<Refusal>(step).reason == RefusalReason::kRetryBudgetSpent;
   }
 
-  for (const Dispatch& dispatch : at_first) {
+  for (const Dispatch& dispatch : on_t0) {
     const NextStep step = End(dispatch.attempt, AttemptOutcome::kTargetLeaving);
     ASSERT_TRUE(std::holds_alternative<Dispatch>(step));
     EXPECT_NE(std::get<Dispatch>(step).target, TargetName("t0"));
   }
 }
 
-// The caller sees: nothing unusual. In order: a request times out at its
-// deadline; the slot comes back only after the grace that the target needs to
-// stop. Why: a request sent at once would be one more than the target's slots.
-TEST_F(RequestSchedulerTest, HoldsTheSlotOfATimedOutAttempt) {
-  Configure(NonIdempotentService(Targets(1, 1)));
+// A request times out at its deadline. Its slot must be released only after the
+// grace period that the target needs to stop. A request that was dispatched
+// immediately would exceed the target's slots.
+TEST_F(RequestSchedulerTest, KeepsTheSlotOfATimedOutAttempt) {
+  Configure(MakeNonIdempotentService(MakeTargets(1, 1)));
   const Dispatch dispatch = SubmitAndDispatch();
   clock_.Advance(seconds(1));
   static_cast<void>(End(dispatch.attempt, AttemptOutcome::kTimedOut));
@@ -198,13 +197,13 @@
   EXPECT_EQ(Advance(milliseconds(1)).size(), 1U);
 }
 
-// The caller sees: a wait or a refusal, never a run on a slot that is not this
-// host's. In order: the share's lease ends while the process is paused, then a
-// request arrives before any timer ran. Why: the slot may be another host's.
-TEST_F(RequestSchedulerTest, ChecksTheLeaseAtTheMomentOfDispatch) {
-  std::vector<TargetConfig> targets = Targets(1, 2);
+// The lease on the share expires while the process is paused, and a request
+// arrives before any timer has run. The slot may already belong to another
+// host, so the request must be queued or refused.
+TEST_F(RequestSchedulerTest, ChecksTheLeaseAtDispatch) {
+  std::vector<TargetConfig> targets = MakeTargets(1, 2);
   targets[0].share_lease_until = clock_.Now() + seconds(5);
-  Configure(Service(targets));
+  Configure(MakeService(targets));
   EXPECT_TRUE(std::holds_alternative<Dispatch>(Submit()));
 
   clock_.Advance(seconds(5));
@@ -214,10 +213,10 @@
 }
 
 TEST_F(RequestSchedulerTest, SendsNothingToALeavingTarget) {
-  Configure(Service(Targets(2, 2)));
+  Configure(MakeService(MakeTargets(2, 2)));
 
   scheduler_.MarkLeaving(TargetName("t0"), clock_.Now());
-  Configure(Service(Targets(2, 2)));
+  Configure(MakeService(MakeTargets(2, 2)));
 
   for (int i = 0; i < 2; ++i) {
     EXPECT_EQ(SubmitAndDispatch().target, TargetName("t1"));
@@ -225,8 +224,8 @@
   EXPECT_TRUE(std::holds_alternative<Queued>(Submit()));
 }
 
-TEST_F(RequestSchedulerTest, RefusesTheQueueAtOnceWhenEveryTargetLeaves) {
-  Configure(Service(Targets(1, 1)));
+TEST_F(RequestSchedulerTest, RefusesQueuedRequestsWhenEveryTargetIsLeaving) {
+  Configure(MakeService(MakeTargets(1, 1)));
   static_cast<void>(SubmitAndDispatch());
   static_cast<void>(std::get<Queued>(Submit()));
 
@@ -239,7 +238,7 @@
 }
 
 TEST_F(RequestSchedulerTest, HedgesAnIdempotentRequestOnceAtLowLoad) {
-  ServiceConfig config = Service(Targets(4, 4));
+  ServiceConfig config = MakeService(MakeTargets(4, 4));
   config.request_class.may_hedge = true;
   Configure(config);
   Serve(40, milliseconds(20));
@@ -261,7 +260,7 @@
 }
 
 TEST_F(RequestSchedulerTest, DoesNotHedgeUnderLoad) {
-  ServiceConfig config = Service(Targets(2, 2));
+  ServiceConfig config = MakeService(MakeTargets(2, 2));
   config.request_class.may_hedge = true;
   Configure(config);
   Serve(40, milliseconds(20));
@@ -273,8 +272,8 @@
   EXPECT_FALSE(Explain().may_hedge_now);
 }
 
-TEST_F(RequestSchedulerTest, CancelTellsWhichAttemptsToStop) {
-  Configure(Service(Targets(1, 1)));
+TEST_F(RequestSchedulerTest, CancelReturnsTheAttemptsToStop) {
+  Configure(MakeService(MakeTargets(1, 1)));
   const Dispatch running = SubmitAndDispatch();
   const Queued queued = std::get<Queued>(Submit());
 
@@ -286,8 +285,8 @@
   EXPECT_TRUE(Advance(seconds(1)).empty());
 }
 
-TEST_F(RequestSchedulerTest, ASecondEndOfTheSameAttemptChangesNothing) {
-  Configure(Service(Targets(1, 1)));
+TEST_F(RequestSchedulerTest, IgnoresASecondEndOfTheSameAttempt) {
+  Configure(MakeService(MakeTargets(1, 1)));
   const Dispatch dispatch = SubmitAndDispatch();
   static_cast<void>(End(dispatch.attempt, AttemptOutcome::kAnswered));
 
@@ -296,11 +295,11 @@
   EXPECT_EQ(Explain().outstanding, 0U);
 }
 
-TEST_F(RequestSchedulerTest, ConfigureKeepsOutstandingWork) {
-  Configure(Service(Targets(1, 2)));
+TEST_F(RequestSchedulerTest, ConfigureKeepsOutstandingRequests) {
+  Configure(MakeService(MakeTargets(1, 2)));
   const Dispatch dispatch = SubmitAndDispatch();
 
-  Configure(Service(Targets(1, 1)));
+  Configure(MakeService(MakeTargets(1, 1)));
 
   EXPECT_TRUE(std::holds_alternative<Queued>(Submit()));
   EXPECT_TRUE(std::holds_alternative<Finished>(
@@ -309,7 +308,7 @@
 }
 
 TEST_F(RequestSchedulerTest, RefusesQueuedRequestsOfARemovedService) {
-  Configure(Service(Targets(1, 1)));
+  Configure(MakeService(MakeTargets(1, 1)));
   static_cast<void>(SubmitAndDispatch());
   static_cast<void>(std::get<Queued>(Submit()));
 
@@ -321,8 +320,8 @@
             RefusalReason::kUnknownService);
 }
 
-TEST_F(RequestSchedulerTest, ShiftedInWorkLeavesTheReservedHeadroom) {
-  ServiceConfig config = Service(Targets(1, 10));
+TEST_F(RequestSchedulerTest, ShiftedInRequestsLeaveTheReservedHeadroom) {
+  ServiceConfig config = MakeService(MakeTargets(1, 10));
   config.reserved_headroom = 0.2;
   Configure(config);
   const RequestDescription shifted{.service = ServiceName("lookup-desk"),
@@ -339,35 +338,34 @@
   EXPECT_TRUE(std::holds_alternative<Dispatch>(Submit()));
 }
 
-// The caller sees: answers from other targets. In order: connections to t0
-// fall silent, its requests time out, and t0 is kept; later it breaks off its
-// answers, and is taken out. Why: silence comes from something between the two
-// ends, and a target that was excused for it must not be so for good.
-TEST_F(RequestSchedulerTest, DoesNotBlameATargetForSilentConnections) {
-  Configure(NonIdempotentService(Targets(2, 10)));
-  const auto fail_at_first = [&](AttemptOutcome outcome) {
+// No data arrives on open connections to t0 and its requests time out, but t0
+// must not be ejected: the cause lies between the two ends. The exemption is
+// temporary, so when t0 later truncates its answers, it must be ejected.
+TEST_F(RequestSchedulerTest, DoesNotEjectATargetForSilentConnections) {
+  Configure(MakeNonIdempotentService(MakeTargets(2, 10)));
+  const auto fail_on_t0 = [&](AttemptOutcome outcome) {
     std::vector<Dispatch> dispatches;
     dispatches.reserve(20);
     for (int i = 0; i < 20; ++i)
       dispatches.push_back(SubmitAndDispatch());
     for (const Dispatch& dispatch : dispatches) {
-      const bool is_first = dispatch.target == TargetName("t0");
-      static_cast<void>(End(dispatch.attempt,
-                            is_first ? outcome : AttemptOutcome::kAnswered));
+      const bool is_t0 = dispatch.target == TargetName("t0");
+      static_cast<void>(
+          End(dispatch.attempt, is_t0 ? outcome : AttemptOutcome::kAnswered));
     }
   };
 
   scheduler_.OnSilentConnection(TargetName("t0"), clock_.Now());
-  fail_at_first(AttemptOutcome::kTimedOut);
+  fail_on_t0(AttemptOutcome::kTimedOut);
   EXPECT_EQ(Explain().targets[0].rule, TargetUsageRule::kFullShare);
 
   static_cast<void>(Advance(seconds(2)));
-  fail_at_first(AttemptOutcome::kTruncated);
+  fail_on_t0(AttemptOutcome::kTruncated);
   EXPECT_EQ(Explain().targets[0].rule, TargetUsageRule::kEjected);
 }
 
 TEST_F(RequestSchedulerTest, NeverEjectsTheLastTargetThatCanServe) {
-  ServiceConfig config = NonIdempotentService(Targets(2, 10));
+  ServiceConfig config = MakeNonIdempotentService(MakeTargets(2, 10));
   config.targets[1].share = 0;
   Configure(config);
 
--- a/tests/unit/decision/retry_after_pacer_test.cc
+++ b/tests/unit/decision/retry_after_pacer_test.cc
@@ -10,10 +10,10 @@
 namespace medlarcroft::decision {
 namespace {
 
-// The caller sees: a time to come back that differs from the next caller's.
-// In order: a thousand are refused in the same moment by a service that ends a
-// hundred a second. Why: with one time for all, 900 are refused once more.
-TEST(RetryAfterPacer, SpreadsCallersOverTheServicesRate) {
+// A thousand callers are refused at the same moment by a service that completes
+// a hundred requests per second. With the same Retry-After for all of them, 900
+// would be refused again when they return.
+TEST(RetryAfterPacer, SpreadsReturnsByTheRateOfTheService) {
   fakes::SeededRandom random(1);
   RetryAfterPacer pacer;
   std::map<std::int64_t, int> returns_by_second;
@@ -28,7 +28,7 @@
   EXPECT_LE(returns_by_second.rbegin()->first, 24);
 }
 
-TEST(RetryAfterPacer, AsksForNoMoreThanTheHorizon) {
+TEST(RetryAfterPacer, LimitsTheLongestRetryAfter) {
   fakes::SeededRandom random(1);
   RetryAfterPacer pacer;
   Duration longest(0);
@@ -40,7 +40,7 @@
   EXPECT_LE(longest, std::chrono::seconds(24));
 }
 
-TEST(RetryAfterPacer, IsNeverBeforeTheEarliestUsefulTime) {
+TEST(RetryAfterPacer, IsNeverShorterThanTheMinimumDelay) {
   fakes::SeededRandom random(1);
   RetryAfterPacer pacer;
 
--- a/tests/unit/decision/scheduler_fixture.h
+++ b/tests/unit/decision/scheduler_fixture.h
@@ -15,14 +15,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @brief One service on a few targets, and calls that read well in tests.
+/// @brief Scheduler with one service on a few targets, and shorthand calls.
 class SchedulerFixture : public ::testing::Test {
  protected:
   explicit SchedulerFixture(const SchedulerOptions& options = {})
       : scheduler_(options, random_) {}
 
-  static std::vector<TargetConfig> Targets(std::size_t count,
-                                           std::uint32_t slots) {
+  static std::vector<TargetConfig> MakeTargets(std::size_t count,
+                                               std::uint32_t slots) {
     std::vector<TargetConfig> targets;
     for (std::size_t i = 0; i < count; ++i) {
       targets.push_back({.name = TargetName("t" + std::to_string(i)),
@@ -32,7 +32,7 @@
     return targets;
   }
 
-  static ServiceConfig Service(std::vector<TargetConfig> targets) {
+  static ServiceConfig MakeService(std::vector<TargetConfig> targets) {
     return {.service = ServiceName("lookup-desk"),
             .request_class = {.name = "lookup",
                               .deadline = seconds(1),
@@ -42,8 +42,9 @@
             .targets = std::move(targets)};
   }
 
-  static ServiceConfig NonIdempotentService(std::vector<TargetConfig> targets) {
-    ServiceConfig config = Service(std::move(targets));
+  static ServiceConfig MakeNonIdempotentService(
+      std::vector<TargetConfig> targets) {
+    ServiceConfig config = MakeService(std::move(targets));
     config.request_class.key_mode = catalogue::KeyMode::kLocal;
     return config;
   }
@@ -64,7 +65,7 @@
     return scheduler_.OnAttemptEnd(attempt, outcome, clock_.Now());
   }
 
-  /// Runs `count` requests to their answer, one after the other.
+  /// Submits and answers `count` requests one after the other.
   void Serve(int count, Duration service_time) {
     for (int i = 0; i < count; ++i) {
       const Dispatch dispatch = SubmitAndDispatch();
--- a/tests/unit/decision/target_health_test.cc
+++ b/tests/unit/decision/target_health_test.cc
@@ -25,7 +25,7 @@
   EXPECT_TRUE(health.IsOutlier());
 }
 
-TEST(TargetHealth, OneExtremeAnswerDoesNotDecide) {
+TEST(TargetHealth, OneExtremeAnswerIsNotAnOutlier) {
   TargetHealth health;
   for (int i = 0; i < 30; ++i)
     health.OnAnswer(1.0, milliseconds(20));
@@ -35,7 +35,7 @@
   EXPECT_FALSE(health.IsOutlier());
 }
 
-TEST(TargetHealth, IsAnOutlierAfterFiveFailuresInARow) {
+TEST(TargetHealth, IsAnOutlierAfterFiveConsecutiveFailures) {
   TargetHealth health;
   for (int i = 0; i < 4; ++i)
     health.OnFailure();
@@ -46,13 +46,13 @@
   EXPECT_TRUE(health.IsOutlier());
 }
 
-// A target was out while it restarted, and is as quick as the others again. Its
-// callers must have it back: service times spread as wide as their mean, so one
-// long answer among the probes may not cost another, longer ejection.
-TEST(TargetHealth, HealthyTargetWithSpreadServiceTimesReturns) {
+// A target was ejected while it restarted and is now as fast as the others. The
+// standard deviation of service times is about as large as their mean, so a
+// single slow answer among the probes must not cause another, longer ejection.
+TEST(TargetHealth, HealthyTargetWithVaryingServiceTimesRecovers) {
   fakes::SeededRandom random(1);
   constexpr int kRounds = 1000;
-  int returned = 0;
+  int recovered = 0;
   for (int round = 0; round < kRounds; ++round) {
     TargetHealth health;
     health.Eject(kNow);
@@ -60,12 +60,12 @@
     for (int i = 0; i < 5; ++i)
       health.OnAnswer(-std::log(1.0 - random.NextUnit()), milliseconds(20));
     static_cast<void>(health.Update(kNow + seconds(6)));
-    returned += health.State() == HealthState::kHealthy ? 1 : 0;
+    recovered += health.State() == HealthState::kHealthy ? 1 : 0;
   }
-  EXPECT_GE(returned, kRounds * 95 / 100);
+  EXPECT_GE(recovered, kRounds * 95 / 100);
 }
 
-TEST(TargetHealth, ReturnsAfterFiveGoodProbes) {
+TEST(TargetHealth, RecoversAfterFiveGoodProbes) {
   TargetHealth health;
   health.Eject(kNow);
   EXPECT_FALSE(health.Update(kNow + seconds(4)));
@@ -81,7 +81,7 @@
   EXPECT_EQ(health.State(), HealthState::kHealthy);
 }
 
-TEST(TargetHealth, ABadProbeEjectsItForTwiceAsLong) {
+TEST(TargetHealth, BadProbeDoublesTheEjection) {
   TargetHealth health;
   health.Eject(kNow);
   EXPECT_TRUE(health.Update(kNow + seconds(5)));
--- a/tests/unit/decision/target_table_test.cc
+++ b/tests/unit/decision/target_table_test.cc
@@ -11,21 +11,21 @@
 using std::chrono::seconds;
 
 constexpr MonotonicTime kNow{std::chrono::hours(1)};
-constexpr Duration kRamp = seconds(10);
+constexpr Duration kColdRamp = seconds(10);
 
-TargetConfig Target(const char* name, std::uint32_t slots) {
+TargetConfig MakeTarget(const char* name, std::uint32_t slots) {
   return {.name = TargetName(name), .slots = slots, .share = slots};
 }
 
-TEST(TargetTable, ATargetThatJoinsARunningServiceRampsUp) {
+TEST(TargetTable, TargetThatJoinsARunningServiceRampsUp) {
   TargetTable table;
-  std::vector<TargetConfig> targets{Target("a", 8)};
-  table.Configure(std::vector<ServiceTargets>{{.targets = targets}}, kRamp,
+  std::vector<TargetConfig> targets{MakeTarget("a", 8)};
+  table.Configure(std::vector<ServiceTargets>{{.targets = targets}}, kColdRamp,
                   kNow);
   EXPECT_EQ(table.UsableSlots(0), 8U);
 
-  targets.push_back(Target("b", 8));
-  table.Configure(std::vector<ServiceTargets>{{.targets = targets}}, kRamp,
+  targets.push_back(MakeTarget("b", 8));
+  table.Configure(std::vector<ServiceTargets>{{.targets = targets}}, kColdRamp,
                   kNow);
   EXPECT_EQ(table.UsableSlots(0), 9U);
 
@@ -35,11 +35,11 @@
   EXPECT_EQ(table.UsableSlots(0), 16U);
 }
 
-TEST(TargetTable, UsableSlotsFallWhenALeaseEnds) {
+TEST(TargetTable, UsableSlotsDropWhenALeaseExpires) {
   TargetTable table;
-  std::vector<TargetConfig> targets{Target("a", 4), Target("b", 4)};
+  std::vector<TargetConfig> targets{MakeTarget("a", 4), MakeTarget("b", 4)};
   targets[1].share_lease_until = kNow + seconds(3);
-  table.Configure(std::vector<ServiceTargets>{{.targets = targets}}, kRamp,
+  table.Configure(std::vector<ServiceTargets>{{.targets = targets}}, kColdRamp,
                   kNow);
   EXPECT_EQ(table.NextChange(), kNow + seconds(3));
 
@@ -49,12 +49,12 @@
   EXPECT_EQ(table.RuleOf(1, kNow + seconds(3)), TargetUsageRule::kLeaseExpired);
 }
 
-// The caller sees: short look-ups are served while long reads fill the same
-// target. In order: long work asks for all eight slots and gets six. Why: a
-// slot held for 400 ms cannot be taken back when a look-up of 20 ms arrives.
-TEST(TargetTable, LongWorkLeavesSlotsToShortWork) {
+// Long-running requests of 400 ms could occupy all eight slots of a target, and
+// slots cannot be taken back when a short request of 20 ms arrives. They must
+// therefore get only six slots.
+TEST(TargetTable, LongRequestsLeaveSlotsToShortRequests) {
   TargetTable table;
-  const std::vector<TargetConfig> targets{Target("a", 8)};
+  const std::vector<TargetConfig> targets{MakeTarget("a", 8)};
   table.Configure(
       std::vector<ServiceTargets>{{.service = 0,
                                    .expected_service_time = milliseconds(20),
@@ -62,7 +62,7 @@
                                   {.service = 1,
                                    .expected_service_time = milliseconds(400),
                                    .targets = targets}},
-      kRamp, kNow);
+      kColdRamp, kNow);
 
   int taken = 0;
   while (!table.Available(1).empty()) {
@@ -74,13 +74,13 @@
   EXPECT_EQ(table.Available(0).size(), 1U);
 }
 
-TEST(TargetTable, EjectsAtMostAThird) {
+TEST(TargetTable, EjectsAtMostAThirdOfTheTargets) {
   TargetTable table;
   std::vector<TargetConfig> targets;
   for (const char* name : {"a", "b", "c", "d", "e", "f"}) {
-    targets.push_back(Target(name, 2));
+    targets.push_back(MakeTarget(name, 2));
   }
-  table.Configure(std::vector<ServiceTargets>{{.targets = targets}}, kRamp,
+  table.Configure(std::vector<ServiceTargets>{{.targets = targets}}, kColdRamp,
                   kNow);
 
   for (TargetIndex target = 0; target < targets.size(); ++target) {
@@ -92,17 +92,17 @@
   EXPECT_EQ(table.UsableSlots(0), 8U);
 }
 
-TEST(TargetTable, ARemovedTargetIsForgottenOnceItsWorkHasEnded) {
+TEST(TargetTable, RemovedTargetIsErasedOnceItsRequestsHaveEnded) {
   TargetTable table;
-  const std::vector<TargetConfig> targets{Target("a", 2)};
-  table.Configure(std::vector<ServiceTargets>{{.targets = targets}}, kRamp,
+  const std::vector<TargetConfig> targets{MakeTarget("a", 2)};
+  table.Configure(std::vector<ServiceTargets>{{.targets = targets}}, kColdRamp,
                   kNow);
   ASSERT_TRUE(table.TryTake(0, 0, kNow));
 
-  table.Configure(std::vector<ServiceTargets>{{}}, kRamp, kNow);
+  table.Configure(std::vector<ServiceTargets>{{}}, kColdRamp, kNow);
   EXPECT_TRUE(table.Find(TargetName("a")).has_value());
   table.Release(0, 0, kNow);
-  table.Configure(std::vector<ServiceTargets>{{}}, kRamp, kNow);
+  table.Configure(std::vector<ServiceTargets>{{}}, kColdRamp, kNow);
 
   EXPECT_FALSE(table.Find(TargetName("a")).has_value());
   EXPECT_EQ(table.UsableSlots(0), 0U);
