--- a/lib/libmedlarcroft/include/medlarcroft/membership/exchange.h
+++ b/lib/libmedlarcroft/include/medlarcroft/membership/exchange.h
@@ -20,36 +20,38 @@
 
 namespace medlarcroft::membership {
 
-/// @brief How often a host exchanges states, and how much at a time.
+/// @brief Interval, fan-out and size of state exchanges.
 struct ExchangePacing {
   Duration period = std::chrono::seconds(1);
-  /// Peers called in each period.
+  /// Number of peers called in each period.
   std::uint32_t fan_out = 1;
-  /// Bound of one message's content.
+  /// Maximum size of the content of one message.
   std::size_t message_bytes = 750;
 };
 
-/// @brief What of the control budget exchanges may take. A host sends and gets
-/// one message for each exchange that it begins, and as many again for those
-/// that its peers begin: four messages a period at a fan-out of one.
+/// @brief Part of the bandwidth for control traffic that exchanges may use. A
+/// host sends and receives one message for each exchange that it begins, and as
+/// many for those that its peers begin: four messages in a period at a fan-out
+/// of one.
 struct ExchangeBudget {
-  /// Of the 7 KB/s for all control; the rest is for the catalogue, loans and
-  /// the platform.
+  /// Of the 7 KB/s for all control traffic. The rest is for the catalogue,
+  /// loans and the platform.
   double bytes_per_second = 5'000.0;
-  /// Headers of TCP and IP, acknowledgements, the frame and the call's name,
-  /// for each message.
+  /// TCP and IP headers, acknowledgements, the frame and the call's name, for
+  /// each message.
   std::size_t overhead_bytes = 130;
-  /// Smallest useful message: the own state and two more.
+  /// Smallest useful message: the host's own state and two others.
   std::size_t min_message_bytes = 500;
 };
 
-/// @return the pacing that keeps to `budget` in the mean: one peer at a time,
+/// @return the pacing that keeps to `budget` on average: one peer at a time,
 /// each second, or less often when messages would become too small. One peer,
-/// since with a fixed number of bytes fewer, fuller messages waste less on
+/// since with a fixed number of bytes, fewer and fuller messages waste less on
 /// overhead.
 [[nodiscard]] ExchangePacing PacingFor(const ExchangeBudget& budget);
 
-/// @brief One message. The daemon adds the protocol's version and revision.
+/// @brief Content of one message. The daemon adds the protocol's version and
+/// revision.
 struct ExchangeContent {
   HostState sender;
   std::vector<Heartbeat> heartbeats;
@@ -60,11 +62,11 @@
 
 [[nodiscard]] std::size_t WireBytes(const ExchangeContent& content);
 
-/// @brief Chooses what to tell next, within the bytes of a message. Made for 52
-/// hosts a domain and 17 domains. Heartbeats of all hosts go in every message.
-/// Of whole states a message holds few: first what is leaving, since new work
-/// must stop within seconds, then each in turn, so that nothing starves.
-/// Addresses go along seldom. Not safe to share between threads.
+/// @brief Selects what the next message contains, within its size. Designed for
+/// 52 hosts in a domain and 17 domains. Every message contains the heartbeats
+/// of all hosts, but only a few whole states: first those of leaving hosts,
+/// since new work must stop within seconds, then the others in rotation, so
+/// that none is starved. Addresses are sent seldom. Not thread-safe.
 class ExchangeSelector {
  public:
   [[nodiscard]] ExchangeContent Select(const MembershipTable& members,
@@ -72,18 +74,18 @@
                                        std::size_t message_bytes);
 
  private:
-  /// Kind and name of what is told.
+  /// Kind and name of a sent item.
   using ItemName = std::pair<int, std::string>;
-  struct Told {
+  struct SendRecord {
     StateNumber number;
-    std::uint32_t times = 0;    ///< Under this number.
-    std::uint32_t message = 0;  ///< The last that told it.
+    std::uint32_t times = 0;    ///< How often it was sent with this `number`.
+    std::uint32_t message = 0;  ///< The last message that contained it.
     std::map<FailureDomainName, std::uint32_t> seats;
   };
 
-  [[nodiscard]] std::uint32_t TimesTold(const ItemName& item,
+  [[nodiscard]] std::uint32_t SendCount(const ItemName& item,
                                         const StateNumber& number) const;
-  void NoteTold(const ItemName& item, const StateNumber& number);
+  void RecordSend(const ItemName& item, const StateNumber& number);
   [[nodiscard]] HostState OwnState(const HostState& self);
   static void AddHeartbeats(ExchangeContent& content,
                             const std::vector<Member>& members,
@@ -98,18 +100,19 @@
                     std::vector<DomainSummary> summaries,
                     std::size_t& room);
 
-  std::map<ItemName, Told> told_;
+  std::map<ItemName, SendRecord> send_records_;
   std::uint32_t messages_ = 0;
 };
 
-/// @brief Takes in one message. States of hosts without a domain are of the
-/// sender's.
+/// @brief Applies one message. Hosts whose state has no domain are in the
+/// sender's domain.
 void ApplyExchange(const ExchangeContent& content,
                    MembershipTable& members,
                    TargetStatusTable& targets);
 
-/// @brief Chooses whom to call: each host of the view once a round, in an order
-/// drawn anew each round, so that no pair stays apart for more than two rounds.
+/// @brief Chooses the next peer to call. Each host is called once in a round,
+/// and each round has a new random order, so that no pair goes without an
+/// exchange for more than two rounds.
 class PeerRotation {
  public:
   /// @return the next of `hosts` to call; nullopt when there is none.
@@ -117,7 +120,7 @@
                                              ports::RandomSource& random);
 
  private:
-  std::vector<HostName> round_;
+  std::vector<HostName> remaining_;
 };
 
 }  // namespace medlarcroft::membership
--- a/lib/libmedlarcroft/include/medlarcroft/membership/heartbeat.h
+++ b/lib/libmedlarcroft/include/medlarcroft/membership/heartbeat.h
@@ -14,10 +14,11 @@
 
 namespace medlarcroft::membership {
 
-/// @brief A sign of life of a host that the receiver knows already, in ten
-/// bytes, so that one message can carry it for all 52 hosts of a domain; with
-/// whole states, of which a message holds a few, half the hosts were taken for
-/// suspect at any time (docs/decisions/membership.md).
+/// @brief Shows that a host is alive, to a receiver that already knows the
+/// host. It takes ten bytes, so that one message can contain the heartbeats of
+/// all 52 hosts of a domain. With only whole states, of which a message
+/// contains a few, half the hosts would be suspect at any time
+/// (docs/decisions/membership.md).
 struct Heartbeat {
   std::uint32_t host_hash = 0;
   std::uint16_t incarnation_hash = 0;
@@ -34,20 +35,22 @@
 [[nodiscard]] std::uint32_t HashOf(const HostName& host);
 [[nodiscard]] std::uint16_t HashOf(std::uint64_t incarnation);
 
-/// @return the heartbeat, or nullopt when its sequence or age is too large.
+/// @return the heartbeat, or nullopt when its sequence number or age is too
+/// large.
 [[nodiscard]] std::optional<Heartbeat> MakeHeartbeat(const HostName& host,
                                                      const StateNumber& number,
                                                      Duration age);
 
-/// @return the heartbeat as it is `later`, or nullopt when it is too old.
+/// @return the heartbeat with its age increased by `later`, or nullopt when it
+/// is too old.
 [[nodiscard]] std::optional<Heartbeat> Aged(const Heartbeat& heartbeat,
                                             Duration later);
 
-/// @return the value of the exchange's field for heartbeats.
+/// @return the value of the exchange's `heartbeats` field.
 [[nodiscard]] std::string EncodeHeartbeats(
     const std::vector<Heartbeat>& heartbeats);
 
-/// @return the heartbeats, or nullopt when the length does not fit.
+/// @return the heartbeats, or nullopt when the length is invalid.
 [[nodiscard]] std::optional<std::vector<Heartbeat>> DecodeHeartbeats(
     std::string_view bytes);
 
--- a/lib/libmedlarcroft/include/medlarcroft/membership/lookup_answer.h
+++ b/lib/libmedlarcroft/include/medlarcroft/membership/lookup_answer.h
@@ -11,27 +11,28 @@
 
 namespace medlarcroft::membership {
 
-/// @brief A ready host that callers may be sent to.
+/// @brief A ready host that a look-up may return.
 struct LookupCandidate {
   std::string address;
   FailureDomainName failure_domain;
-  double link_mbps = 0;  ///< Stands for what the host carries.
+  double link_mbps = 0;  ///< A measure of the host's capacity.
 };
 
-/// A region of no more hosts than that names all of them.
-inline constexpr std::size_t kMostHostsNamedWhole = 16;
-/// A larger one names so many, anew in each answer.
-inline constexpr std::size_t kHostsNamed = 8;
+/// In a region of up to this many hosts, look-ups return all of them.
+inline constexpr std::size_t kMaxHostsListedInFull = 16;
+/// In a larger region each look-up returns this many, drawn anew.
+inline constexpr std::size_t kHostsPerAnswer = 8;
 
-/// @brief Chooses the hosts that one look-up names.
+/// @brief Chooses the hosts that one look-up returns.
 ///
-/// Load: a hundred hosts of unequal size in a region; callers read only the
-/// first addresses of an answer and use each of them alike. Harm prevented:
-/// hosts at the end of a fixed order get nothing while small ones at its front
-/// carry as much as large ones; and a request crosses domains for nothing. So
-/// each answer names a few hosts of the caller's own domain, drawn by what they
-/// carry; a domain that has too few left is helped out by the others.
-/// @param domain the caller's; empty: unknown.
+/// A region may have a hundred hosts of unequal size, while callers read only
+/// the first addresses of an answer and use each of them equally. With a fixed
+/// order, hosts at its end would get no requests, and small hosts at its front
+/// as many as large ones; requests would also cross domains without need. So
+/// each answer contains a few hosts of the caller's own domain, drawn with a
+/// probability by their bandwidth. If that domain has too few hosts left, hosts
+/// of other domains are added.
+/// @param domain the caller's domain; empty when it is unknown.
 [[nodiscard]] std::vector<std::string> ChooseLookupHosts(
     std::span<const LookupCandidate> hosts,
     const FailureDomainName& domain,
--- a/lib/libmedlarcroft/include/medlarcroft/membership/rendezvous_hash.h
+++ b/lib/libmedlarcroft/include/medlarcroft/membership/rendezvous_hash.h
@@ -10,14 +10,15 @@
 
 namespace medlarcroft::membership {
 
-/// @brief Chooses the hosts of a domain that do a duty for all of it, such as
-/// watching the catalogue's head or talking to other domains, by rendezvous
-/// hash: hosts with the same view choose the same ones, and a host's loss moves
-/// only its duties. Views differ for a while, so two hosts may do a duty at
-/// once; every duty must bear that.
+/// @brief Chooses, by rendezvous hashing, the hosts that perform a task for a
+/// whole failure domain, such as polling the head of the catalogue or calling
+/// other domains. Hosts that know the same hosts choose the same ones, and the
+/// loss of a host moves only its tasks. For a while hosts may know different
+/// hosts, so more than `count` of them may perform a task at once; every task
+/// must tolerate that.
 /// @return at most `count` of `hosts`, in order of preference.
 [[nodiscard]] std::vector<HostName> ChooseHostsByRendezvousHash(
-    std::string_view duty,
+    std::string_view task,
     std::span<const HostName> hosts,
     std::size_t count);
 
--- a/lib/libmedlarcroft/include/medlarcroft/membership/seat_evidence.h
+++ b/lib/libmedlarcroft/include/medlarcroft/membership/seat_evidence.h
@@ -19,8 +19,8 @@
 
 /// @param now by the clock of `members`.
 /// @return what the membership shows about the seats of one domain. A host of
-/// which only the name is known counts as one of the domain's: that can delay a
-/// takeover, never cause one.
+/// which only the name is known counts as one of that domain: this can delay a
+/// takeover, but never cause one.
 [[nodiscard]] capacity::DomainEvidence CollectSeatEvidence(
     const MembershipTable& members,
     const SeatEvidenceOptions& options,
--- a/lib/libmedlarcroft/include/medlarcroft/membership/target_status_table.h
+++ b/lib/libmedlarcroft/include/medlarcroft/membership/target_status_table.h
@@ -17,55 +17,58 @@
 namespace medlarcroft::membership {
 
 struct TargetStatusOptions {
-  /// An observation this old counts no more.
+  /// Observations this old are ignored.
   Duration forget_after = std::chrono::seconds(30);
-  /// A target that was seen leaving is believed to be back only when an
-  /// observer says so by its newest observation, and this long after the last
-  /// sign of leaving from anyone.
+  /// A target that was observed leaving counts as back only when the newest
+  /// observation of a host says so, and this long after the last report from
+  /// any host that it is leaving.
   Duration return_after = std::chrono::seconds(30);
 };
 
-/// @brief What the hosts of the domain together see of one target.
+/// @brief What the hosts of the domain together observe of one target.
 struct MergedTargetStatus {
   bool is_leaving = false;
   std::uint32_t observers = 0;
   std::uint32_t ejected_by = 0;
   std::uint32_t outstanding = 0;
-  /// Of the observers' latest, the middle one: one bad path or one lying
+  /// Median of the observers' newest values, so that one slow path or one wrong
   /// observer does not decide.
   Duration median_latency{};
   Duration newest_age{};
 };
 
-/// @brief Merges what the hosts of a domain see of its targets. The first sign
-/// of leaving wins, whether from the target itself, the platform's list or the
-/// operator: work placed on a leaving target is cut or refused, while sparing a
-/// target that stays costs a part of the domain's capacity for a while. Not
-/// safe to share between threads.
+/// @brief Merges the observations of a domain's hosts about its targets. The
+/// first report that a target is leaving takes precedence, whether from the
+/// target itself, the platform's list or the operator: work placed on a leaving
+/// target is interrupted or refused, while not using a target that stays costs
+/// only a part of the domain's capacity for a while. Not thread-safe.
 class TargetStatusTable {
  public:
   TargetStatusTable(TargetStatusOptions options, const ports::Clock& clock);
 
-  /// @return whether it told something new.
+  /// @return whether it contained anything new.
   bool Receive(const TargetObservation& observation);
   void ApplyHostList(std::span<const ports::ListedHost> hosts);
-  /// @brief The operator's word, from the catalogue; it holds while it stands.
+  /// @brief Sets the targets that the operator drains, from the catalogue. They
+  /// count as leaving until the next call.
   void SetDrained(std::set<TargetName> targets);
 
-  [[nodiscard]] MergedTargetStatus ViewOf(const TargetName& target) const;
+  [[nodiscard]] MergedTargetStatus MergedStatusOf(
+      const TargetName& target) const;
   [[nodiscard]] bool IsLeaving(const TargetName& target) const;
-  /// @return the newest observation of each target by each observer, `age` as
-  /// of now.
+  /// @return the newest observation of each target by each observer, with the
+  /// current `age`.
   [[nodiscard]] std::vector<TargetObservation> Observations() const;
 
  private:
-  struct Heard {
+  struct ReceivedObservation {
     TargetObservation observation;
-    MonotonicTime heard_at;
+    MonotonicTime observed_at;
   };
   struct Record {
-    std::map<HostName, Heard> by_observer;
-    std::optional<MonotonicTime> leaving_at;  ///< Last seen leaving by anyone.
+    std::map<HostName, ReceivedObservation> by_observer;
+    std::optional<MonotonicTime>
+        leaving_at;  ///< When any host last observed it leaving.
   };
 
   [[nodiscard]] bool IsSeenLeaving(const Record& record) const;
--- a/lib/libmedlarcroft/include/medlarcroft/peer_updates/global_broadcaster.h
+++ b/lib/libmedlarcroft/include/medlarcroft/peer_updates/global_broadcaster.h
@@ -16,13 +16,13 @@
 /// @brief A registered host of another region.
 struct RemoteHost {
   RegionName region;
-  std::string address;  ///< IP:port that receives its datagrams.
+  std::string address;  ///< IP:port on which it receives datagrams.
 };
 
 /// @brief Distributes crash reports and rate limit reports to the hosts of all
 /// regions.
 ///
-/// The local region receives them like other news. In each other region
+/// The local region receives them like other updates. In each other region
 /// `kReceiversPerRegion` randomly chosen hosts receive them and forward them
 /// within their region. Delivery is best effort, since datagrams may be lost
 /// and the chosen hosts may be down: the reporting host must repeat a report
@@ -39,20 +39,20 @@
 
   GlobalBroadcaster(const HostName& host, Parts parts);
 
-  void TellCrashes(std::span<const request_path::CrashReport> reports);
-  void TellLimits(std::span<const request_path::LimitReport> reports);
+  void BroadcastCrashes(std::span<const request_path::CrashReport> reports);
+  void BroadcastLimits(std::span<const request_path::LimitReport> reports);
 
-  /// @brief Forwards reports received from another region to the local one.
-  void OnNews(const PeerUpdate& news);
+  /// @brief Broadcasts reports received from another region in the local one.
+  void OnUpdate(const PeerUpdate& update);
 
  private:
   /// @brief Sends the reports in `field` to the other regions, at most
-  /// `most_per_datagram` in each datagram.
+  /// `max_per_datagram` in each datagram.
   template <typename Report>
   void SendToOtherRegions(std::vector<Report> PeerUpdate::*field,
                           std::span<const Report> reports,
-                          std::size_t most_per_datagram);
-  [[nodiscard]] std::vector<std::string> PickRemoteAddresses();
+                          std::size_t max_per_datagram);
+  [[nodiscard]] std::vector<std::string> ChooseRemoteAddresses();
 
   std::uint32_t own_hash_;
   Parts parts_;
--- a/lib/libmedlarcroft/include/medlarcroft/peer_updates/peer_update.h
+++ b/lib/libmedlarcroft/include/medlarcroft/peer_updates/peer_update.h
@@ -25,33 +25,34 @@
   friend bool operator==(const PlacedObject&, const PlacedObject&) = default;
 };
 
-/// @brief How many requests a target had from all hosts when it answered one.
+/// @brief Number of requests from all hosts that a target had when it answered
+/// one.
 struct ReportedLoad {
   request_path::TargetNumber target{};
-  std::uint32_t requests = 0;  ///< On the wire at most 255.
+  std::uint32_t requests = 0;  ///< Encoded as at most 255.
 
   friend bool operator==(const ReportedLoad&, const ReportedLoad&) = default;
 };
 
-/// @brief Who the news is for beside the host that hears it.
+/// @brief How an update travels, which decides where its receiver forwards it.
 enum class UpdateRoute : std::uint8_t {
-  kDirect,       ///< Nobody else: its sender tells each host itself.
-  kReport,       ///< A host to the relay of its domain: for the whole region.
-  kExchange,     ///< From relay to relay: for the receiver's domain.
-  kDigest,       ///< A relay to a host of its domain: nobody else.
-  kInterRegion,  ///< From another region: for the receiver's region.
+  kDirect,    ///< Sent to every host by its author; not forwarded.
+  kReport,    ///< From a host to the relay of its domain, for the whole region.
+  kExchange,  ///< From relay to relay, for the receiver's domain.
+  kDigest,    ///< From a relay to a host of its domain; not forwarded.
+  kInterRegion,  ///< From another region, for the receiver's region.
 };
 
-/// @brief What one host tells another in one datagram.
+/// @brief Content of one datagram from one host to another.
 struct PeerUpdate {
   UpdateRoute way = UpdateRoute::kDirect;
-  std::uint32_t sender = 0;  ///< `membership::HashOf` its name.
-  std::optional<membership::HostState> state;  ///< Without its loads.
+  std::uint32_t sender = 0;  ///< `membership::HashOf` the sender's name.
+  std::optional<membership::HostState> state;  ///< Without `loads`.
   std::vector<PlacedObject> placed;
   std::vector<ReportedLoad> loads;
   std::vector<request_path::CrashReport> crashes;
   std::vector<request_path::LimitReport> limits;
-  /// Signs of life of hosts whose state is known, in ten bytes each.
+  /// Heartbeats of hosts whose state the receiver already has, ten bytes each.
   std::vector<membership::Heartbeat> heartbeats;
 };
 
@@ -68,7 +69,7 @@
 /// rate of 0 is encoded as 0.
 [[nodiscard]] std::string EncodeLimits(
     const std::vector<request_path::LimitReport>& limits);
-/// @return nullopt when the length does not fit.
+/// @return nullopt when the length is invalid.
 [[nodiscard]] std::optional<std::vector<PlacedObject>> DecodePlaced(
     std::string_view bytes);
 [[nodiscard]] std::optional<std::vector<ReportedLoad>> DecodeLoads(
--- a/lib/libmedlarcroft/include/medlarcroft/peer_updates/region_broadcaster.h
+++ b/lib/libmedlarcroft/include/medlarcroft/peer_updates/region_broadcaster.h
@@ -20,51 +20,53 @@
 
 namespace medlarcroft::peer_updates {
 
-/// @brief Another host of the region, as the list of hosts shows it.
+/// @brief Another host of the region, as registered in the host list.
 struct Peer {
   HostName host;
-  std::string address;  ///< IP:port of its datagrams.
+  std::string address;  ///< IP:port on which it receives datagrams.
   FailureDomainName failure_domain;
   double link_mbps = 0;
 };
 
-/// @brief Sends datagrams; one may be lost.
+/// @brief Sends updates as datagrams, which may be lost.
 class UpdateSender {
  public:
   virtual ~UpdateSender() = default;
   virtual void Send(std::span<const std::string> addresses,
-                    const PeerUpdate& news) = 0;
+                    const PeerUpdate& update) = 0;
 };
 
-/// @brief Another host counts as a domain's relay from now on.
+/// @brief A domain's relay, as seen by this host, has changed.
 struct RelayChange {
   FailureDomainName failure_domain;
-  HostName relay;  ///< Empty: none is heard.
-  /// The one before was silent; otherwise it left, or one came that is first in
-  /// the order.
+  HostName relay;  ///< Empty when no host of the domain is live.
+  /// The previous relay stopped sending. Otherwise it left, or a host that
+  /// comes before it in the order joined.
   bool was_silent = false;
 };
 
-/// @brief Carries what hosts of a region tell each other.
+/// @brief Broadcasts updates between the hosts of a region.
 ///
-/// Load: each host tells of tens of requests a second, and each other one is to
-/// hear of them. Told directly, a region of n hosts carries n * n datagrams,
-/// which at a hundred hosts takes more processor time than the requests. So in
-/// larger regions hosts report to a relay, one in each failure domain; relays
-/// exchange what their domains reported, and each tells its domain one digest.
-/// Datagrams grow with n, and cross domains only between relays.
+/// Each host reports tens of requests per second, and every other host must
+/// learn of them. If each host sent to every other one, a region of n hosts
+/// would carry n * n datagrams, which at a hundred hosts takes more processor
+/// time than the requests. So in larger regions hosts report to a relay, one in
+/// each failure domain. Relays exchange what their domains reported, and each
+/// sends its domain one digest. The number of datagrams grows with n, and only
+/// relays send across domains.
 ///
-/// Failure: a relay dies, is paused or cut off. Symptom: its domain hears
-/// nothing, and its hosts look dead to the others. Relays are never silent, so
-/// whoever counts on one that is takes the next in an order that all share; a
-/// host relays for whoever reports to it, so that nothing has to be agreed.
+/// A relay may crash, be paused or be disconnected. Its domain would then
+/// receive nothing, and the other domains would consider its hosts dead. Relays
+/// send in every period, so a host that receives nothing from its relay
+/// switches to the next host in an order that all share. A host relays for
+/// whoever reports to it, so no agreement is needed.
 class RegionBroadcaster {
  public:
   struct Options {
     HostName host;
     FailureDomainName failure_domain;
     double link_mbps = 0;
-    /// Told of each change, for the log; none: nobody is.
+    /// Called at each change, for the log. May be empty.
     std::function<void(const RelayChange&)> on_relay_changed;
   };
 
@@ -75,73 +77,77 @@
   RegionBroadcaster(const RegionBroadcaster&) = delete;
   RegionBroadcaster& operator=(const RegionBroadcaster&) = delete;
 
-  /// @brief Starts to relay when it is this host's turn.
+  /// @brief Starts the timer on which this host relays when it is chosen.
   void Start();
-  /// @param peers the region's other hosts.
+  /// @param peers the other hosts of the region.
   void SetPeers(std::vector<Peer> peers);
   [[nodiscard]] std::span<const Peer> Peers() const { return peers_; }
-  /// @return whether news goes by relays.
+  /// @return whether updates go through relays.
   [[nodiscard]] bool UsesRelays() const;
 
-  /// @brief Tells the region, soon and together with more.
-  void TellPlaced(const PlacedObject& placed);
-  void TellLoad(const ReportedLoad& load);
-  void TellCrashes(std::span<const request_path::CrashReport> reports);
-  void TellLimits(std::span<const request_path::LimitReport> reports);
-  /// @brief Tells the region at once.
+  /// @brief Broadcasts to the region after a short delay, batched with other
+  /// updates.
+  void BroadcastPlacement(const PlacedObject& placed);
+  void BroadcastLoad(const ReportedLoad& load);
+  void BroadcastCrashes(std::span<const request_path::CrashReport> reports);
+  void BroadcastLimits(std::span<const request_path::LimitReport> reports);
+  /// @brief Broadcasts to the region at once.
   void BroadcastHeartbeat(const membership::Heartbeat& heartbeat);
-  /// @brief Tells each host of the region itself, at once.
+  /// @brief Sends directly to each host of the region, at once.
   void BroadcastState(const membership::HostState& state);
-  /// @brief Tells the next few hosts of the region, so that each hears it in
-  /// its turn: those that missed it, or were cut off meanwhile.
+  /// @brief Sends to the next few hosts of the region in rotation, so that a
+  /// host that missed the state or was disconnected receives it again.
   void SendStateToNextPeers(const membership::HostState& state);
 
-  /// @brief Takes in a datagram, to tell it on where that is this host's part.
-  void OnNews(const PeerUpdate& news);
+  /// @brief Processes a received datagram, and queues it for forwarding if this
+  /// host is a relay.
+  void OnUpdate(const PeerUpdate& update);
 
-  /// @return whether this host tells its domain digests now.
+  /// @return whether this host sends digests to its domain now.
   [[nodiscard]] bool IsRelay() const;
 
  private:
-  struct Source {
-    std::size_t peer = 0;  ///< Place in `peers_`.
-    /// Any sign of life.
-    std::optional<MonotonicTime> heard_at;
-    /// What only a relay sends.
+  struct PeerStatus {
+    std::size_t peer = 0;  ///< Index in `peers_`.
+    /// Last datagram or heartbeat of the host, direct or forwarded.
+    std::optional<MonotonicTime> last_seen_at;
+    /// Last datagram of a kind that only relays send.
     std::optional<MonotonicTime> relayed_at;
-    /// As a relay it was silent: not counted on until then.
-    MonotonicTime passed_over_until{};
+    /// Not chosen as a relay until then, since it stopped sending as one.
+    MonotonicTime excluded_until{};
   };
-  struct Choice {
-    std::uint32_t host = 0;  ///< Its hash; 0: none.
+  struct RelayChoice {
+    std::uint32_t host = 0;  ///< Hash of its name; 0 when there is none.
     MonotonicTime chosen_at{};
   };
 
-  void SendSoon(Duration delay);
-  void SendOwn();
+  void ScheduleSend(Duration delay);
+  void SendPending();
   /// @brief Sends the reports in `field` to the region, at most
-  /// `most_per_datagram` in each datagram.
+  /// `max_per_datagram` in each datagram.
   template <typename Report>
   void SendReports(std::vector<Report> PeerUpdate::*field,
                    std::span<const Report> reports,
-                   std::size_t most_per_datagram);
-  /// @brief Sends to the region, through the relay if there is one.
-  void SendToRegion(PeerUpdate news);
-  void Relay();
-  /// @brief Drops what other hosts told: by now it is old.
-  void DropGathered();
+                   std::size_t max_per_datagram);
+  /// @brief Sends to the region, through the relay if relays are used.
+  void SendToRegion(PeerUpdate update);
+  void RunRelay();
+  /// @brief Drops the queued updates of other hosts, which are outdated when
+  /// this host next relays.
+  void ClearRelayQueues();
   void SendDigest(MonotonicTime now);
   void SendExchange(MonotonicTime now);
-  /// @return the hash of the host that relays for a domain; 0: none is heard.
+  /// @return the hash of the host that relays for a domain, or 0 when no host
+  /// of the domain is known to be live.
   [[nodiscard]] std::uint32_t RelayOf(const FailureDomainName& domain,
                                       MonotonicTime now);
-  [[nodiscard]] std::uint32_t FirstInOrder(const FailureDomainName& domain,
-                                           MonotonicTime now) const;
-  /// @return whether it was silent.
-  bool PassOverIfSilent(const Choice& choice, MonotonicTime now);
+  [[nodiscard]] std::uint32_t PreferredRelay(const FailureDomainName& domain,
+                                             MonotonicTime now) const;
+  /// @return whether the chosen relay stopped sending.
+  bool ExcludeIfSilent(const RelayChoice& choice, MonotonicTime now);
   [[nodiscard]] HostName NameOf(std::uint32_t host) const;
   [[nodiscard]] std::string AddressOf(std::uint32_t host) const;
-  [[nodiscard]] bool IsActing(MonotonicTime now) const;
+  [[nodiscard]] bool IsActingAsRelay(MonotonicTime now) const;
 
   Options options_;
   std::uint32_t own_hash_;
@@ -149,26 +155,29 @@
   UpdateSender& sender_;
   std::vector<Peer> peers_;
   std::vector<std::string> peer_addresses_;
-  /// Place in `peer_addresses_`, modulo its size. Hosts that start together
-  /// begin at places of their own: else all would tell the same one at a time.
-  std::size_t next_told_;
+  /// Index in `peer_addresses_`, modulo its size. Each host starts at a
+  /// different index, since hosts that start together would otherwise all send
+  /// to the same host at a time.
+  std::size_t next_peer_;
   std::vector<std::string> domain_addresses_;
   std::vector<FailureDomainName> other_domains_;
-  std::unordered_map<std::uint32_t, Source> sources_;
-  std::map<FailureDomainName, Choice> relays_;
-  /// Own news that waits.
+  std::unordered_map<std::uint32_t, PeerStatus> peer_statuses_;
+  std::map<FailureDomainName, RelayChoice> relays_;
+  /// This host's own updates that wait for the next datagram.
   PeerUpdate pending_;
   std::map<request_path::TargetNumber, std::uint32_t> pending_loads_;
   std::map<request_path::TargetNumber, request_path::LimitReport>
       pending_limits_;
-  bool is_sending_soon_ = false;
+  bool is_send_scheduled_ = false;
   /// For the hosts of this domain.
-  UpdateQueue digest_;
-  /// For other domains.
-  UpdateQueue exchange_;
-  std::optional<MonotonicTime> asked_at_;  ///< To relay, by a report.
+  UpdateQueue digest_queue_;
+  /// For the relays of other domains.
+  UpdateQueue exchange_queue_;
+  /// Time of the last report or exchange, with which a host uses this one as
+  /// its relay.
+  std::optional<MonotonicTime> relay_requested_at_;
   std::map<std::uint32_t, MonotonicTime> exchanged_with_;
-  /// Null once this is gone: timers may still run then.
+  /// Null after destruction, since timers may still run then.
   std::shared_ptr<RegionBroadcaster*> self_ =
       std::make_shared<RegionBroadcaster*>(this);
 };
--- a/lib/libmedlarcroft/include/medlarcroft/peer_updates/update_queue.h
+++ b/lib/libmedlarcroft/include/medlarcroft/peer_updates/update_queue.h
@@ -12,21 +12,23 @@
 
 namespace medlarcroft::peer_updates {
 
-/// @brief Gathers what many hosts tell, to be told on in one datagram.
+/// @brief Collects the updates of many hosts and merges them into datagrams of
+/// limited size.
 ///
-/// Load: a hundred hosts that each place tens of requests a second at hundreds
-/// of targets. Harm prevented: news that grows with what is placed fills the
-/// links of small hosts. So what was told a moment ago is not told again, and
-/// what a datagram does not take waits, the oldest objects and crashes being
-/// dropped and each target's latest load kept.
+/// A hundred hosts may each send tens of requests a second to hundreds of
+/// targets. If forwarded data grew with the number of requests, it would
+/// saturate the links of small hosts. So what was forwarded a moment ago is not
+/// forwarded again, and what does not fit in a datagram waits in the queue.
+/// When the queue is full, the oldest objects and crash reports are dropped; of
+/// each target only the latest load is kept.
 class UpdateQueue {
  public:
-  void Add(const PeerUpdate& news, MonotonicTime now);
+  void Add(const PeerUpdate& update, MonotonicTime now);
 
-  /// @return at most `most_bytes` of what waits: signs of life first, then
-  /// crash reports up to half of the remainder, then limit reports up to half
-  /// of what is left after them, then objects and loads by halves.
-  [[nodiscard]] PeerUpdate Take(std::size_t most_bytes, MonotonicTime now);
+  /// @return at most `max_bytes` of the queue: heartbeats first, then crash
+  /// reports up to half of the remainder, then limit reports up to half of what
+  /// is left after them, then objects and loads in equal parts.
+  [[nodiscard]] PeerUpdate Take(std::size_t max_bytes, MonotonicTime now);
 
   [[nodiscard]] bool IsEmpty() const {
     return heartbeats_.empty() && placed_.empty() && loads_.empty() &&
@@ -34,47 +36,56 @@
   }
 
  private:
-  struct HeardBeat {
+  struct ReceivedHeartbeat {
     membership::Heartbeat heartbeat;
-    MonotonicTime heard_at;
+    MonotonicTime received_at;
   };
-  struct ToldCrash {
+  struct ForwardedCrash {
     request_path::CrashReport report;
-    MonotonicTime told_at;
+    MonotonicTime forwarded_at;
   };
-  struct ToldLimit {
+  struct ForwardedLimit {
     double requests_per_second = 0;
-    MonotonicTime told_at;
+    MonotonicTime forwarded_at;
   };
-  struct Told {
+  struct ForwardedLoad {
     std::uint32_t requests = 0;
-    MonotonicTime told_at;
+    MonotonicTime forwarded_at;
   };
 
-  void AddPlaced(const PlacedObject& placed, MonotonicTime now);
+  void AddPlacement(const PlacedObject& placed, MonotonicTime now);
   void AddLoad(const ReportedLoad& load, MonotonicTime now);
   void AddLimit(const request_path::LimitReport& report, MonotonicTime now);
   void AddCrash(const request_path::CrashReport& report, MonotonicTime now);
-  void TakeHeartbeats(PeerUpdate& news,
+  void TakeHeartbeats(PeerUpdate& update,
                       std::size_t& bytes_left,
                       MonotonicTime now);
-  void TakeCrashes(PeerUpdate& news, std::size_t& bytes_left);
-  void TakeLimits(PeerUpdate& news, std::size_t& bytes_left, MonotonicTime now);
-  void TakePlaced(PeerUpdate& news, std::size_t& bytes_left, std::size_t most);
-  void TakeLoads(PeerUpdate& news, std::size_t& bytes_left, MonotonicTime now);
-  void ForgetTold(MonotonicTime now);
+  void TakeCrashes(PeerUpdate& update, std::size_t& bytes_left);
+  void TakeLimits(PeerUpdate& update,
+                  std::size_t& bytes_left,
+                  MonotonicTime now);
+  void TakePlacements(PeerUpdate& update,
+                      std::size_t& bytes_left,
+                      std::size_t max_bytes);
+  void TakeLoads(PeerUpdate& update,
+                 std::size_t& bytes_left,
+                 MonotonicTime now);
+  void DropExpiredHistory(MonotonicTime now);
 
-  std::map<std::uint32_t, HeardBeat> heartbeats_;
+  std::map<std::uint32_t, ReceivedHeartbeat> heartbeats_;
   std::deque<PlacedObject> placed_;
   std::map<request_path::TargetNumber, std::uint32_t> loads_;
   std::deque<request_path::CrashReport> crashes_;
-  std::deque<ToldCrash> told_crashes_;
+  std::deque<ForwardedCrash> forwarded_crashes_;
   std::map<request_path::TargetNumber, double> limits_;
-  std::unordered_map<request_path::TargetNumber, ToldLimit> told_limits_;
-  request_path::TargetNumber last_load_{};  ///< That was taken.
-  std::unordered_map<std::uint64_t, MonotonicTime> told_placed_;
-  std::unordered_map<request_path::TargetNumber, Told> told_loads_;
-  MonotonicTime forgot_at_{};
+  std::unordered_map<request_path::TargetNumber, ForwardedLimit>
+      forwarded_limits_;
+  request_path::TargetNumber
+      last_sent_target_{};  ///< Target of the last load that was sent.
+  std::unordered_map<std::uint64_t, MonotonicTime> forwarded_placements_;
+  std::unordered_map<request_path::TargetNumber, ForwardedLoad>
+      forwarded_loads_;
+  MonotonicTime history_dropped_at_{};
 };
 
 }  // namespace medlarcroft::peer_updates
--- a/lib/libmedlarcroft/include/medlarcroft/replication/peer_readers.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/peer_readers.h
@@ -23,20 +23,20 @@
  public:
   virtual ~PeerDirectory() = default;
 
-  /// @return this host and the live ones of its region.
+  /// @return this host and the live hosts of its region.
   [[nodiscard]] virtual std::vector<ReaderCandidate> LiveHosts() const = 0;
-  /// @return the listed hosts of other regions.
+  /// @return the registered hosts of other regions.
   [[nodiscard]] virtual std::vector<ReaderCandidate> HostsInOtherRegions()
       const = 0;
-  /// @return how many hosts of the region are listed, this one included.
+  /// @return the number of registered hosts of the region, including this one.
   [[nodiscard]] virtual std::size_t HostsInRegion() const = 0;
 };
 
-/// @brief Asks the hosts that read the store for others.
+/// @brief Requests rows from the hosts that read the store for others.
 class PeerReaders {
  public:
   using AskHost = std::function<void(const std::string& address,
-                                     const RowsRequest& question,
+                                     const RowsRequest& request,
                                      RowsCallback callback)>;
   struct Options {
     HostName host;
@@ -57,28 +57,31 @@
   PeerReaders(const PeerReaders&) = delete;
   PeerReaders& operator=(const PeerReaders&) = delete;
 
-  /// @return whether enough hosts are known for one to read for this one.
+  /// @return whether enough hosts are known for one of them to read for this
+  /// one.
   [[nodiscard]] bool HasReaders() const;
-  /// @brief Asks the host that reads for this one.
-  /// @return false when this host is to read for itself.
-  bool AskReader(const RowsRequest& question, RowsCallback callback);
-  /// @brief Asks some host that reads the store, in any region.
-  void AskSomeReader(const RowsRequest& question, RowsCallback callback);
+  /// @brief Requests the rows from the host that reads for this one.
+  /// @return false when this host must read the store itself.
+  bool AskReader(const RowsRequest& request, RowsCallback callback);
+  /// @brief Requests the rows from a random host that reads the store, in any
+  /// region.
+  void AskSomeReader(const RowsRequest& request, RowsCallback callback);
 
  private:
   [[nodiscard]] std::vector<ReaderCandidate> Candidates() const;
-  bool AskReaderOf(const RowsRequest& question,
-                   int others_left,
+  bool AskReaderOf(const RowsRequest& request,
+                   int attempts_left,
                    RowsCallback callback);
-  /// @brief Asks a host; one that has nothing fresh is left out for a while.
+  /// @brief Requests the rows from `reader`. If it refuses, since its rows are
+  /// not fresh, it is not used again for a while.
   void Ask(const ReaderCandidate& reader,
-           const RowsRequest& question,
+           const RowsRequest& request,
            RowsCallback callback);
 
   Options options_;
   Parts parts_;
   RefusedReaders refused_;
-  /// Null once this is gone: calls may still be under way then.
+  /// Null after destruction, since calls may still be pending then.
   std::shared_ptr<PeerReaders*> self_ = std::make_shared<PeerReaders*>(this);
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/replication/reader_choice.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/reader_choice.h
@@ -20,39 +20,41 @@
   double link_mbps = 0;
 };
 
-/// In a region of more hosts each failure domain has a reader of its own. A
-/// small host that reads for a hundred others takes seconds to tell them of a
-/// thousand targets, and they give it up; and most of what it tells crosses
-/// domains.
-inline constexpr std::size_t kMostHostsOfAReader = 40;
-
-/// @brief Keeps the candidates that may read for a host of that domain.
-/// @param hosts_in_region that are listed, also those that were not heard.
-[[nodiscard]] std::vector<ReaderCandidate> CandidatesFor(
+/// In a region of more hosts, each failure domain has its own reader. A small
+/// host that reads for a hundred others needs seconds to send them a thousand
+/// targets, and they time out; moreover most of what it sends crosses domains.
+inline constexpr std::size_t kMaxHostsPerReader = 40;
+
+/// @brief Keeps the candidates that may read for a host of `domain`.
+/// @param hosts_in_region the number of registered hosts, including those that
+/// are not live.
+[[nodiscard]] std::vector<ReaderCandidate> EligibleReaders(
     const FailureDomainName& domain,
     std::size_t hosts_in_region,
     std::vector<ReaderCandidate> live);
 
-/// @brief Chooses the host that reads a table for others, by rendezvous
-/// hashing: the same one on all hosts that know of the same candidates, a host
-/// with twice the link four times as likely, and another host only when that
-/// one goes or a better one comes.
+/// @brief Chooses the host that reads a table for others, by weighted
+/// rendezvous hashing: all hosts that know the same candidates choose the same
+/// one, a host with twice the bandwidth is four times as likely, and the choice
+/// changes only when the chosen host leaves or a preferred one joins.
 ///
-/// Load: some thirty hosts hear from one. A host of a small link would lose its
-/// followers as hundreds of targets register, and there may be ten small ones
-/// for each large one.
+/// Some thirty hosts depend on one reader. A host with a small link would lose
+/// its followers while hundreds of targets register, and there may be ten such
+/// hosts for each large one.
 /// @return null when there are no candidates.
 [[nodiscard]] const ReaderCandidate* ChooseReader(
     std::string_view table,
     std::span<const ReaderCandidate> candidates);
 
-/// @brief Chooses the reader of each region, or domain where a region has
-/// several; of a region that is too small to have one, all its hosts.
+/// @brief Chooses the reader of each region, or of each domain where a region
+/// has several. All hosts of a region that is too small for a reader are
+/// included.
 ///
-/// Load: the store turns a third of hundreds of hosts away, and each of those
-/// asks others. Whoever is asked reads the store itself from then on, so asking
-/// just anyone would make all hosts read it.
-[[nodiscard]] std::vector<ReaderCandidate> ReadersOfAll(
+/// The store may refuse a third of hundreds of hosts, and each of those
+/// requests the rows from other hosts. A host that gets such a request reads
+/// the store itself from then on, so requests to arbitrary hosts would make all
+/// of them read it.
+[[nodiscard]] std::vector<ReaderCandidate> ChooseReadersOfAllRegions(
     std::string_view table,
     std::span<const ReaderCandidate> candidates,
     const std::map<FailureDomainName, RegionName>& regions);
--- a/lib/libmedlarcroft/include/medlarcroft/replication/refused_readers.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/refused_readers.h
@@ -11,19 +11,21 @@
 
 namespace medlarcroft::replication {
 
-/// @brief Hosts that had nothing fresh to tell when they were asked.
+/// @brief Hosts that refused to answer since their rows were not fresh.
 ///
-/// Failure: the store turns a reader away, and serves others. Symptom: all who
-/// follow it call the store themselves, and many of them are turned away as
-/// well. A refusal comes at once, so another reader can be asked first.
+/// The store may refuse a reader while it serves other hosts. All followers of
+/// that reader would then call the store themselves, and many of them would be
+/// refused as well. A refusal comes at once, so there is time to ask another
+/// reader first.
 class RefusedReaders {
  public:
-  void Note(const HostName& host, MonotonicTime now) {
-    until_[host] = now + kLeftOut;
+  void Record(const HostName& host, MonotonicTime now) {
+    until_[host] = now + kExclusionTime;
   }
 
-  /// @brief Drops the hosts that refused lately.
-  void LeaveOut(std::vector<ReaderCandidate>& candidates, MonotonicTime now) {
+  /// @brief Removes the hosts that refused within `kExclusionTime`.
+  void RemoveRefusing(std::vector<ReaderCandidate>& candidates,
+                      MonotonicTime now) {
     std::erase_if(until_,
                   [now](const auto& refused) { return now >= refused.second; });
     std::erase_if(candidates, [this](const ReaderCandidate& candidate) {
@@ -32,19 +34,20 @@
   }
 
  private:
-  static constexpr Duration kLeftOut = std::chrono::seconds(3);
+  static constexpr Duration kExclusionTime = std::chrono::seconds(3);
 
   std::map<HostName, MonotonicTime> until_;
 };
 
-/// Another reader that is asked may need half a second to find out that the
-/// store turns it away as well: where less time is left over, none is.
-inline constexpr Duration kTimeForOtherReader = std::chrono::milliseconds(3500);
+/// Another reader may need half a second to find out that the store refuses it
+/// as well. With less time to spare, no other reader is asked.
+inline constexpr Duration kMinTimeForOtherReader =
+    std::chrono::milliseconds(3500);
 
 /// @param known_within the time in which a leaving target must be known.
 /// @return how many other readers are asked after one that refused.
 [[nodiscard]] constexpr int OtherReadersAsked(Duration known_within) {
-  return known_within >= kTimeForOtherReader ? 1 : 0;
+  return known_within >= kMinTimeForOtherReader ? 1 : 0;
 }
 
 }  // namespace medlarcroft::replication
--- a/lib/libmedlarcroft/include/medlarcroft/replication/row.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/row.h
@@ -17,31 +17,34 @@
 struct Row {
   std::string key;
   std::string value;
-  /// Of the transaction that wrote or removed it.
+  /// Version of the transaction that wrote or removed the row.
   std::uint64_t version = 0;
   bool is_removed = false;
 };
 
-/// @brief Rows as of one moment, or those changed up to one.
+/// @brief Rows of a table as of one version, or those changed up to it.
 struct RowBatch {
   std::vector<Row> rows;
   std::uint64_t newest_version = 0;
   bool has_more = false;
-  /// Another host's answer holds the whole table, not only what changed.
-  bool is_whole = false;
+  /// In answers of other hosts: whether these are all rows of the table, not
+  /// only the changed ones.
+  bool is_full_table = false;
   /// The store's steady clock when it answered; absent in other hosts' answers.
-  std::optional<Duration> told_at;
+  std::optional<Duration> store_time;
 };
 
-/// @brief Why a call brought nothing.
+/// @brief Why a call failed.
 enum class RowFailure {
-  /// No connection, or it ended. A write may have been, or may yet be, done.
+  /// No connection, or it was closed. A write may have been applied, or may
+  /// still be.
   kUnreachable,
-  kRefused,             ///< Turned away; nothing was done.
-  kHistoryUnavailable,  ///< The history that was asked for is gone.
+  kRefused,             ///< The call was refused, and nothing was done.
+  kHistoryUnavailable,  ///< The requested history is no longer kept.
   kConditionFailed,     ///< A row has another version; nothing was done.
-  kBadAnswer,           ///< An answer that can't be read.
-  kTimedOut,  ///< Sent, and no answer in time; a write as with `kUnreachable`.
+  kBadAnswer,           ///< The answer can't be decoded.
+  kTimedOut,  ///< The call was sent, but not answered in time. A write may have
+              ///< been applied, or may still be.
 };
 
 [[nodiscard]] std::string_view NameOf(RowFailure failure);
--- a/lib/libmedlarcroft/include/medlarcroft/replication/row_source.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/row_source.h
@@ -9,22 +9,23 @@
 
 namespace medlarcroft::replication {
 
-/// How much later than its hold an answer of the store may come before the call
-/// is given up: a packet that is lost between regions is sent again within a
-/// second.
+/// How much later than its hold an answer of the store may arrive before the
+/// call is given up. A packet that is lost between regions is retransmitted
+/// within a second.
 inline constexpr Duration kStoreAnswerMargin = std::chrono::milliseconds(1200);
 
-/// @brief Where rows come from: one call a method, no retries. Callbacks run
-/// once each, never before the call has returned, and on one thread.
+/// @brief Source of rows. Each method makes one call, without retries. Each
+/// callback runs once, never before the method has returned, and all run on one
+/// thread.
 class RowSource {
  public:
   virtual ~RowSource() = default;
 
-  /// @brief Reads a page of a table, from `first_key` on.
+  /// @brief Reads a page of a table, starting at `first_key`.
   virtual void List(std::string_view table,
                     std::string_view first_key,
                     RowsCallback callback) = 0;
-  /// @brief Waits up to `wait` for rows changed after `version`; it fails with
+  /// @brief Waits up to `wait` for rows changed after `version`. Fails with
   /// `kTimedOut` when no answer has come `kStoreAnswerMargin` after that.
   virtual void Follow(std::string_view table,
                       std::uint64_t version,
--- a/lib/libmedlarcroft/include/medlarcroft/replication/store_clock.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/store_clock.h
@@ -7,32 +7,35 @@
 
 namespace medlarcroft::replication {
 
-/// @brief Tells when the store gave an answer, in this host's time, from the
-/// steady clock that the answer shows.
+/// @brief Estimates when the store gave an answer, in this host's time, from
+/// the store's steady clock in that answer.
 ///
-/// Failure: a cut holds an answer up for seconds. Symptom: what it tells counts
-/// as fresh from its arrival on, and all who hear the table from this host act
-/// on it for as long again. The answer that came fastest so far shows how the
-/// clocks lie; one that comes later than that was held up by the difference.
+/// A network failure may delay an answer by seconds. Its rows would count as
+/// fresh from their arrival on, and all hosts that read the table from this one
+/// would use them for as long again. The fastest answer so far gives the offset
+/// between the clocks; a later answer that took longer was delayed by the
+/// difference.
 class StoreClock {
  public:
-  /// @param told_at by the store's clock.
-  /// @return at most `received_at`; too early by the way of the fastest answer.
-  [[nodiscard]] MonotonicTime GivenAt(Duration told_at,
-                                      MonotonicTime received_at) {
-    const MonotonicTime origin = received_at - told_at;
-    if (!origin_ || origin < *origin_ || origin - *origin_ > kLongestHeldUp) {
+  /// @param store_time the store's clock in the answer.
+  /// @return at most `received_at`; too early by the latency of the fastest
+  /// answer.
+  [[nodiscard]] MonotonicTime EstimateAnswerTime(Duration store_time,
+                                                 MonotonicTime received_at) {
+    const MonotonicTime origin = received_at - store_time;
+    if (!origin_ || origin < *origin_ || origin - *origin_ > kMaxAnswerDelay) {
       origin_ = origin;
     }
-    return *origin_ + told_at;
+    return *origin_ + store_time;
   }
 
  private:
-  /// Probes end a connection sooner than that; more is a clock that began anew.
-  static constexpr Duration kLongestHeldUp = std::chrono::seconds(10);
+  /// Liveness probes close a connection sooner than this, so a longer delay
+  /// means that the store's clock has started anew.
+  static constexpr Duration kMaxAnswerDelay = std::chrono::seconds(10);
 
-  /// This host's time when the store's clock showed zero, as the fastest answer
-  /// has it.
+  /// This host's time when the store's clock was zero, according to the fastest
+  /// answer.
   std::optional<MonotonicTime> origin_;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/replication/table_follower.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/table_follower.h
@@ -21,49 +21,50 @@
 
 namespace medlarcroft::replication {
 
-/// @brief A call to the store that brought nothing.
+/// @brief A call to the store that failed.
 struct FailedCall {
   RowFailure failure = RowFailure::kUnreachable;
-  /// From its sending to its end: tells a call that was turned away from one
-  /// that was held and never answered.
+  /// From sending the call to its end. Distinguishes a call that was refused
+  /// from one that was held and never answered.
   Duration call_time{0};
   std::uint64_t known_version = 0;
-  /// News stops coming with it.
+  /// Whether it is the first one since the store last answered.
   bool is_first = false;
 };
 
-/// @brief Hears what a table holds.
+/// @brief Is notified of a table's rows and of failures to read them.
 class TableListener {
  public:
   virtual ~TableListener() = default;
 
-  /// The whole table.
+  /// Called with all rows of the table.
   virtual void OnTable(std::span<const Row> rows) = 0;
-  /// Rows that changed since, in order; removed ones are marked.
+  /// Called with the rows that changed, in order; removed rows are marked.
   virtual void OnRows(std::span<const Row> rows) = 0;
   virtual void OnCallFailed(const FailedCall& call) = 0;
-  /// News comes again, `away` after the last that came.
+  /// The store answers again, `away` after its first failed call.
   virtual void OnStoreRecovered(Duration away) = 0;
-  /// The host that read for this one failed it: from now on this one reads the
-  /// store itself for a while.
+  /// The host that read for this one failed. This host reads the store itself
+  /// for a while.
   virtual void OnReaderLost(RowFailure failure,
                             std::uint64_t known_version) = 0;
 };
 
-/// @brief Keeps up with one table: reads it whole, then waits for changes, and
-/// reads it anew when the store has forgotten what came between.
+/// @brief Keeps a copy of one table up to date. Reads the whole table, then
+/// waits for changes, and reads it again when the store no longer keeps the
+/// changes in between.
 class TableFollower {
  public:
   struct Options {
     std::string table;
-    FollowTiming pace;
-    /// Asks some other host while the store turns this one away; none: nobody
-    /// is asked.
-    std::function<void(const RowsRequest& question, RowsCallback callback)>
+    FollowTiming timing;
+    /// Requests rows from another host while the store does not answer this
+    /// one. Empty when no host is to be asked.
+    std::function<void(const RowsRequest& request, RowsCallback callback)>
         ask_peer;
-    /// Asks a host that reads for the region.
-    /// @return false when this host is to read the store itself.
-    std::function<bool(const RowsRequest& question, RowsCallback callback)>
+    /// Requests rows from the host that reads for the region.
+    /// @return false when this host must read the store itself.
+    std::function<bool(const RowsRequest& request, RowsCallback callback)>
         ask_reader;
   };
 
@@ -80,24 +81,26 @@
   TableFollower& operator=(const TableFollower&) = delete;
 
   void Start() { Read(); }
-  /// @brief Follows at that pace from now on.
-  void SetTiming(const FollowTiming& pace) { options_.pace = pace; }
+  /// @brief Applies `timing` from the next call on.
+  void SetTiming(const FollowTiming& timing) { options_.timing = timing; }
 
   [[nodiscard]] const std::string& Table() const { return options_.table; }
   [[nodiscard]] bool HasTable() const { return has_table_; }
-  /// @return how long ago the store, or a host that it serves, last answered;
-  /// nullopt: never.
+  /// @return the time since the last answer of the store, or of a host that
+  /// reads it; nullopt when there was none.
   [[nodiscard]] std::optional<Duration> Age() const;
-  [[nodiscard]] bool IsDisconnected() const { return away_since_.has_value(); }
-  /// @return whether an answer is due and has not come, so that there may be
-  /// changes that this host has not heard of.
+  [[nodiscard]] bool IsDisconnected() const {
+    return disconnected_since_.has_value();
+  }
+  /// @return whether no answer has come in the time in which one was due, so
+  /// that this host may have missed changes.
   [[nodiscard]] bool IsOverdue() const;
-  /// @brief Another host takes this one for the reader of its region: from now
-  /// on it reads the store itself.
-  /// @return the rows while it has heard from the store itself within the time
-  /// that a call is held, and a little.
+  /// @brief Called when another host asks this one as the reader of its region.
+  /// From then on this host reads the store itself.
+  /// @return the rows, if the store itself has answered this host within
+  /// `FreshnessLimit`.
   [[nodiscard]] FreshTable ServeFollowers();
-  /// @return the rows as last heard.
+  /// @return the rows as last received.
   [[nodiscard]] TableMirror& Mirror() { return mirror_; }
   [[nodiscard]] const TableMirror& Mirror() const { return mirror_; }
 
@@ -111,13 +114,13 @@
   bool FollowReader();
   void OnReaderRows(const Result<RowBatch, RowFailure>& result);
   void OnReaderLost(RowFailure failure);
-  /// @return whether the rows are not older than what is known.
-  bool TakePeerRows(const RowBatch& rows);
+  /// @return whether the rows are at least as new as the known ones.
+  bool ApplyPeerRows(const RowBatch& rows);
   void OnChanges(const Result<RowBatch, RowFailure>& result);
   void OnFailure(RowFailure failure);
   [[nodiscard]] Duration PauseAfterFailure(std::uint32_t failures_before) const;
-  void OnAnswer(std::optional<Duration> told_at);
-  void AskPeer();
+  void OnAnswer(std::optional<Duration> store_time);
+  void RequestPeerRows();
   void OnPeerRows(const Result<RowBatch, RowFailure>& result);
   void After(Duration delay, void (TableFollower::*next)());
 
@@ -126,30 +129,33 @@
   bool has_table_ = false;
   std::vector<Row> pages_;
   std::uint64_t pages_version_ = 0;
-  std::optional<Duration> pages_told_at_;
-  /// Nothing older than this counts any more.
+  std::optional<Duration> pages_store_time_;
+  /// Version of the known rows. Older answers are ignored.
   std::uint64_t version_ = 0;
   TableMirror mirror_;
   std::optional<MonotonicTime> answered_at_;
-  std::optional<MonotonicTime> away_since_;
+  std::optional<MonotonicTime> disconnected_since_;
   /// When the store was last called.
   MonotonicTime called_at_{};
   StoreClock store_clock_;
-  /// When the store gave its own last answer.
-  std::optional<MonotonicTime> read_at_;
-  /// The call to a reader that is under way; others that end bring nothing.
+  /// When the store gave its own last answer, as estimated by `store_clock_`.
+  std::optional<MonotonicTime> store_answered_at_;
+  /// The pending call to a reader. The answers of all other such calls are
+  /// ignored.
   std::optional<std::uint64_t> reader_call_;
   std::uint64_t reader_calls_ = 0;
-  /// Other hosts are being asked, one question after the other.
+  /// Whether other hosts are being asked, one request at a time.
   bool is_asking_peers_ = false;
-  /// The store is being asked for what changed, so as to tell others.
+  /// Whether the store is being asked for changes before other hosts are
+  /// answered.
   bool is_catching_up_ = false;
   /// When another host last asked this one.
-  std::optional<MonotonicTime> told_others_at_;
-  /// Until then this host reads for itself: a reader failed it.
-  MonotonicTime direct_until_{};
+  std::optional<MonotonicTime> served_others_at_;
+  /// Until then this host reads the store itself, since its reader failed or
+  /// other hosts read from this one.
+  MonotonicTime direct_read_until_{};
   std::uint32_t failures_ = 0;
-  // Calls under way may outlive the watch.
+  // Null after destruction, since calls may still be pending then.
   std::shared_ptr<TableFollower*> self_ =
       std::make_shared<TableFollower*>(this);
 };
--- a/lib/libmedlarcroft/include/medlarcroft/replication/table_mirror.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/table_mirror.h
@@ -13,8 +13,8 @@
 
 namespace medlarcroft::replication {
 
-/// @brief The rows of one table as this host last heard them, for other hosts
-/// that the store turns away or that do not read it themselves.
+/// @brief The rows of one table as this host last received them. Served to
+/// hosts that the store refuses, or that do not read it themselves.
 class TableMirror {
  public:
   void Replace(std::span<const Row> rows, std::uint64_t version);
@@ -24,25 +24,26 @@
   void OnChange(std::function<void()> task) { on_change_ = std::move(task); }
 
   [[nodiscard]] std::uint64_t Version() const { return version_; }
-  /// @return what changed after `known_version`, removed rows marked; the whole
-  /// table when that is older than the changes that are kept.
-  [[nodiscard]] RowBatch Since(std::uint64_t known_version) const;
+  /// @return the rows changed after `known_version`, with removed rows marked.
+  /// Returns the whole table when `known_version` is older than the changes
+  /// that are kept.
+  [[nodiscard]] RowBatch ChangesSince(std::uint64_t known_version) const;
 
  private:
   std::uint64_t version_ = 0;
-  /// From then on removals are kept.
-  std::uint64_t changes_since_ = 0;
+  /// Removals are kept from this version on.
+  std::uint64_t history_start_version_ = 0;
   std::map<std::string, Row> rows_;
   std::map<std::string, std::uint64_t> removed_at_;
   std::function<void()> on_change_ = [] {};
 };
 
-/// @brief A table whose reader hears from the store itself.
+/// @brief A table that its reader has read from the store itself.
 struct FreshTable {
-  const TableMirror* mirror = nullptr;  ///< Null: there is none.
-  /// There is none yet, as its reader has just started.
+  const TableMirror* mirror = nullptr;  ///< Null when the table is not fresh.
+  /// The table is not read yet, since its reader has just started.
   bool is_loading = false;
-  /// How long it counts as fresh unless the store answers again.
+  /// How long the table counts as fresh unless the store answers again.
   Duration fresh_for{0};
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/replication/table_server.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/table_server.h
@@ -16,24 +16,25 @@
 
 namespace medlarcroft::replication {
 
-/// @brief What one host asks another for.
+/// @brief One host's request to another for a table's rows.
 struct RowsRequest {
   std::string table;
   std::uint64_t known_version = 0;
-  /// How long the other one may wait for newer rows. None come when it has
-  /// nothing newer then.
+  /// How long the other host may wait for newer rows. Its answer is empty when
+  /// it has none by then.
   Duration wait{0};
-  /// How much later than that its answer may come.
+  /// How much later than `wait` the answer may arrive.
   Duration answer_margin = kPeerAnswerMargin;
 };
 
-/// @brief Answers other hosts that ask for a table's rows: at once when there
-/// are newer ones, and else when some come, when the time that they wait is
-/// over, or when the store has been silent so long that they must hear so.
+/// @brief Answers other hosts that ask for a table's rows. Answers at once when
+/// there are newer rows. Otherwise answers when some arrive, when the wait is
+/// over, or when the store has not answered this host for so long that the
+/// other hosts must know that the rows are outdated.
 ///
-/// Load: some thirty hosts of a region wait on one. Harm prevented: all of them
-/// act on old news while the one that reads for them is cut off, and does not
-/// know it.
+/// Some thirty hosts of a region wait for one reader. A refusal prevents that
+/// all of them act on old rows, without knowing it, while the reader is
+/// disconnected.
 class TableServer {
  public:
   using FindTable = std::function<FreshTable(std::string_view table)>;
@@ -43,26 +44,27 @@
   TableServer(const TableServer&) = delete;
   TableServer& operator=(const TableServer&) = delete;
 
-  /// @param answer runs once: rows newer than those known, none when nothing
-  /// came, or `kRefused` when this host does not hear from the store itself.
-  void Ask(const RowsRequest& question, RowsCallback answer);
+  /// @param answer runs once, with the rows newer than the known ones, with
+  /// none when nothing changed, or with `kRefused` when this host itself gets
+  /// no answers from the store.
+  void Ask(const RowsRequest& request, RowsCallback answer);
 
-  /// @brief Answers those that wait for a table that has changed.
+  /// @brief Answers the requests that wait for a table that has changed.
   void OnChange(std::string_view table);
 
  private:
-  struct Waiting {
+  struct PendingRequest {
     std::string table;
     std::uint64_t known_version = 0;
     RowsCallback answer;
   };
 
-  void Answer(const Waiting& waiting);
+  void Answer(const PendingRequest& waiting);
 
   ports::Timers& timers_;
   FindTable find_table_;
-  std::uint64_t last_waiting_ = 0;
-  std::map<std::uint64_t, Waiting> waiting_;
+  std::uint64_t last_request_id_ = 0;
+  std::map<std::uint64_t, PendingRequest> pending_requests_;
 };
 
 }  // namespace medlarcroft::replication
--- a/lib/libmedlarcroft/source/membership/exchange.cc
+++ b/lib/libmedlarcroft/source/membership/exchange.cc
@@ -10,18 +10,19 @@
 
 enum ItemKind : int { kHostItem, kObservationItem, kSummaryItem };
 
-/// A sign of leaving goes first this many times: enough to reach 52 hosts with
-/// two messages a second each, after which it goes with the rest.
-constexpr std::uint32_t kUrgentRepeats = 6;
-/// More than the hosts, domains and own targets at the planned size. Starting
-/// anew costs a round of repetition.
-constexpr std::size_t kMaxTold = 4096;
-/// Of what is left after the sender's own state.
-constexpr double kHostsPart = 0.7;
-constexpr double kObservationsPart = 0.6;
-/// Of the sender's messages. Addresses change only with the process.
-constexpr std::uint32_t kLoadsEvery = 2;
-constexpr std::uint32_t kAddressesEvery = 8;
+/// How often an item about a leaving host or target is sent before other items.
+/// This suffices to reach 52 hosts with two messages a second each; afterwards
+/// it is sent in rotation.
+constexpr std::uint32_t kUrgentSends = 6;
+/// More than the hosts, domains and own targets at the planned size. Clearing
+/// the records costs a round of repetition.
+constexpr std::size_t kMaxSendRecords = 4096;
+/// Fractions of the space left after the sender's own state.
+constexpr double kHostsFraction = 0.7;
+constexpr double kObservationsFraction = 0.6;
+/// In messages of the sender. Addresses change only with the process.
+constexpr std::uint32_t kLoadsInterval = 2;
+constexpr std::uint32_t kAddressesInterval = 8;
 
 void DropAddresses(HostState& state) {
   state.lookup_address.clear();
@@ -41,8 +42,8 @@
   return true;
 }
 
-std::size_t PartOf(std::size_t room, double part) {
-  return static_cast<std::size_t>(static_cast<double>(room) * part);
+std::size_t FractionOf(std::size_t room, double fraction) {
+  return static_cast<std::size_t>(static_cast<double>(room) * fraction);
 }
 
 }  // namespace
@@ -64,8 +65,8 @@
 
 std::size_t WireBytes(const ExchangeContent& content) {
   // Three list headers, version and revision, and the sender's field header.
-  constexpr std::size_t kFrame = 32;
-  std::size_t bytes = kFrame + WireBytes(content.sender) +
+  constexpr std::size_t kFrameBytes = 32;
+  std::size_t bytes = kFrameBytes + WireBytes(content.sender) +
                       (content.heartbeats.size() * kHeartbeatBytes);
   for (const HostState& state : content.hosts) {
     bytes += WireBytes(state);
@@ -92,11 +93,11 @@
            member.liveness == Liveness::kDead;
   });
   AddHeartbeats(content, known, room);
-  std::size_t rest = room - PartOf(room, kHostsPart);
+  std::size_t rest = room - FractionOf(room, kHostsFraction);
   std::size_t hosts_room = room - rest;
   AddHosts(content, known, hosts_room);
   rest += hosts_room;
-  std::size_t observations_room = PartOf(rest, kObservationsPart);
+  std::size_t observations_room = FractionOf(rest, kObservationsFraction);
   rest -= observations_room;
   AddObservations(content, targets.Observations(), observations_room);
   rest += observations_room;
@@ -104,29 +105,31 @@
   return content;
 }
 
-std::uint32_t ExchangeSelector::TimesTold(const ItemName& item,
+std::uint32_t ExchangeSelector::SendCount(const ItemName& item,
                                           const StateNumber& number) const {
-  const auto found = told_.find(item);
-  const bool is_told = found != told_.end() && found->second.number == number;
-  return is_told ? found->second.times : 0;
+  const auto found = send_records_.find(item);
+  const bool is_sent =
+      found != send_records_.end() && found->second.number == number;
+  return is_sent ? found->second.times : 0;
 }
 
-void ExchangeSelector::NoteTold(const ItemName& item,
-                                const StateNumber& number) {
-  const std::uint32_t times = TimesTold(item, number) + 1;
-  if (told_.size() >= kMaxTold) {
-    told_.clear();
+void ExchangeSelector::RecordSend(const ItemName& item,
+                                  const StateNumber& number) {
+  const std::uint32_t times = SendCount(item, number) + 1;
+  if (send_records_.size() >= kMaxSendRecords) {
+    send_records_.clear();
   }
-  told_[item] = {.number = number, .times = times, .message = messages_};
+  send_records_[item] = {
+      .number = number, .times = times, .message = messages_};
 }
 
 HostState ExchangeSelector::OwnState(const HostState& self) {
   HostState state = self;
   state.age = Duration::zero();
-  if (messages_ % kLoadsEvery != 0) {
+  if (messages_ % kLoadsInterval != 0) {
     state.loads.clear();
   }
-  if (messages_ % kAddressesEvery != 0) {
+  if (messages_ % kAddressesInterval != 0) {
     DropAddresses(state);
   }
   ++messages_;
@@ -160,16 +163,18 @@
   using Rank = std::tuple<bool, std::uint32_t, Duration>;
   std::vector<std::pair<Rank, const Member*>> ranked;
   for (const Member& member : members) {
-    const auto told = told_.find({kHostItem, member.state.host.Value()});
-    const Told last = told == told_.end() ? Told{} : told->second;
-    // A process that is new, leaves, or has another seat is news; then each
-    // goes in turn.
-    const bool is_news =
+    const auto record =
+        send_records_.find({kHostItem, member.state.host.Value()});
+    const SendRecord last =
+        record == send_records_.end() ? SendRecord{} : record->second;
+    // A process that is new, leaves, or has another seat is sent first; the
+    // others follow in rotation.
+    const bool is_urgent =
         last.number.incarnation != member.state.number.incarnation ||
         last.seats != member.state.seats ||
         (member.state.phase == HostPhase::kLeaving &&
-         last.times < kUrgentRepeats);
-    ranked.emplace_back(Rank{!is_news, last.message, member.content_age},
+         last.times < kUrgentSends);
+    ranked.emplace_back(Rank{!is_urgent, last.message, member.content_age},
                         &member);
   }
   std::ranges::sort(ranked, {}, &std::pair<Rank, const Member*>::first);
@@ -177,29 +182,29 @@
     HostState state = member->state;
     state.age = member->content_age;
     state.failure_domain = FailureDomainName();
-    const bool is_news = !std::get<0>(rank);
-    // News must fit whatever else there is. Loads may be older than the rest:
-    // then they go under the number and with the age that they had.
-    if (is_news) {
+    const bool is_urgent = !std::get<0>(rank);
+    // Urgent states must fit next to everything else. Loads may be older than
+    // the rest of a state: then they are sent with their own number and age.
+    if (is_urgent) {
       state.loads.clear();
     } else if (!state.loads.empty()) {
       state.number = member->loads_number;
       state.age = member->loads_age;
     }
-    if (!is_news || state.phase == HostPhase::kLeaving) {
+    if (!is_urgent || state.phase == HostPhase::kLeaving) {
       DropAddresses(state);
     }
     if (!AddIfRoom(content.hosts, state, room)) {
       return;
     }
-    Told& told = told_[{kHostItem, state.host.Value()}];
-    const bool is_same = told.number.incarnation == state.number.incarnation;
+    SendRecord& record = send_records_[{kHostItem, state.host.Value()}];
+    const bool is_same = record.number.incarnation == state.number.incarnation;
     const std::uint32_t times =
-        is_same && state.phase == HostPhase::kLeaving ? told.times + 1 : 0;
-    told = {.number = member->state.number,
-            .times = times,
-            .message = messages_,
-            .seats = member->state.seats};
+        is_same && state.phase == HostPhase::kLeaving ? record.times + 1 : 0;
+    record = {.number = member->state.number,
+              .times = times,
+              .message = messages_,
+              .seats = member->state.seats};
   }
 }
 
@@ -207,8 +212,9 @@
     ExchangeContent& content,
     std::vector<TargetObservation> observations,
     std::size_t& room) {
-  // What others saw is passed on only where it warns: 52 hosts' views of 300
-  // targets would take minutes to go round.
+  // Observations of other hosts are passed on only when they warn: the
+  // observations of 300 targets by 52 hosts would take minutes to reach all
+  // hosts.
   std::erase_if(observations, [&content](const TargetObservation& observation) {
     return observation.observer != content.sender.host &&
            !observation.is_leaving && !observation.is_ejected;
@@ -221,8 +227,8 @@
   };
   for (const TargetObservation& observation : observations) {
     const StateNumber number{.sequence = observation.sequence};
-    const std::uint32_t times = TimesTold(item_of(observation), number);
-    const bool is_urgent = observation.is_leaving && times < kUrgentRepeats;
+    const std::uint32_t times = SendCount(item_of(observation), number);
+    const bool is_urgent = observation.is_leaving && times < kUrgentSends;
     ranked.emplace_back(Rank{!is_urgent, times, observation.age}, &observation);
   }
   std::ranges::sort(ranked, {},
@@ -231,7 +237,7 @@
     if (!AddIfRoom(content.observations, *observation, room)) {
       return;
     }
-    NoteTold(item_of(*observation), {.sequence = observation->sequence});
+    RecordSend(item_of(*observation), {.sequence = observation->sequence});
   }
 }
 
@@ -240,14 +246,14 @@
                                     std::size_t& room) {
   const auto times_of = [this](const DomainSummary& summary) {
     const ItemName item{kSummaryItem, summary.failure_domain.Value()};
-    return std::pair(TimesTold(item, summary.number), summary.age);
+    return std::pair(SendCount(item, summary.number), summary.age);
   };
   std::ranges::sort(summaries, {}, times_of);
   for (const DomainSummary& summary : summaries) {
     if (!AddIfRoom(content.summaries, summary, room)) {
       return;
     }
-    NoteTold({kSummaryItem, summary.failure_domain.Value()}, summary.number);
+    RecordSend({kSummaryItem, summary.failure_domain.Value()}, summary.number);
   }
 }
 
@@ -274,20 +280,20 @@
 
 std::optional<HostName> PeerRotation::Next(std::span<const HostName> hosts,
                                            ports::RandomSource& random) {
-  std::erase_if(round_, [hosts](const HostName& host) {
+  std::erase_if(remaining_, [hosts](const HostName& host) {
     return std::ranges::find(hosts, host) == hosts.end();
   });
-  if (round_.empty()) {
-    round_.assign(hosts.begin(), hosts.end());
-    for (std::size_t i = round_.size(); i > 1; --i) {
-      std::swap(round_[i - 1], round_[random.NextBelow(i)]);
+  if (remaining_.empty()) {
+    remaining_.assign(hosts.begin(), hosts.end());
+    for (std::size_t i = remaining_.size(); i > 1; --i) {
+      std::swap(remaining_[i - 1], remaining_[random.NextBelow(i)]);
     }
   }
-  if (round_.empty()) {
+  if (remaining_.empty()) {
     return std::nullopt;
   }
-  HostName next = std::move(round_.back());
-  round_.pop_back();
+  HostName next = std::move(remaining_.back());
+  remaining_.pop_back();
   return next;
 }
 
--- a/lib/libmedlarcroft/source/membership/heartbeat.cc
+++ b/lib/libmedlarcroft/source/membership/heartbeat.cc
@@ -28,7 +28,7 @@
 }
 
 std::optional<Heartbeat> Aged(const Heartbeat& heartbeat, Duration later) {
-  // Rounded up: a sign of life must not grow younger on its way.
+  // Rounded up, so that a heartbeat's age never decreases when it is forwarded.
   const Duration known = std::max(heartbeat.age + later, Duration::zero());
   const Duration whole = (known + kAgeUnit - Duration(1)) / kAgeUnit * kAgeUnit;
   if (whole > kMaxHeartbeatAge) {
--- a/lib/libmedlarcroft/source/membership/host_state.cc
+++ b/lib/libmedlarcroft/source/membership/host_state.cc
@@ -5,9 +5,9 @@
 namespace {
 
 // Compact protocol: one byte of field header, a string's length in one or two
-// bytes, numbers in 7-bit groups after a zigzag that doubles them, doubles in 8
-// bytes, one byte at the end of a structure. The bounds are for 64-bit numbers
-// below 2^55 and 32-bit ones below 2^27.
+// bytes, numbers in 7-bit groups after a zigzag encoding that doubles them,
+// doubles in 8 bytes, one byte at the end of a structure. The bounds are for
+// 64-bit numbers below 2^55 and 32-bit ones below 2^27.
 constexpr std::size_t kHeader = 1;
 constexpr std::size_t kStructEnd = 1;
 constexpr std::size_t kStringLength = 2;
--- a/lib/libmedlarcroft/source/membership/lookup_answer.cc
+++ b/lib/libmedlarcroft/source/membership/lookup_answer.cc
@@ -7,12 +7,12 @@
 
 namespace {
 
-// Mbit/s of a host that told none.
-constexpr double kLeastLink = 1;
+// Mbit/s for a host that reported none.
+constexpr double kMinLinkMbps = 1;
 
 struct Draw {
   const LookupCandidate* host = nullptr;
-  bool is_elsewhere = false;
+  bool is_other_domain = false;
   double cost = 0;
 };
 
@@ -25,29 +25,31 @@
   std::vector<Draw> draws;
   draws.reserve(hosts.size());
   for (const LookupCandidate& host : hosts) {
-    // The least of such numbers are a draw without repetition, by weight.
+    // The hosts with the smallest costs are a weighted random sample without
+    // replacement.
     const double unit = 1.0 - random.NextUnit();
     draws.push_back(
         {.host = &host,
-         .is_elsewhere = host.failure_domain != domain,
-         .cost = -std::log(unit) / std::max(host.link_mbps, kLeastLink)});
+         .is_other_domain = host.failure_domain != domain,
+         .cost = -std::log(unit) / std::max(host.link_mbps, kMinLinkMbps)});
   }
-  if (draws.size() > kMostHostsNamedWhole) {
-    std::ranges::partial_sort(draws, draws.begin() + kHostsNamed,
-                              [](const Draw& left, const Draw& right) {
-                                if (left.is_elsewhere != right.is_elsewhere) {
-                                  return right.is_elsewhere;
-                                }
-                                return left.cost < right.cost;
-                              });
-    draws.resize(kHostsNamed);
+  if (draws.size() > kMaxHostsListedInFull) {
+    std::ranges::partial_sort(
+        draws, draws.begin() + kHostsPerAnswer,
+        [](const Draw& left, const Draw& right) {
+          if (left.is_other_domain != right.is_other_domain) {
+            return right.is_other_domain;
+          }
+          return left.cost < right.cost;
+        });
+    draws.resize(kHostsPerAnswer);
   }
-  std::vector<std::string> named;
-  named.reserve(draws.size());
+  std::vector<std::string> chosen;
+  chosen.reserve(draws.size());
   for (const Draw& draw : draws) {
-    named.push_back(draw.host->address);
+    chosen.push_back(draw.host->address);
   }
-  return named;
+  return chosen;
 }
 
 }  // namespace medlarcroft::membership
--- a/lib/libmedlarcroft/source/membership/membership_table.cc
+++ b/lib/libmedlarcroft/source/membership/membership_table.cc
@@ -8,25 +8,26 @@
 
 namespace {
 
-void Replace(std::string& kept, const std::string& told) {
-  if (!told.empty()) {
-    kept = told;
+void Replace(std::string& kept, const std::string& received) {
+  if (!received.empty()) {
+    kept = received;
   }
 }
 
-/// Takes over all but the loads; addresses only when they were told.
-void Merge(HostState& kept, const HostState& told) {
-  kept.host = told.host;
-  kept.failure_domain = told.failure_domain;
-  kept.number = told.number;
-  kept.phase = told.phase;
+/// Copies everything but the loads; addresses only when the sender included
+/// them.
+void Merge(HostState& kept, const HostState& received) {
+  kept.host = received.host;
+  kept.failure_domain = received.failure_domain;
+  kept.number = received.number;
+  kept.phase = received.phase;
   kept.catalogue_revision =
-      std::max(kept.catalogue_revision, told.catalogue_revision);
-  kept.seats = told.seats;
-  Replace(kept.lookup_address, told.lookup_address);
-  Replace(kept.entry_address, told.entry_address);
-  Replace(kept.peer_address, told.peer_address);
-  Replace(kept.share_address, told.share_address);
+      std::max(kept.catalogue_revision, received.catalogue_revision);
+  kept.seats = received.seats;
+  Replace(kept.lookup_address, received.lookup_address);
+  Replace(kept.entry_address, received.entry_address);
+  Replace(kept.peer_address, received.peer_address);
+  Replace(kept.share_address, received.share_address);
 }
 
 void AddLoads(std::vector<ServiceLoad>& sum,
@@ -65,12 +66,13 @@
     resumed_at_ = now;
     ++self_.number.incarnation;
     self_.number.sequence = 0;
-    // Calls that failed before the pause do not make one span with later ones.
+    // Calls that failed before the pause do not form one period without answers
+    // with later ones.
     for (auto& [host, record] : records_) {
       record.first_failed_at.reset();
     }
   }
-  ForgetGone(now);
+  RemoveExpired(now);
   return was_paused;
 }
 
@@ -90,12 +92,12 @@
   if (state.host == self_.host) {
     return ReceiveOwn(state);
   }
-  // A host that is long gone must not come back through an old message.
+  // A dead host must not be added again by an old message.
   const bool is_known = records_.contains(state.host);
   if (!is_known && state.age >= options_.dead_after) {
     return false;
   }
-  const MonotonicTime heard_at =
+  const MonotonicTime last_seen_at =
       clock_.Now() - std::max(state.age, Duration::zero());
   Record& record = RecordOf(state.host);
   const bool is_new = !record.state || record.state->number < state.number;
@@ -110,16 +112,17 @@
     }
     Merge(merged, state);
     record.state = std::move(merged);
-    record.content_at = heard_at;
+    record.content_at = last_seen_at;
   }
   if (record.alive_number < state.number) {
     record.alive_number = state.number;
-    record.heard_at = heard_at;
+    record.last_seen_at = last_seen_at;
   }
-  if (record.is_leaving_unheard) {
-    NoteLeaving(record);
+  if (record.is_leaving_before_state) {
+    SetLeaving(record);
   }
-  // Whatever overtook it: a process that leaves does not change its mind.
+  // Applies even to a message that arrives out of order, since a leaving
+  // process never returns to another phase.
   if (state.phase == HostPhase::kLeaving) {
     record.leaving_through = std::max(record.leaving_through.value_or(0),
                                       ProcessOf(state.number.incarnation));
@@ -131,7 +134,7 @@
   if (has_newer_loads) {
     record.state->loads = state.loads;
     record.loads_number = state.number;
-    record.loads_at = heard_at;
+    record.loads_at = last_seen_at;
   }
   return is_new || has_newer_loads;
 }
@@ -151,7 +154,8 @@
     return false;
   }
   record.alive_number.sequence = heartbeat.sequence;
-  record.heard_at = std::max(record.heard_at, clock_.Now() - heartbeat.age);
+  record.last_seen_at =
+      std::max(record.last_seen_at, clock_.Now() - heartbeat.age);
   return true;
 }
 
@@ -159,19 +163,20 @@
   if (state.number <= self_.number) {
     return false;
   }
-  // Peers know a later number than this process gave: its wall clock was set
-  // back between two starts. Without this they would ignore all it says.
+  // Peers know a later number than this process has used: its wall clock was
+  // set back between two starts. Without a higher number, peers would ignore
+  // all its statements.
   self_.number = {.incarnation = state.number.incarnation + 1, .sequence = 0};
   return true;
 }
 
-void MembershipTable::NoteAnswer(const HostName& host) {
+void MembershipTable::RecordAnswer(const HostName& host) {
   Record& record = RecordOf(host);
   record.answered_at = clock_.Now();
   record.first_failed_at.reset();
 }
 
-void MembershipTable::NoteNoAnswer(const HostName& host) {
+void MembershipTable::RecordFailedCall(const HostName& host) {
   Record& record = RecordOf(host);
   record.last_failed_at = clock_.Now();
   if (!record.first_failed_at) {
@@ -192,11 +197,11 @@
     record.is_listed = true;
     record.listed_domain = listed.failure_domain;
     record.listed_address = listed.address;
-    // Failure: a restarted host is kept out by the list, which still shows its
-    // predecessor leaving. So only the first sight of the sign counts, and for
-    // the process known then.
+    // The list may still show the previous process of a restarted host as
+    // leaving, and the new process would be excluded. So only the first
+    // appearance of the mark counts, and only for the process known then.
     if (listed.is_leaving && !record.is_listed_leaving) {
-      NoteLeaving(record);
+      SetLeaving(record);
     }
     record.is_listed_leaving = listed.is_leaving;
   }
@@ -207,11 +212,11 @@
     UpdateSelf([](HostState& self) { self.phase = HostPhase::kLeaving; });
     return;
   }
-  NoteLeaving(RecordOf(host));
+  SetLeaving(RecordOf(host));
 }
 
 bool MembershipTable::Receive(const DomainSummary& summary) {
-  const MonotonicTime heard_at = clock_.Now() - summary.age;
+  const MonotonicTime reported_at = clock_.Now() - summary.age;
   const bool is_useful = summary.failure_domain != self_.failure_domain &&
                          summary.age < options_.unknown_after;
   if (!is_useful) {
@@ -219,29 +224,29 @@
   }
   const auto found = summaries_.find(summary.failure_domain);
   if (found != summaries_.end()) {
-    const HeardSummary& known = found->second;
+    const ReceivedSummary& known = found->second;
     const bool is_same_reporter = known.summary.reporter == summary.reporter;
     const bool is_newer = is_same_reporter
                               ? known.summary.number < summary.number
-                              : known.heard_at < heard_at;
+                              : known.reported_at < reported_at;
     if (!is_newer) {
       return false;
     }
   }
   summaries_[summary.failure_domain] = {.summary = summary,
-                                        .heard_at = heard_at};
+                                        .reported_at = reported_at};
   return true;
 }
 
 std::vector<DomainSummary> MembershipTable::Summaries() const {
   const MonotonicTime now = clock_.Now();
   std::vector<DomainSummary> fresh;
-  for (const auto& [domain, heard] : summaries_) {
-    if (now - heard.heard_at >= options_.unknown_after) {
+  for (const auto& [domain, received] : summaries_) {
+    if (now - received.reported_at >= options_.unknown_after) {
       continue;
     }
-    fresh.push_back(heard.summary);
-    fresh.back().age = now - heard.heard_at;
+    fresh.push_back(received.summary);
+    fresh.back().age = now - received.reported_at;
   }
   return fresh;
 }
@@ -261,7 +266,8 @@
       continue;
     }
     ++summary.live_hosts;
-    // The lowest: the domain has a revision when all its hosts have it.
+    // The minimum, since the domain has a revision only when all its hosts have
+    // it.
     summary.catalogue_revision =
         std::min(summary.catalogue_revision, member.state.catalogue_revision);
     AddLoads(summary.loads, member.state.loads);
@@ -285,7 +291,7 @@
   for (const auto& [host, record] : records_) {
     if (record.state) {
       visit({.state = *record.state,
-             .age = now - record.heard_at,
+             .age = now - record.last_seen_at,
              .is_leaving = IsLeaving(record)});
     }
   }
@@ -324,34 +330,36 @@
 
 bool MembershipTable::IsLeaving(const Record& record) {
   if (!record.state) {
-    return record.is_leaving_unheard;
+    return record.is_leaving_before_state;
   }
   return record.leaving_through >= ProcessOf(record.state->number.incarnation);
 }
 
-void MembershipTable::NoteLeaving(Record& record) {
+void MembershipTable::SetLeaving(Record& record) {
   if (!record.state) {
-    record.is_leaving_unheard = true;
+    record.is_leaving_before_state = true;
     return;
   }
   const std::uint64_t process = ProcessOf(record.state->number.incarnation);
   record.leaving_through =
       std::max(record.leaving_through.value_or(0), process);
-  record.is_leaving_unheard = false;
+  record.is_leaving_before_state = false;
 }
 
 Liveness MembershipTable::LivenessOf(const Record& record,
                                      MonotonicTime now) const {
   if (!record.state) {
-    return record.is_leaving_unheard ? Liveness::kLeaving : Liveness::kUnknown;
+    return record.is_leaving_before_state ? Liveness::kLeaving
+                                          : Liveness::kUnknown;
   }
   const bool is_own_domain =
       record.state->failure_domain == self_.failure_domain;
-  // After a pause of this process everybody looks old: they are suspect at
-  // first, and dead only when they stay silent from now on.
-  const MonotonicTime heard_at =
-      std::max(record.heard_at, resumed_at_ - options_.suspect_after);
-  const Duration age = now - heard_at;
+  // After a pause of this process the last heartbeats of all hosts look old.
+  // The hosts are suspect at first, and dead only if no state or heartbeat
+  // arrives from now on.
+  const MonotonicTime last_seen_at =
+      std::max(record.last_seen_at, resumed_at_ - options_.suspect_after);
+  const Duration age = now - last_seen_at;
   if (!is_own_domain && age >= options_.unknown_after) {
     return Liveness::kUnknown;
   }
@@ -368,11 +376,11 @@
 Member MembershipTable::MemberOf(const HostName& host,
                                  const Record& record,
                                  MonotonicTime now) const {
-  const HostState unheard{.host = host,
-                          .failure_domain = record.listed_domain,
-                          .peer_address = record.listed_address};
+  const HostState listed_state{.host = host,
+                               .failure_domain = record.listed_domain,
+                               .peer_address = record.listed_address};
   Member member{
-      .state = record.state.value_or(unheard),
+      .state = record.state.value_or(listed_state),
       .liveness = LivenessOf(record, now),
       .alive_number = record.alive_number,
       .loads_number = record.loads_number,
@@ -382,20 +390,20 @@
     member.silent_for = record.last_failed_at - *record.first_failed_at;
   }
   if (record.state) {
-    member.state.age = now - record.heard_at;
+    member.state.age = now - record.last_seen_at;
     member.content_age = now - record.content_at;
     member.loads_age = now - record.loads_at;
   }
   return member;
 }
 
-void MembershipTable::ForgetGone(MonotonicTime now) {
+void MembershipTable::RemoveExpired(MonotonicTime now) {
   std::erase_if(records_, [&](const auto& entry) {
     const Record& record = entry.second;
-    const MonotonicTime last_sign =
-        std::max(record.heard_at, record.answered_at.value_or(MonotonicTime()));
-    return !record.is_listed && !record.is_leaving_unheard &&
-           now - last_sign >= options_.forget_after;
+    const MonotonicTime last_contact_at = std::max(
+        record.last_seen_at, record.answered_at.value_or(MonotonicTime()));
+    return !record.is_listed && !record.is_leaving_before_state &&
+           now - last_contact_at >= options_.forget_after;
   });
 }
 
--- a/lib/libmedlarcroft/source/membership/target_status_table.cc
+++ b/lib/libmedlarcroft/source/membership/target_status_table.cc
@@ -14,19 +14,19 @@
   if (age >= options_.forget_after) {
     return false;
   }
-  const MonotonicTime heard_at = clock_.Now() - age;
+  const MonotonicTime observed_at = clock_.Now() - age;
   Record& record = records_[observation.target];
-  // Leaving counts whatever overtook it.
+  // A report of leaving counts even if it arrives out of order.
   if (observation.is_leaving) {
     record.leaving_at =
-        std::max(record.leaving_at.value_or(heard_at), heard_at);
+        std::max(record.leaving_at.value_or(observed_at), observed_at);
   }
   const auto known = record.by_observer.find(observation.observer);
   const bool is_new = known == record.by_observer.end() ||
                       known->second.observation.sequence < observation.sequence;
   if (is_new) {
     record.by_observer[observation.observer] = {.observation = observation,
-                                                .heard_at = heard_at};
+                                                .observed_at = observed_at};
   }
   return is_new;
 }
@@ -47,7 +47,8 @@
   drained_ = std::move(targets);
 }
 
-MergedTargetStatus TargetStatusTable::ViewOf(const TargetName& target) const {
+MergedTargetStatus TargetStatusTable::MergedStatusOf(
+    const TargetName& target) const {
   MergedTargetStatus view{.is_leaving = IsLeaving(target)};
   const auto found = records_.find(target);
   if (found == records_.end()) {
@@ -56,16 +57,16 @@
   const MonotonicTime now = clock_.Now();
   std::vector<Duration> latencies;
   view.newest_age = Duration::max();
-  for (const auto& [observer, heard] : found->second.by_observer) {
-    const Duration age = now - heard.heard_at;
+  for (const auto& [observer, received] : found->second.by_observer) {
+    const Duration age = now - received.observed_at;
     if (age >= options_.forget_after) {
       continue;
     }
     ++view.observers;
-    view.ejected_by += heard.observation.is_ejected ? 1 : 0;
-    view.outstanding += heard.observation.outstanding;
+    view.ejected_by += received.observation.is_ejected ? 1 : 0;
+    view.outstanding += received.observation.outstanding;
     view.newest_age = std::min(view.newest_age, age);
-    latencies.push_back(heard.observation.latency);
+    latencies.push_back(received.observation.latency);
   }
   if (latencies.empty()) {
     view.newest_age = Duration::zero();
@@ -90,10 +91,10 @@
   const MonotonicTime now = clock_.Now();
   std::vector<TargetObservation> observations;
   for (const auto& [target, record] : records_) {
-    for (const auto& [observer, heard] : record.by_observer) {
-      const Duration age = now - heard.heard_at;
+    for (const auto& [observer, received] : record.by_observer) {
+      const Duration age = now - received.observed_at;
       if (age < options_.forget_after) {
-        observations.push_back(heard.observation);
+        observations.push_back(received.observation);
         observations.back().age = age;
       }
     }
@@ -105,19 +106,20 @@
   if (!record.leaving_at) {
     return false;
   }
-  // Back only when somebody saw it, after the last sign, as not leaving, nobody
-  // still says that it leaves, and the last sign has settled.
+  // The target is back only when a host has observed it as not leaving, at
+  // least `return_after` after the last report that it is leaving, and no
+  // recent observation says that it is leaving.
   const MonotonicTime now = clock_.Now();
   bool is_seen_back = false;
-  for (const auto& [observer, heard] : record.by_observer) {
-    if (now - heard.heard_at >= options_.forget_after) {
+  for (const auto& [observer, received] : record.by_observer) {
+    if (now - received.observed_at >= options_.forget_after) {
       continue;
     }
-    if (heard.observation.is_leaving) {
+    if (received.observation.is_leaving) {
       return true;
     }
     const bool is_after =
-        heard.heard_at > *record.leaving_at + options_.return_after;
+        received.observed_at > *record.leaving_at + options_.return_after;
     is_seen_back = is_seen_back || is_after;
   }
   return !is_seen_back;
--- a/lib/libmedlarcroft/source/peer_updates/global_broadcaster.cc
+++ b/lib/libmedlarcroft/source/peer_updates/global_broadcaster.cc
@@ -11,48 +11,47 @@
 GlobalBroadcaster::GlobalBroadcaster(const HostName& host, Parts parts)
     : own_hash_(membership::HashOf(host)), parts_(std::move(parts)) {}
 
-void GlobalBroadcaster::TellCrashes(
+void GlobalBroadcaster::BroadcastCrashes(
     std::span<const request_path::CrashReport> reports) {
   if (reports.empty()) {
     return;
   }
-  parts_.region.TellCrashes(reports);
-  SendToOtherRegions(&PeerUpdate::crashes, reports, kMostCrashesTogether);
+  parts_.region.BroadcastCrashes(reports);
+  SendToOtherRegions(&PeerUpdate::crashes, reports, kMaxCrashesPerDatagram);
 }
 
-void GlobalBroadcaster::TellLimits(
+void GlobalBroadcaster::BroadcastLimits(
     std::span<const request_path::LimitReport> reports) {
   if (reports.empty()) {
     return;
   }
-  parts_.region.TellLimits(reports);
-  SendToOtherRegions(&PeerUpdate::limits, reports, kMostLimitsTogether);
+  parts_.region.BroadcastLimits(reports);
+  SendToOtherRegions(&PeerUpdate::limits, reports, kMaxLimitsPerDatagram);
 }
 
 template <typename Report>
 void GlobalBroadcaster::SendToOtherRegions(
     std::vector<Report> PeerUpdate::*field,
     std::span<const Report> reports,
-    std::size_t most_per_datagram) {
-  const std::vector<std::string> addresses = PickRemoteAddresses();
+    std::size_t max_per_datagram) {
+  const std::vector<std::string> addresses = ChooseRemoteAddresses();
   while (!reports.empty()) {
-    const auto part =
-        reports.first(std::min(reports.size(), most_per_datagram));
-    PeerUpdate news{.way = UpdateRoute::kInterRegion, .sender = own_hash_};
-    (news.*field).assign(part.begin(), part.end());
-    parts_.sender.Send(addresses, news);
+    const auto part = reports.first(std::min(reports.size(), max_per_datagram));
+    PeerUpdate update{.way = UpdateRoute::kInterRegion, .sender = own_hash_};
+    (update.*field).assign(part.begin(), part.end());
+    parts_.sender.Send(addresses, update);
     reports = reports.subspan(part.size());
   }
 }
 
-void GlobalBroadcaster::OnNews(const PeerUpdate& news) {
-  if (news.way == UpdateRoute::kInterRegion) {
-    parts_.region.TellCrashes(news.crashes);
-    parts_.region.TellLimits(news.limits);
+void GlobalBroadcaster::OnUpdate(const PeerUpdate& update) {
+  if (update.way == UpdateRoute::kInterRegion) {
+    parts_.region.BroadcastCrashes(update.crashes);
+    parts_.region.BroadcastLimits(update.limits);
   }
 }
 
-std::vector<std::string> GlobalBroadcaster::PickRemoteAddresses() {
+std::vector<std::string> GlobalBroadcaster::ChooseRemoteAddresses() {
   std::map<RegionName, std::vector<std::string>> regions;
   for (RemoteHost& host : parts_.remote_hosts()) {
     regions[host.region].push_back(std::move(host.address));
--- a/lib/libmedlarcroft/source/peer_updates/peer_update.cc
+++ b/lib/libmedlarcroft/source/peer_updates/peer_update.cc
@@ -15,9 +15,9 @@
 // Rates are encoded in thousandths of a request per second.
 constexpr double kLimitScale = 1000;
 // Keeps the encoded rate within 32 bits.
-constexpr double kMostRequestsPerSecond = 4e6;
+constexpr double kMaxRequestsPerSecond = 4e6;
 constexpr unsigned kNumberBits = 32;
-constexpr std::uint32_t kMostRequests = 255;
+constexpr std::uint32_t kMaxRequests = 255;
 
 }  // namespace
 
@@ -38,7 +38,7 @@
   for (const ReportedLoad& load : loads) {
     AppendLittleEndian(text, static_cast<std::uint32_t>(load.target),
                        kNumberBytes);
-    AppendLittleEndian(text, std::min(load.requests, kMostRequests), 1);
+    AppendLittleEndian(text, std::min(load.requests, kMaxRequests), 1);
   }
   return text;
 }
@@ -69,7 +69,7 @@
   text.reserve(limits.size() * kLimitReportBytes);
   for (const request_path::LimitReport& report : limits) {
     const double limit =
-        std::min(report.requests_per_second, kMostRequestsPerSecond);
+        std::min(report.requests_per_second, kMaxRequestsPerSecond);
     const double scaled = std::ceil(limit * kLimitScale);
     AppendLittleEndian(text, static_cast<std::uint32_t>(report.target),
                        kNumberBytes);
--- a/lib/libmedlarcroft/source/peer_updates/region_broadcaster.cc
+++ b/lib/libmedlarcroft/source/peer_updates/region_broadcaster.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::string_view kRelayOrder = "news";
+constexpr std::string_view kRelayHashSeed = "news";
 
 }  // namespace
 
@@ -22,28 +22,29 @@
       own_hash_(membership::HashOf(options_.host)),
       timers_(timers),
       sender_(sender),
-      next_told_(own_hash_) {}
+      next_peer_(own_hash_) {}
 
 RegionBroadcaster::~RegionBroadcaster() {
   *self_ = nullptr;
 }
 
 void RegionBroadcaster::Start() {
-  Relay();
+  RunRelay();
 }
 
 void RegionBroadcaster::SetPeers(std::vector<Peer> peers) {
-  std::unordered_map<std::uint32_t, Source> sources;
+  std::unordered_map<std::uint32_t, PeerStatus> sources;
   peers_ = std::move(peers);
   peer_addresses_.clear();
   domain_addresses_.clear();
   other_domains_.clear();
-  for (std::size_t place = 0; place < peers_.size(); ++place) {
-    const Peer& peer = peers_[place];
+  for (std::size_t index = 0; index < peers_.size(); ++index) {
+    const Peer& peer = peers_[index];
     const std::uint32_t hash = membership::HashOf(peer.host);
-    const auto known = sources_.find(hash);
-    Source source = known == sources_.end() ? Source{} : known->second;
-    source.peer = place;
+    const auto known = peer_statuses_.find(hash);
+    PeerStatus source =
+        known == peer_statuses_.end() ? PeerStatus{} : known->second;
+    source.peer = index;
     sources.emplace(hash, source);
     peer_addresses_.push_back(peer.address);
     if (peer.failure_domain == options_.failure_domain) {
@@ -53,46 +54,47 @@
       other_domains_.push_back(peer.failure_domain);
     }
   }
-  sources_ = std::move(sources);
+  peer_statuses_ = std::move(sources);
 }
 
 bool RegionBroadcaster::UsesRelays() const {
   return !UsesDirectDelivery(peers_.size());
 }
 
-void RegionBroadcaster::TellPlaced(const PlacedObject& placed) {
+void RegionBroadcaster::BroadcastPlacement(const PlacedObject& placed) {
   pending_.placed.push_back(placed);
-  if (pending_.placed.size() >= kMostPlacedTogether) {
-    SendOwn();
+  if (pending_.placed.size() >= kMaxPlacementsPerDatagram) {
+    SendPending();
   } else {
-    SendSoon(UsesRelays() ? kReportBatchDelay : PlacedNewsDelay(peers_.size()));
+    ScheduleSend(UsesRelays() ? kReportBatchDelay
+                              : PlacementBatchDelay(peers_.size()));
   }
 }
 
-void RegionBroadcaster::TellLoad(const ReportedLoad& load) {
+void RegionBroadcaster::BroadcastLoad(const ReportedLoad& load) {
   pending_loads_[load.target] = load.requests;
-  if (pending_loads_.size() >= kMostLoadsTogether) {
-    SendOwn();
+  if (pending_loads_.size() >= kMaxLoadsPerDatagram) {
+    SendPending();
   } else {
-    SendSoon(kReportBatchDelay);
+    ScheduleSend(kReportBatchDelay);
   }
 }
 
-void RegionBroadcaster::TellCrashes(
+void RegionBroadcaster::BroadcastCrashes(
     std::span<const request_path::CrashReport> reports) {
   if (reports.empty()) {
     return;
   }
   pending_.crashes.insert(pending_.crashes.end(), reports.begin(),
                           reports.end());
-  if (pending_.crashes.size() >= kMostCrashesTogether) {
-    SendOwn();
+  if (pending_.crashes.size() >= kMaxCrashesPerDatagram) {
+    SendPending();
   } else {
-    SendSoon(kReportBatchDelay);
+    ScheduleSend(kReportBatchDelay);
   }
 }
 
-void RegionBroadcaster::TellLimits(
+void RegionBroadcaster::BroadcastLimits(
     std::span<const request_path::LimitReport> reports) {
   if (reports.empty()) {
     return;
@@ -100,13 +102,13 @@
   for (const request_path::LimitReport& report : reports) {
     pending_limits_[report.target] = report;
   }
-  SendSoon(kReportBatchDelay);
+  ScheduleSend(kReportBatchDelay);
 }
 
 void RegionBroadcaster::BroadcastHeartbeat(
     const membership::Heartbeat& heartbeat) {
   pending_.heartbeats.push_back(heartbeat);
-  SendOwn();
+  SendPending();
 }
 
 void RegionBroadcaster::BroadcastState(const membership::HostState& state) {
@@ -115,107 +117,109 @@
 
 void RegionBroadcaster::SendStateToNextPeers(
     const membership::HostState& state) {
-  const std::size_t count = std::min(kStatesABeat, peer_addresses_.size());
+  const std::size_t count =
+      std::min(kStatesPerHeartbeat, peer_addresses_.size());
   std::vector<std::string> addresses;
-  for (std::size_t told = 0; told < count; ++told) {
-    addresses.push_back(peer_addresses_[next_told_++ % peer_addresses_.size()]);
+  for (std::size_t forwarded = 0; forwarded < count; ++forwarded) {
+    addresses.push_back(peer_addresses_[next_peer_++ % peer_addresses_.size()]);
   }
   sender_.Send(addresses, {.sender = own_hash_, .state = state});
 }
 
-void RegionBroadcaster::SendSoon(Duration delay) {
-  if (std::exchange(is_sending_soon_, true)) {
+void RegionBroadcaster::ScheduleSend(Duration delay) {
+  if (std::exchange(is_send_scheduled_, true)) {
     return;
   }
   timers_.RunAfter(delay, [self = self_] {
     if (*self != nullptr) {
-      (*self)->SendOwn();
+      (*self)->SendPending();
     }
   });
 }
 
-void RegionBroadcaster::SendOwn() {
-  is_sending_soon_ = false;
+void RegionBroadcaster::SendPending() {
+  is_send_scheduled_ = false;
   for (const auto& [target, requests] : std::exchange(pending_loads_, {})) {
     pending_.loads.push_back({.target = target, .requests = requests});
   }
-  PeerUpdate news = std::exchange(pending_, {});
+  PeerUpdate update = std::exchange(pending_, {});
   // Sent in separate datagrams to limit the datagram size.
   const std::vector<request_path::CrashReport> crashes =
-      std::exchange(news.crashes, {});
+      std::exchange(update.crashes, {});
   SendReports<request_path::CrashReport>(&PeerUpdate::crashes, crashes,
-                                         kMostCrashesTogether);
+                                         kMaxCrashesPerDatagram);
   std::vector<request_path::LimitReport> limits;
   for (const auto& [target, report] : std::exchange(pending_limits_, {})) {
     limits.push_back(report);
   }
   SendReports<request_path::LimitReport>(&PeerUpdate::limits, limits,
-                                         kMostLimitsTogether);
-  if (!news.placed.empty() || !news.loads.empty() || !news.heartbeats.empty()) {
-    SendToRegion(std::move(news));
+                                         kMaxLimitsPerDatagram);
+  if (!update.placed.empty() || !update.loads.empty() ||
+      !update.heartbeats.empty()) {
+    SendToRegion(std::move(update));
   }
 }
 
 template <typename Report>
 void RegionBroadcaster::SendReports(std::vector<Report> PeerUpdate::*field,
                                     std::span<const Report> reports,
-                                    std::size_t most_per_datagram) {
+                                    std::size_t max_per_datagram) {
   for (std::size_t begin = 0; begin < reports.size();
-       begin += most_per_datagram) {
+       begin += max_per_datagram) {
     const auto part = reports.subspan(
-        begin, std::min(most_per_datagram, reports.size() - begin));
-    PeerUpdate news;
-    (news.*field).assign(part.begin(), part.end());
-    SendToRegion(std::move(news));
+        begin, std::min(max_per_datagram, reports.size() - begin));
+    PeerUpdate update;
+    (update.*field).assign(part.begin(), part.end());
+    SendToRegion(std::move(update));
   }
 }
 
-void RegionBroadcaster::SendToRegion(PeerUpdate news) {
-  news.sender = own_hash_;
+void RegionBroadcaster::SendToRegion(PeerUpdate update) {
+  update.sender = own_hash_;
   if (!UsesRelays()) {
-    sender_.Send(peer_addresses_, news);
+    sender_.Send(peer_addresses_, update);
     return;
   }
   const MonotonicTime now = timers_.Now();
   const std::uint32_t relay = RelayOf(options_.failure_domain, now);
   if (relay != own_hash_) {
-    news.way = UpdateRoute::kReport;
+    update.way = UpdateRoute::kReport;
     const std::string address = AddressOf(relay);
-    sender_.Send(std::span(&address, 1), news);
+    sender_.Send(std::span(&address, 1), update);
     return;
   }
-  digest_.Add(news, now);
-  exchange_.Add(news, now);
+  digest_queue_.Add(update, now);
+  exchange_queue_.Add(update, now);
 }
 
-void RegionBroadcaster::OnNews(const PeerUpdate& news) {
+void RegionBroadcaster::OnUpdate(const PeerUpdate& update) {
   const MonotonicTime now = timers_.Now();
-  const auto source = sources_.find(news.sender);
-  if (source != sources_.end()) {
-    source->second.heard_at = now;
-    if (news.way == UpdateRoute::kExchange ||
-        news.way == UpdateRoute::kDigest) {
+  const auto source = peer_statuses_.find(update.sender);
+  if (source != peer_statuses_.end()) {
+    source->second.last_seen_at = now;
+    if (update.way == UpdateRoute::kExchange ||
+        update.way == UpdateRoute::kDigest) {
       source->second.relayed_at = now;
     }
   }
-  for (const membership::Heartbeat& heartbeat : news.heartbeats) {
-    const auto beating = sources_.find(heartbeat.host_hash);
-    if (beating != sources_.end()) {
-      Source& heard = beating->second;
-      heard.heard_at = std::max(heard.heard_at.value_or(MonotonicTime()),
-                                now - heartbeat.age);
+  for (const membership::Heartbeat& heartbeat : update.heartbeats) {
+    const auto origin = peer_statuses_.find(heartbeat.host_hash);
+    if (origin != peer_statuses_.end()) {
+      PeerStatus& status = origin->second;
+      status.last_seen_at = std::max(
+          status.last_seen_at.value_or(MonotonicTime()), now - heartbeat.age);
     }
   }
-  switch (news.way) {
+  switch (update.way) {
     case UpdateRoute::kReport:
-      asked_at_ = now;
-      digest_.Add(news, now);
-      exchange_.Add(news, now);
+      relay_requested_at_ = now;
+      digest_queue_.Add(update, now);
+      exchange_queue_.Add(update, now);
       break;
     case UpdateRoute::kExchange:
-      asked_at_ = now;
-      digest_.Add(news, now);
-      exchanged_with_[news.sender] = now;
+      relay_requested_at_ = now;
+      digest_queue_.Add(update, now);
+      exchanged_with_[update.sender] = now;
       break;
     case UpdateRoute::kDirect:
     case UpdateRoute::kDigest:
@@ -225,41 +229,42 @@
 }
 
 bool RegionBroadcaster::IsRelay() const {
-  return IsActing(timers_.Now());
+  return IsActingAsRelay(timers_.Now());
 }
 
-bool RegionBroadcaster::IsActing(MonotonicTime now) const {
+bool RegionBroadcaster::IsActingAsRelay(MonotonicTime now) const {
   const auto own = relays_.find(options_.failure_domain);
   const bool is_chosen = own != relays_.end() && own->second.host == own_hash_;
   return UsesRelays() &&
-         (is_chosen || (asked_at_ && now - *asked_at_ < kRelayAfterAsked));
+         (is_chosen || (relay_requested_at_ &&
+                        now - *relay_requested_at_ < kRelayActiveTime));
 }
 
-void RegionBroadcaster::Relay() {
+void RegionBroadcaster::RunRelay() {
   const MonotonicTime now = timers_.Now();
   if (UsesRelays()) {
     (void)RelayOf(options_.failure_domain, now);
-    if (IsActing(now)) {
+    if (IsActingAsRelay(now)) {
       SendDigest(now);
       SendExchange(now);
     } else {
-      DropGathered();
+      ClearRelayQueues();
     }
   }
   timers_.RunAfter(kRelayPeriod, [self = self_] {
     if (*self != nullptr) {
-      (*self)->Relay();
+      (*self)->RunRelay();
     }
   });
 }
 
-void RegionBroadcaster::DropGathered() {
-  digest_ = UpdateQueue();
-  exchange_ = UpdateQueue();
+void RegionBroadcaster::ClearRelayQueues() {
+  digest_queue_ = UpdateQueue();
+  exchange_queue_ = UpdateQueue();
 }
 
 void RegionBroadcaster::SendDigest(MonotonicTime now) {
-  PeerUpdate digest = digest_.Take(kMostDigestBytes, now);
+  PeerUpdate digest = digest_queue_.Take(kMaxRelayDatagramBytes, now);
   digest.way = UpdateRoute::kDigest;
   digest.sender = own_hash_;
   sender_.Send(domain_addresses_, digest);
@@ -274,23 +279,24 @@
       exchanged_with_.erase(relay);
     }
   }
-  // Whoever counts on this host hears from it, also when it is not counted on.
+  // A relay that sent to this host expects its answers, even if this host chose
+  // another relay for that domain.
   std::erase_if(exchanged_with_, [now](const auto& other) {
-    return now - other.second >= kRelayAfterAsked;
+    return now - other.second >= kRelayActiveTime;
   });
   for (const auto& [host, at] : exchanged_with_) {
-    if (sources_.contains(host)) {
+    if (peer_statuses_.contains(host)) {
       addresses.push_back(AddressOf(host));
     }
   }
-  // Failure: no other domain is heard, by a cut. Symptom: what this domain's
-  // targets had long ago comes as news when the cut ends, and idle ones look
-  // full.
+  // When this host is disconnected from all other domains, the queue would keep
+  // old loads of this domain's targets and send them after the reconnection, so
+  // that idle targets would look full. So it is emptied.
   if (addresses.empty()) {
-    exchange_ = UpdateQueue();
+    exchange_queue_ = UpdateQueue();
     return;
   }
-  PeerUpdate exchange = exchange_.Take(kMostDigestBytes, now);
+  PeerUpdate exchange = exchange_queue_.Take(kMaxRelayDatagramBytes, now);
   exchange.way = UpdateRoute::kExchange;
   exchange.sender = own_hash_;
   sender_.Send(addresses, exchange);
@@ -298,9 +304,9 @@
 
 std::uint32_t RegionBroadcaster::RelayOf(const FailureDomainName& domain,
                                          MonotonicTime now) {
-  Choice& choice = relays_[domain];
-  const bool was_silent = PassOverIfSilent(choice, now);
-  const std::uint32_t first = FirstInOrder(domain, now);
+  RelayChoice& choice = relays_[domain];
+  const bool was_silent = ExcludeIfSilent(choice, now);
+  const std::uint32_t first = PreferredRelay(domain, now);
   if (first != choice.host) {
     choice = {.host = first, .chosen_at = now};
     if (options_.on_relay_changed) {
@@ -312,18 +318,18 @@
   return choice.host;
 }
 
-bool RegionBroadcaster::PassOverIfSilent(const Choice& choice,
-                                         MonotonicTime now) {
-  const auto source = sources_.find(choice.host);
-  if (source == sources_.end()) {
+bool RegionBroadcaster::ExcludeIfSilent(const RelayChoice& choice,
+                                        MonotonicTime now) {
+  const auto source = peer_statuses_.find(choice.host);
+  if (source == peer_statuses_.end()) {
     return false;
   }
   const MonotonicTime since = std::max(
       choice.chosen_at, source->second.relayed_at.value_or(MonotonicTime()));
-  if (now - since <= kRelaySilence) {
+  if (now - since <= kRelayTimeout) {
     return false;
   }
-  source->second.passed_over_until = now + kPassedOver;
+  source->second.excluded_until = now + kRelayExclusionTime;
   return true;
 }
 
@@ -331,36 +337,37 @@
   if (host == own_hash_) {
     return options_.host;
   }
-  const auto found = sources_.find(host);
-  return found == sources_.end() ? HostName() : peers_[found->second.peer].host;
+  const auto found = peer_statuses_.find(host);
+  return found == peer_statuses_.end() ? HostName()
+                                       : peers_[found->second.peer].host;
 }
 
-std::uint32_t RegionBroadcaster::FirstInOrder(const FailureDomainName& domain,
-                                              MonotonicTime now) const {
+std::uint32_t RegionBroadcaster::PreferredRelay(const FailureDomainName& domain,
+                                                MonotonicTime now) const {
   std::vector<replication::ReaderCandidate> candidates;
   if (domain == options_.failure_domain) {
     candidates.push_back(
         {.host = options_.host, .link_mbps = options_.link_mbps});
   }
-  for (const auto& [hash, source] : sources_) {
+  for (const auto& [hash, source] : peer_statuses_) {
     const Peer& peer = peers_[source.peer];
     const bool is_candidate = peer.failure_domain == domain &&
-                              source.heard_at &&
-                              now - *source.heard_at < kLivenessTimeout &&
-                              now >= source.passed_over_until;
+                              source.last_seen_at &&
+                              now - *source.last_seen_at < kLivenessTimeout &&
+                              now >= source.excluded_until;
     if (is_candidate) {
       candidates.push_back({.host = peer.host, .link_mbps = peer.link_mbps});
     }
   }
   const replication::ReaderCandidate* const first =
-      replication::ChooseReader(kRelayOrder, candidates);
+      replication::ChooseReader(kRelayHashSeed, candidates);
   return first == nullptr ? 0 : membership::HashOf(first->host);
 }
 
 std::string RegionBroadcaster::AddressOf(std::uint32_t host) const {
-  const auto found = sources_.find(host);
-  return found == sources_.end() ? std::string()
-                                 : peers_[found->second.peer].address;
+  const auto found = peer_statuses_.find(host);
+  return found == peer_statuses_.end() ? std::string()
+                                       : peers_[found->second.peer].address;
 }
 
 }  // namespace medlarcroft::peer_updates
--- a/lib/libmedlarcroft/source/peer_updates/update_queue.cc
+++ b/lib/libmedlarcroft/source/peer_updates/update_queue.cc
@@ -6,18 +6,18 @@
 
 namespace {
 
-// Targets keep an object for longer, and a datagram may be lost.
-constexpr Duration kPlacedTellAgain = std::chrono::seconds(2);
-// A load that has hardly changed since is told this much later all the same.
-constexpr Duration kLoadTellAgain = std::chrono::milliseconds(800);
-constexpr std::uint32_t kSameLoad = 1;
-constexpr std::size_t kMostPlacedWaiting = 500;
+// Targets keep an object for longer than this, and a datagram may be lost.
+constexpr Duration kPlacementRepeatTime = std::chrono::seconds(2);
+// A load that has hardly changed is forwarded again after this time.
+constexpr Duration kLoadRepeatTime = std::chrono::milliseconds(800);
+constexpr std::uint32_t kLoadTolerance = 1;
+constexpr std::size_t kMaxQueuedPlacements = 500;
 // Suppresses duplicates: several hosts send the same report at the same time.
 // Must be below the period at which hosts repeat their reports.
-constexpr Duration kCrashTellAgain = std::chrono::milliseconds(800);
-constexpr std::size_t kMostCrashesWaiting = 300;
+constexpr Duration kCrashRepeatTime = std::chrono::milliseconds(800);
+constexpr std::size_t kMaxQueuedCrashes = 300;
 // Reports of an unchanged limit within this time are dropped as duplicates.
-constexpr Duration kLimitTellAgain = std::chrono::milliseconds(800);
+constexpr Duration kLimitRepeatTime = std::chrono::milliseconds(800);
 
 std::uint64_t KeyOf(const PlacedObject& placed) {
   constexpr unsigned kHalf = 32;
@@ -31,32 +31,32 @@
 
 }  // namespace
 
-void UpdateQueue::Add(const PeerUpdate& news, MonotonicTime now) {
-  for (const membership::Heartbeat& heartbeat : news.heartbeats) {
+void UpdateQueue::Add(const PeerUpdate& update, MonotonicTime now) {
+  for (const membership::Heartbeat& heartbeat : update.heartbeats) {
     heartbeats_[heartbeat.host_hash] = {.heartbeat = heartbeat,
-                                        .heard_at = now};
+                                        .received_at = now};
   }
-  for (const PlacedObject& placed : news.placed) {
-    AddPlaced(placed, now);
+  for (const PlacedObject& placed : update.placed) {
+    AddPlacement(placed, now);
   }
-  for (const ReportedLoad& load : news.loads) {
+  for (const ReportedLoad& load : update.loads) {
     AddLoad(load, now);
   }
-  for (const request_path::CrashReport& report : news.crashes) {
+  for (const request_path::CrashReport& report : update.crashes) {
     AddCrash(report, now);
   }
-  for (const request_path::LimitReport& report : news.limits) {
+  for (const request_path::LimitReport& report : update.limits) {
     AddLimit(report, now);
   }
 }
 
 void UpdateQueue::AddLimit(const request_path::LimitReport& report,
                            MonotonicTime now) {
-  const auto told = told_limits_.find(report.target);
+  const auto forwarded = forwarded_limits_.find(report.target);
   const bool is_known =
-      told != told_limits_.end() &&
-      now - told->second.told_at < kLimitTellAgain &&
-      told->second.requests_per_second == report.requests_per_second;
+      forwarded != forwarded_limits_.end() &&
+      now - forwarded->second.forwarded_at < kLimitRepeatTime &&
+      forwarded->second.requests_per_second == report.requests_per_second;
   if (is_known) {
     limits_.erase(report.target);
   } else {
@@ -64,24 +64,25 @@
   }
 }
 
-void UpdateQueue::AddPlaced(const PlacedObject& placed, MonotonicTime now) {
-  const auto [told, is_new] = told_placed_.try_emplace(KeyOf(placed), now);
-  if (!is_new && now - told->second < kPlacedTellAgain) {
+void UpdateQueue::AddPlacement(const PlacedObject& placed, MonotonicTime now) {
+  const auto [forwarded, is_new] =
+      forwarded_placements_.try_emplace(KeyOf(placed), now);
+  if (!is_new && now - forwarded->second < kPlacementRepeatTime) {
     return;
   }
-  told->second = now;
-  if (placed_.size() >= kMostPlacedWaiting) {
+  forwarded->second = now;
+  if (placed_.size() >= kMaxQueuedPlacements) {
     placed_.pop_front();
   }
   placed_.push_back(placed);
 }
 
 void UpdateQueue::AddLoad(const ReportedLoad& load, MonotonicTime now) {
-  const auto told = told_loads_.find(load.target);
+  const auto forwarded = forwarded_loads_.find(load.target);
   const bool is_known =
-      told != told_loads_.end() &&
-      now - told->second.told_at < kLoadTellAgain &&
-      Difference(told->second.requests, load.requests) <= kSameLoad;
+      forwarded != forwarded_loads_.end() &&
+      now - forwarded->second.forwarded_at < kLoadRepeatTime &&
+      Difference(forwarded->second.requests, load.requests) <= kLoadTolerance;
   if (is_known) {
     loads_.erase(load.target);
   } else {
@@ -91,112 +92,113 @@
 
 void UpdateQueue::AddCrash(const request_path::CrashReport& report,
                            MonotonicTime now) {
-  while (!told_crashes_.empty() &&
-         (now - told_crashes_.front().told_at >= kCrashTellAgain ||
-          told_crashes_.size() >= kMostCrashesWaiting)) {
-    told_crashes_.pop_front();
+  while (!forwarded_crashes_.empty() &&
+         (now - forwarded_crashes_.front().forwarded_at >= kCrashRepeatTime ||
+          forwarded_crashes_.size() >= kMaxQueuedCrashes)) {
+    forwarded_crashes_.pop_front();
   }
-  if (std::ranges::find(told_crashes_, report, &ToldCrash::report) !=
-      told_crashes_.end()) {
+  if (std::ranges::find(forwarded_crashes_, report, &ForwardedCrash::report) !=
+      forwarded_crashes_.end()) {
     return;
   }
-  told_crashes_.push_back({.report = report, .told_at = now});
-  if (crashes_.size() >= kMostCrashesWaiting) {
+  forwarded_crashes_.push_back({.report = report, .forwarded_at = now});
+  if (crashes_.size() >= kMaxQueuedCrashes) {
     crashes_.pop_front();
   }
   crashes_.push_back(report);
 }
 
-PeerUpdate UpdateQueue::Take(std::size_t most_bytes, MonotonicTime now) {
-  ForgetTold(now);
-  PeerUpdate news;
-  std::size_t bytes_left = most_bytes;
-  TakeHeartbeats(news, bytes_left, now);
-  TakeCrashes(news, bytes_left);
-  TakeLimits(news, bytes_left, now);
+PeerUpdate UpdateQueue::Take(std::size_t max_bytes, MonotonicTime now) {
+  DropExpiredHistory(now);
+  PeerUpdate update;
+  std::size_t bytes_left = max_bytes;
+  TakeHeartbeats(update, bytes_left, now);
+  TakeCrashes(update, bytes_left);
+  TakeLimits(update, bytes_left, now);
   const std::size_t for_loads =
       std::min(loads_.size() * kLoadBytes, bytes_left / 2);
-  TakePlaced(news, bytes_left, bytes_left - for_loads);
-  TakeLoads(news, bytes_left, now);
-  return news;
+  TakePlacements(update, bytes_left, bytes_left - for_loads);
+  TakeLoads(update, bytes_left, now);
+  return update;
 }
 
-void UpdateQueue::TakeHeartbeats(PeerUpdate& news,
+void UpdateQueue::TakeHeartbeats(PeerUpdate& update,
                                  std::size_t& bytes_left,
                                  MonotonicTime now) {
   while (!heartbeats_.empty() && bytes_left >= membership::kHeartbeatBytes) {
     const auto node = heartbeats_.extract(heartbeats_.begin());
-    const auto aged =
-        membership::Aged(node.mapped().heartbeat, now - node.mapped().heard_at);
+    const auto aged = membership::Aged(node.mapped().heartbeat,
+                                       now - node.mapped().received_at);
     if (aged) {
-      news.heartbeats.push_back(*aged);
+      update.heartbeats.push_back(*aged);
       bytes_left -= membership::kHeartbeatBytes;
     }
   }
 }
 
-void UpdateQueue::TakeCrashes(PeerUpdate& news, std::size_t& bytes_left) {
+void UpdateQueue::TakeCrashes(PeerUpdate& update, std::size_t& bytes_left) {
   const std::size_t count =
       std::min(crashes_.size(), bytes_left / 2 / kCrashReportBytes);
   const auto end = crashes_.begin() + static_cast<std::ptrdiff_t>(count);
-  news.crashes.assign(crashes_.begin(), end);
+  update.crashes.assign(crashes_.begin(), end);
   crashes_.erase(crashes_.begin(), end);
   bytes_left -= count * kCrashReportBytes;
 }
 
-void UpdateQueue::TakeLimits(PeerUpdate& news,
+void UpdateQueue::TakeLimits(PeerUpdate& update,
                              std::size_t& bytes_left,
                              MonotonicTime now) {
-  const std::size_t most = bytes_left / 2 / kLimitReportBytes;
-  while (!limits_.empty() && news.limits.size() < most) {
+  const std::size_t max_count = bytes_left / 2 / kLimitReportBytes;
+  while (!limits_.empty() && update.limits.size() < max_count) {
     const auto node = limits_.extract(limits_.begin());
-    news.limits.push_back(
+    update.limits.push_back(
         {.target = node.key(), .requests_per_second = node.mapped()});
-    told_limits_[node.key()] = {.requests_per_second = node.mapped(),
-                                .told_at = now};
+    forwarded_limits_[node.key()] = {.requests_per_second = node.mapped(),
+                                     .forwarded_at = now};
     bytes_left -= kLimitReportBytes;
   }
 }
 
-void UpdateQueue::TakePlaced(PeerUpdate& news,
-                             std::size_t& bytes_left,
-                             std::size_t most) {
-  const std::size_t count = std::min(placed_.size(), most / kPlacedBytes);
-  news.placed.assign(placed_.begin(),
-                     placed_.begin() + static_cast<std::ptrdiff_t>(count));
+void UpdateQueue::TakePlacements(PeerUpdate& update,
+                                 std::size_t& bytes_left,
+                                 std::size_t max_bytes) {
+  const std::size_t count = std::min(placed_.size(), max_bytes / kPlacedBytes);
+  update.placed.assign(placed_.begin(),
+                       placed_.begin() + static_cast<std::ptrdiff_t>(count));
   placed_.erase(placed_.begin(),
                 placed_.begin() + static_cast<std::ptrdiff_t>(count));
   bytes_left -= count * kPlacedBytes;
 }
 
-void UpdateQueue::TakeLoads(PeerUpdate& news,
+void UpdateQueue::TakeLoads(PeerUpdate& update,
                             std::size_t& bytes_left,
                             MonotonicTime now) {
   while (!loads_.empty() && bytes_left >= kLoadBytes) {
-    // From where the last datagram ended, so that each target has its turn.
-    auto next = loads_.upper_bound(last_load_);
+    // Continues after the last load sent, so that no target is starved.
+    auto next = loads_.upper_bound(last_sent_target_);
     const auto node =
         loads_.extract(next == loads_.end() ? loads_.begin() : next);
-    last_load_ = node.key();
-    news.loads.push_back({.target = node.key(), .requests = node.mapped()});
-    told_loads_[node.key()] = {.requests = node.mapped(), .told_at = now};
+    last_sent_target_ = node.key();
+    update.loads.push_back({.target = node.key(), .requests = node.mapped()});
+    forwarded_loads_[node.key()] = {.requests = node.mapped(),
+                                    .forwarded_at = now};
     bytes_left -= kLoadBytes;
   }
 }
 
-void UpdateQueue::ForgetTold(MonotonicTime now) {
-  if (now - forgot_at_ < kPlacedTellAgain) {
+void UpdateQueue::DropExpiredHistory(MonotonicTime now) {
+  if (now - history_dropped_at_ < kPlacementRepeatTime) {
     return;
   }
-  forgot_at_ = now;
-  std::erase_if(told_placed_, [now](const auto& told) {
-    return now - told.second >= kPlacedTellAgain;
+  history_dropped_at_ = now;
+  std::erase_if(forwarded_placements_, [now](const auto& forwarded) {
+    return now - forwarded.second >= kPlacementRepeatTime;
   });
-  std::erase_if(told_limits_, [now](const auto& told) {
-    return now - told.second.told_at >= kLimitTellAgain;
+  std::erase_if(forwarded_limits_, [now](const auto& forwarded) {
+    return now - forwarded.second.forwarded_at >= kLimitRepeatTime;
   });
-  std::erase_if(told_loads_, [now](const auto& told) {
-    return now - told.second.told_at >= kLoadTellAgain;
+  std::erase_if(forwarded_loads_, [now](const auto& forwarded) {
+    return now - forwarded.second.forwarded_at >= kLoadRepeatTime;
   });
 }
 
--- a/lib/libmedlarcroft/source/replication/peer_readers.cc
+++ b/lib/libmedlarcroft/source/replication/peer_readers.cc
@@ -23,79 +23,78 @@
 }
 
 std::vector<ReaderCandidate> PeerReaders::Candidates() const {
-  return CandidatesFor(options_.failure_domain,
-                       parts_.directory.HostsInRegion(),
-                       parts_.directory.LiveHosts());
+  return EligibleReaders(options_.failure_domain,
+                         parts_.directory.HostsInRegion(),
+                         parts_.directory.LiveHosts());
 }
 
 bool PeerReaders::HasReaders() const {
   return Candidates().size() > kMaxDirectReaders;
 }
 
-bool PeerReaders::AskReader(const RowsRequest& question,
-                            RowsCallback callback) {
-  return AskReaderOf(question, options_.other_readers_asked,
+bool PeerReaders::AskReader(const RowsRequest& request, RowsCallback callback) {
+  return AskReaderOf(request, options_.other_readers_asked,
                      std::move(callback));
 }
 
-bool PeerReaders::AskReaderOf(const RowsRequest& question,
-                              int others_left,
+bool PeerReaders::AskReaderOf(const RowsRequest& request,
+                              int attempts_left,
                               RowsCallback callback) {
   std::vector<ReaderCandidate> candidates = Candidates();
   if (candidates.size() <= kMaxDirectReaders) {
     return false;
   }
-  refused_.LeaveOut(candidates, parts_.timers.Now());
-  const ReaderCandidate* const reader =
-      ChooseReader(question.table, candidates);
+  refused_.RemoveRefusing(candidates, parts_.timers.Now());
+  const ReaderCandidate* const reader = ChooseReader(request.table, candidates);
   if (reader == nullptr || reader->host == options_.host) {
     return false;
   }
-  Ask(*reader, question,
-      [self = self_, question, others_left,
+  Ask(*reader, request,
+      [self = self_, request, attempts_left,
        callback = std::move(callback)](Result<RowBatch, RowFailure> answer) {
-        const bool is_asked_again =
-            IsRefusal(answer) && others_left > 0 && *self != nullptr &&
-            (*self)->AskReaderOf(question, others_left - 1, callback);
-        if (!is_asked_again) {
+        const bool is_retried =
+            IsRefusal(answer) && attempts_left > 0 && *self != nullptr &&
+            (*self)->AskReaderOf(request, attempts_left - 1, callback);
+        if (!is_retried) {
           callback(std::move(answer));
         }
       });
   return true;
 }
 
-void PeerReaders::AskSomeReader(const RowsRequest& question,
+void PeerReaders::AskSomeReader(const RowsRequest& request,
                                 RowsCallback callback) {
   std::vector<ReaderCandidate> hosts = parts_.directory.LiveHosts();
-  // A store that turns away a whole region may serve another one.
-  std::vector<ReaderCandidate> elsewhere =
+  // A store that refuses a whole region may serve another one.
+  std::vector<ReaderCandidate> other_regions =
       parts_.directory.HostsInOtherRegions();
-  std::move(elsewhere.begin(), elsewhere.end(), std::back_inserter(hosts));
+  std::move(other_regions.begin(), other_regions.end(),
+            std::back_inserter(hosts));
   std::erase_if(hosts, [this](const ReaderCandidate& candidate) {
     return candidate.host == options_.host;
   });
   std::vector<ReaderCandidate> readers =
-      ReadersOfAll(question.table, hosts, parts_.regions);
-  refused_.LeaveOut(readers, parts_.timers.Now());
+      ChooseReadersOfAllRegions(request.table, hosts, parts_.regions);
+  refused_.RemoveRefusing(readers, parts_.timers.Now());
   if (readers.empty()) {
     parts_.timers.RunAfter(Duration(0), [callback = std::move(callback)] {
       callback(RowFailure::kUnreachable);
     });
     return;
   }
-  Ask(readers[parts_.random.NextBelow(readers.size())], question,
+  Ask(readers[parts_.random.NextBelow(readers.size())], request,
       std::move(callback));
 }
 
 void PeerReaders::Ask(const ReaderCandidate& reader,
-                      const RowsRequest& question,
+                      const RowsRequest& request,
                       RowsCallback callback) {
   parts_.ask_host(
-      reader.address, question,
+      reader.address, request,
       [self = self_, host = reader.host,
        callback = std::move(callback)](Result<RowBatch, RowFailure> answer) {
         if (IsRefusal(answer) && *self != nullptr) {
-          (*self)->refused_.Note(host, (*self)->parts_.timers.Now());
+          (*self)->refused_.Record(host, (*self)->parts_.timers.Now());
         }
         callback(std::move(answer));
       });
--- a/lib/libmedlarcroft/source/replication/reader_choice.cc
+++ b/lib/libmedlarcroft/source/replication/reader_choice.cc
@@ -15,10 +15,11 @@
 
 namespace {
 
-/// Mbit/s of a host that told none: it may read, but rarely does.
-constexpr double kLeastLink = 1;
+/// Mbit/s for a host that reported none: it may read for others, but rarely
+/// does.
+constexpr double kMinLinkMbps = 1;
 
-/// @return uniform in (0, 1), the same on every host.
+/// @return a number uniform in (0, 1), the same on every host.
 double UnitOf(std::string_view table, const HostName& host) {
   const std::uint64_t hash =
       XXH3_64bits_withSeed(host.Value().data(), host.Value().size(),
@@ -28,10 +29,11 @@
 
 }  // namespace
 
-std::vector<ReaderCandidate> CandidatesFor(const FailureDomainName& domain,
-                                           std::size_t hosts_in_region,
-                                           std::vector<ReaderCandidate> live) {
-  if (hosts_in_region > kMostHostsOfAReader) {
+std::vector<ReaderCandidate> EligibleReaders(
+    const FailureDomainName& domain,
+    std::size_t hosts_in_region,
+    std::vector<ReaderCandidate> live) {
+  if (hosts_in_region > kMaxHostsPerReader) {
     std::erase_if(live, [&domain](const ReaderCandidate& candidate) {
       return candidate.failure_domain != domain;
     });
@@ -39,7 +41,7 @@
   return live;
 }
 
-std::vector<ReaderCandidate> ReadersOfAll(
+std::vector<ReaderCandidate> ChooseReadersOfAllRegions(
     std::string_view table,
     std::span<const ReaderCandidate> candidates,
     const std::map<FailureDomainName, RegionName>& regions) {
@@ -56,7 +58,7 @@
   for (const auto& [domain, region] : domains) {
     const std::vector<ReaderCandidate>& hosts = by_region[region];
     const std::vector<ReaderCandidate> eligible =
-        CandidatesFor(domain, hosts.size(), hosts);
+        EligibleReaders(domain, hosts.size(), hosts);
     if (hosts.size() <= kMaxDirectReaders) {
       std::ranges::copy_if(eligible, std::back_inserter(readers),
                            [&domain = domain](const ReaderCandidate& host) {
@@ -74,13 +76,13 @@
     std::string_view table,
     std::span<const ReaderCandidate> candidates) {
   const ReaderCandidate* chosen = nullptr;
-  double least = std::numeric_limits<double>::infinity();
+  double lowest_cost = std::numeric_limits<double>::infinity();
   for (const ReaderCandidate& candidate : candidates) {
-    const double link = std::max(candidate.link_mbps, kLeastLink);
+    const double link = std::max(candidate.link_mbps, kMinLinkMbps);
     const double cost =
         -std::log(UnitOf(table, candidate.host)) / (link * link);
-    if (cost < least) {
-      least = cost;
+    if (cost < lowest_cost) {
+      lowest_cost = cost;
       chosen = &candidate;
     }
   }
--- a/lib/libmedlarcroft/source/replication/table_follower.cc
+++ b/lib/libmedlarcroft/source/replication/table_follower.cc
@@ -8,12 +8,14 @@
 namespace {
 
 constexpr std::uint32_t kMaxDoublings = 5;
-// After a reader failed: long enough for a paused one to be taken for dead.
-constexpr Duration kDirectTime = std::chrono::seconds(3);
-// For a call that only asks what there is; 0 is not told from no wait given.
+// After a failure of the reader. Long enough for a paused reader to be
+// considered dead.
+constexpr Duration kDirectReadTime = std::chrono::seconds(3);
+// For a call that must be answered at once. A wait of 0 is not distinguished
+// from a missing one.
 constexpr Duration kCatchUpWait = std::chrono::milliseconds(1);
-// Between questions to other hosts.
-constexpr Duration kPeerPause = std::chrono::milliseconds(400);
+// Between requests to other hosts.
+constexpr Duration kPeerRequestPause = std::chrono::milliseconds(400);
 
 }  // namespace
 
@@ -31,11 +33,11 @@
 
 bool TableFollower::IsOverdue() const {
   const auto age = Age();
-  return !age || *age >= FreshFor(options_.pace);
+  return !age || *age >= FreshnessLimit(options_.timing);
 }
 
-// Hosts that start in a large region hear the table from its reader, so that a
-// start of many does not cost the store a list for each.
+// Hosts that start in a large region read the table from its reader, so that
+// the start of many hosts does not cost the store a full read for each.
 void TableFollower::Read() {
   if (!FollowReader()) {
     ReadTable();
@@ -64,16 +66,18 @@
     return;
   }
   RowBatch page = TakeValue(std::move(result));
-  // Failure: an answer from before what is known already. Symptom: targets that
-  // left come back, a configuration is taken back. It is asked for again.
+  // An answer may be older than the rows already known. Applying it would
+  // restore targets that left, or revert a configuration. So it is requested
+  // again.
   if (page.newest_version < version_) {
     OnFailure(RowFailure::kBadAnswer);
     return;
   }
-  // Changes that come while the pages are read follow the first one.
+  // The changes made while the pages are read are requested from the version of
+  // the first page on.
   if (pages_.empty()) {
     pages_version_ = page.newest_version;
-    pages_told_at_ = page.told_at;
+    pages_store_time_ = page.store_time;
   }
   std::move(page.rows.begin(), page.rows.end(), std::back_inserter(pages_));
   if (page.has_more && !pages_.empty()) {
@@ -81,10 +85,11 @@
     ReadPage(pages_.back().key + '\0');
     return;
   }
-  OnAnswer(pages_told_at_);
-  // Failure: another host told newer rows while the pages were read. Symptom:
-  // this host goes back to the older ones, and what that host tells next is
-  // put on top of them, so that rows in between are never heard.
+  OnAnswer(pages_store_time_);
+  // Another host may have sent newer rows while the pages were read. Applying
+  // the older pages would undo those rows, and the next changes from that host
+  // would be applied on top of the older table, so that the rows in between
+  // would be missing.
   if (has_table_ && pages_version_ < version_) {
     std::vector<Row>().swap(pages_);
     Follow();
@@ -102,12 +107,13 @@
   if (FollowReader()) {
     return;
   }
-  // Failure: a call to a store that is back is held until something changes.
-  // Symptom: the return is noticed seconds late and together with that change,
-  // so that a target whose entry is taken away then counts as lapsed during the
-  // absence, and gets requests for longer than its leaving allows. A call that
-  // is not held tells of the return within the pause between calls.
-  FollowStore(away_since_ ? kCatchUpWait : options_.pace.wait);
+  // Once the store is back, a held call is answered only when something
+  // changes. The return would be noticed seconds late and together with that
+  // change. A target whose row is removed by it would then count as one that
+  // expired during the outage, and get requests for longer than its departure
+  // allows. A call that is not held shows the return within the pause between
+  // calls.
+  FollowStore(disconnected_since_ ? kCatchUpWait : options_.timing.wait);
 }
 
 void TableFollower::FollowStore(Duration wait) {
@@ -124,7 +130,7 @@
 void TableFollower::OnChanges(const Result<RowBatch, RowFailure>& result) {
   if (!IsOk(result)) {
     if (ErrorOf(result) == RowFailure::kHistoryUnavailable) {
-      // There are rows that this host does not know: others wait for them.
+      // This host lacks rows, and other hosts wait for them.
       is_catching_up_ = true;
       ReadTable();
       return;
@@ -133,10 +139,10 @@
     return;
   }
   const RowBatch& changes = ValueOf(result);
-  OnAnswer(changes.told_at);
-  // The answer was held up, and another host has told newer rows meanwhile.
+  OnAnswer(changes.store_time);
+  // The answer was delayed, and another host has sent newer rows since.
   if (changes.newest_version < version_) {
-    After(options_.pace.first_pause, &TableFollower::Follow);
+    After(options_.timing.first_retry_pause, &TableFollower::Follow);
     return;
   }
   version_ = changes.newest_version;
@@ -146,36 +152,38 @@
     return;
   }
   parts_.listener.OnRows(changes.rows);
-  if (options_.pace.pause_after_change > Duration(0)) {
-    After(options_.pace.pause_after_change, &TableFollower::Follow);
+  if (options_.timing.pause_after_change > Duration(0)) {
+    After(options_.timing.pause_after_change, &TableFollower::Follow);
   } else {
     Follow();
   }
 }
 
-void TableFollower::OnAnswer(std::optional<Duration> told_at) {
+void TableFollower::OnAnswer(std::optional<Duration> store_time) {
   const MonotonicTime now = parts_.timers.Now();
   failures_ = 0;
-  if (away_since_) {
-    const Duration away = now - *away_since_;
-    away_since_.reset();
+  if (disconnected_since_) {
+    const Duration away = now - *disconnected_since_;
+    disconnected_since_.reset();
     parts_.listener.OnStoreRecovered(away);
   }
   answered_at_ = now;
-  read_at_ = told_at ? store_clock_.GivenAt(*told_at, now) : now;
+  store_answered_at_ =
+      store_time ? store_clock_.EstimateAnswerTime(*store_time, now) : now;
   is_catching_up_ = false;
 }
 
 Duration TableFollower::PauseAfterFailure(std::uint32_t failures_before) const {
-  const FollowTiming& pace = options_.pace;
+  const FollowTiming& timing = options_.timing;
   const bool is_followed =
-      told_others_at_ && parts_.timers.Now() - *told_others_at_ < kDirectTime;
-  const Duration first =
-      is_followed ? pace.first_pause : pace.first_pause_of_followers;
-  const Duration longest =
-      is_followed ? pace.longest_pause : pace.longest_pause_of_followers;
+      served_others_at_ &&
+      parts_.timers.Now() - *served_others_at_ < kDirectReadTime;
+  const Duration first = is_followed ? timing.first_retry_pause
+                                     : timing.first_retry_pause_of_followers;
+  const Duration max_wait = is_followed ? timing.max_retry_pause
+                                        : timing.max_retry_pause_of_followers;
   const std::uint32_t doublings = std::min(failures_before, kMaxDoublings);
-  return std::min(first * (1U << doublings), longest);
+  return std::min(first * (1U << doublings), max_wait);
 }
 
 void TableFollower::OnFailure(RowFailure failure) {
@@ -184,29 +192,30 @@
   parts_.listener.OnCallFailed({.failure = failure,
                                 .call_time = now - called_at_,
                                 .known_version = version_,
-                                .is_first = !away_since_});
-  if (!away_since_) {
-    away_since_ = now;
-    // A store that comes and goes finds the questions of before still running.
+                                .is_first = !disconnected_since_});
+  if (!disconnected_since_) {
+    disconnected_since_ = now;
+    // Requests from an earlier outage may still be pending.
     if (!is_asking_peers_) {
-      AskPeer();
+      RequestPeerRows();
     }
   }
   const Duration pause = PauseAfterFailure(failures_++);
-  // Readers that lost the store together must not come back together.
+  // Hosts that lost the store together must not all call it at the same time.
   const Duration jittered =
       FromSeconds(ToSeconds(pause) * (0.75 + 0.5 * parts_.random.NextUnit()));
   After(jittered, has_table_ && pages_.empty() ? &TableFollower::Follow
                                                : &TableFollower::ReadTable);
 }
 
-// Failure: the store turns this host away, or a cut lies between, while other
-// hosts go on hearing from it. Symptom: this host sends to targets that leave,
-// that are evacuated or that turned cold, and denies routes that were added. So
-// it hears from them for as long; rows that are older than its own are passed
-// over, and a host that does not hear from the store itself tells nothing.
-void TableFollower::AskPeer() {
-  is_asking_peers_ = away_since_ && options_.ask_peer;
+// The store may refuse this host, or a network failure may separate them, while
+// other hosts still read the store. This host would then send to targets that
+// leave, are evacuated or lost their warm objects, and deny routes that were
+// added. So it reads from other hosts in the meantime. Rows older than its own
+// are ignored, and a host that itself gets no answers from the store does not
+// answer.
+void TableFollower::RequestPeerRows() {
+  is_asking_peers_ = disconnected_since_ && options_.ask_peer;
   if (!is_asking_peers_) {
     return;
   }
@@ -219,18 +228,18 @@
 }
 
 void TableFollower::OnPeerRows(const Result<RowBatch, RowFailure>& result) {
-  After(kPeerPause, &TableFollower::AskPeer);
-  if (away_since_ && IsOk(result)) {
-    (void)TakePeerRows(ValueOf(result));
+  After(kPeerRequestPause, &TableFollower::RequestPeerRows);
+  if (disconnected_since_ && IsOk(result)) {
+    (void)ApplyPeerRows(ValueOf(result));
   }
 }
 
-bool TableFollower::TakePeerRows(const RowBatch& rows) {
+bool TableFollower::ApplyPeerRows(const RowBatch& rows) {
   if (rows.newest_version < version_) {
     return false;
   }
   answered_at_ = parts_.timers.Now();
-  if (rows.is_whole) {
+  if (rows.is_full_table) {
     version_ = rows.newest_version;
     has_table_ = true;
     mirror_.Replace(rows.rows, version_);
@@ -243,31 +252,31 @@
   return true;
 }
 
-// Where a region has many hosts, one of them reads a table for all. Failure:
-// the reader is paused, cut off or turned away. Symptom: all that follow it act
-// on old news. A reader says so as soon as it has not heard from the store
-// itself for the time that a call is held and a little, and a host whose call
-// to it fails or lags reads for itself from then on, so that news is late by
-// that or by a call's timeout, whichever is longer.
+// Where a region has many hosts, one of them reads a table for all. When that
+// reader is paused, disconnected or refused by the store, all its followers act
+// on old rows. A reader refuses its followers as soon as it has had no answer
+// of the store itself for slightly longer than the hold. A host whose call to
+// the reader fails or times out reads the store itself from then on. So changes
+// are late by the reader's limit or by a call's timeout, whichever is longer.
 bool TableFollower::FollowReader() {
-  if (!options_.ask_reader || away_since_ ||
-      parts_.timers.Now() < direct_until_) {
+  if (!options_.ask_reader || disconnected_since_ ||
+      parts_.timers.Now() < direct_read_until_) {
     return false;
   }
   const std::uint64_t call = ++reader_calls_;
-  const bool is_asked = options_.ask_reader(
+  const bool has_reader = options_.ask_reader(
       {.table = options_.table,
        .known_version = version_,
-       .wait = options_.pace.reader_wait},
+       .wait = options_.timing.reader_wait},
       [self = self_, call](const Result<RowBatch, RowFailure>& rows) {
         if (*self != nullptr && (*self)->reader_call_ == call) {
           (*self)->OnReaderRows(rows);
         }
       });
-  if (is_asked) {
+  if (has_reader) {
     reader_call_ = call;
   }
-  return is_asked;
+  return has_reader;
 }
 
 void TableFollower::OnReaderRows(const Result<RowBatch, RowFailure>& result) {
@@ -276,35 +285,36 @@
     OnReaderLost(ErrorOf(result));
     return;
   }
-  if (TakePeerRows(ValueOf(result))) {
+  if (ApplyPeerRows(ValueOf(result))) {
     Follow();
     return;
   }
-  // The reader is fresh and will be there in a moment.
-  After(kPeerPause, &TableFollower::Follow);
+  // The rows are older than the known ones, but the reader is fresh and will
+  // catch up shortly.
+  After(kPeerRequestPause, &TableFollower::Follow);
 }
 
 void TableFollower::OnReaderLost(RowFailure failure) {
   parts_.listener.OnReaderLost(failure, version_);
-  // One that answers is asked again after the next call: were it left alone, a
-  // trouble of the store that all meet would be met by each of them for
-  // seconds.
+  // A reader that refused is asked again after the next call. If it were
+  // avoided for longer, each host would have to handle an outage of the store
+  // that affects all of them by itself for seconds.
   if (failure != RowFailure::kRefused) {
-    direct_until_ = parts_.timers.Now() + kDirectTime;
+    direct_read_until_ = parts_.timers.Now() + kDirectReadTime;
   }
   if (has_table_) {
-    FollowStore(options_.pace.wait);
+    FollowStore(options_.timing.wait);
   } else {
     ReadTable();
   }
 }
 
 FreshTable TableFollower::ServeFollowers() {
-  told_others_at_ = parts_.timers.Now();
-  direct_until_ = *told_others_at_ + kDirectTime;
+  served_others_at_ = parts_.timers.Now();
+  direct_read_until_ = *served_others_at_ + kDirectReadTime;
   if (reader_call_) {
-    // Hosts that come and go change who reads: the others must not wait until
-    // this one's own call to the reader before has ended.
+    // The reader changes as hosts join and leave. Other hosts must not wait
+    // until this host's pending call to its previous reader has ended.
     reader_call_.reset();
     is_catching_up_ = true;
     if (has_table_) {
@@ -314,15 +324,17 @@
     }
   }
   if (!has_table_ || is_catching_up_) {
-    return {.is_loading = !away_since_};
+    return {.is_loading = !disconnected_since_};
   }
-  if (away_since_ || !read_at_) {
+  if (disconnected_since_ || !store_answered_at_) {
     return {};
   }
-  const Duration left =
-      *read_at_ + FreshFor(options_.pace) - parts_.timers.Now();
-  return left > Duration(0) ? FreshTable{.mirror = &mirror_, .fresh_for = left}
-                            : FreshTable{};
+  const Duration remaining = *store_answered_at_ +
+                             FreshnessLimit(options_.timing) -
+                             parts_.timers.Now();
+  return remaining > Duration(0)
+             ? FreshTable{.mirror = &mirror_, .fresh_for = remaining}
+             : FreshTable{};
 }
 
 void TableFollower::After(Duration delay, void (TableFollower::*next)()) {
--- a/lib/libmedlarcroft/source/replication/table_mirror.cc
+++ b/lib/libmedlarcroft/source/replication/table_mirror.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-// More removals than a busy minute has: beyond, whoever is behind gets the
-// whole table.
-constexpr std::size_t kRemovalsKept = 500;
+// More removals than occur in a busy minute. With more than this, a host that
+// lags behind gets the whole table.
+constexpr std::size_t kMaxRemovals = 500;
 
 }  // namespace
 
@@ -16,7 +16,7 @@
   rows_.clear();
   removed_at_.clear();
   version_ = version;
-  changes_since_ = version;
+  history_start_version_ = version;
   for (const Row& row : rows) {
     rows_[row.key] = row;
   }
@@ -36,30 +36,31 @@
     }
   }
   version_ = std::max(version_, version);
-  if (removed_at_.size() > kRemovalsKept) {
+  if (removed_at_.size() > kMaxRemovals) {
     removed_at_.clear();
-    changes_since_ = version_;
+    history_start_version_ = version_;
   }
   if (!rows.empty()) {
     on_change_();
   }
 }
 
-RowBatch TableMirror::Since(std::uint64_t known_version) const {
-  RowBatch rows{
-      .newest_version = version_,
-      // Who knows nothing yet must hear that it has all.
-      .is_whole = known_version == 0 || known_version < changes_since_};
+RowBatch TableMirror::ChangesSince(std::uint64_t known_version) const {
+  RowBatch rows{.newest_version = version_,
+                // A host without any rows must know that it has received the
+                // whole table.
+                .is_full_table = known_version == 0 ||
+                                 known_version < history_start_version_};
   if (known_version >= version_) {
     return rows;
   }
   for (const auto& [key, row] : rows_) {
-    if (rows.is_whole || row.version > known_version) {
+    if (rows.is_full_table || row.version > known_version) {
       rows.rows.push_back(row);
     }
   }
   for (const auto& [key, removed_at] : removed_at_) {
-    if (!rows.is_whole && removed_at > known_version) {
+    if (!rows.is_full_table && removed_at > known_version) {
       rows.rows.push_back(
           {.key = key, .version = removed_at, .is_removed = true});
     }
--- a/tests/unit/membership/host_state_test.cc
+++ b/tests/unit/membership/host_state_test.cc
@@ -22,7 +22,7 @@
   return buffer->available_read();
 }
 
-// The budget of control bytes rests on this bound.
+// The bandwidth limit of control traffic depends on this bound.
 TEST(HostState, WireBytesBoundsTheGeneratedCode) {
   const std::uint64_t incarnation =
       FirstIncarnation(WallTime(std::chrono::hours(24 * 365 * 60)));
@@ -54,7 +54,7 @@
   EXPECT_LE(WireBytes(state), CompactBytes(message) + 60);
 }
 
-TEST(Heartbeat, IsReadBackAndNeverGrowsYounger) {
+TEST(Heartbeat, IsDecodedAndItsAgeIsRoundedUp) {
   const StateNumber number{.incarnation = 7, .sequence = 300'000};
   const auto heartbeat =
       MakeHeartbeat(HostName("h"), number, std::chrono::milliseconds(1234));
--- a/tests/unit/peer_updates/crash_broadcast_test.cc
+++ b/tests/unit/peer_updates/crash_broadcast_test.cc
@@ -22,48 +22,48 @@
 constexpr Duration kInTouchAfter = seconds(4);
 constexpr Duration kRunTime = milliseconds(100);
 constexpr std::size_t kSendsAllowed = 3;
-// The longest time from storing a row until a host that is cut off from the
-// reader of its region reads the row from the store.
+// The longest time from storing a row until a host that is disconnected from
+// the reader of its region reads the row from the store.
 constexpr Duration kBlockedRowDelay = replication::kHostListTiming.reader_wait +
                                       replication::kPeerAnswerMargin +
                                       replication::kRetryTime;
 
 /// @brief Simulates a request that crashes every target and is retried at
 /// random hosts of three regions, each with its own ledger.
-class CrashSimulation final : public HostListener {
+class CrashSimulation final : public UpdateListener {
  public:
-  explicit CrashSimulation(const HostsOfRegions::Options& options)
+  explicit CrashSimulation(const MultiRegionSimulation::Options& options)
       : hosts_(options, *this), recovered_at_(options.hosts) {
-    for (std::size_t place = 0; place < options.hosts; ++place) {
-      ledgers_.push_back(std::make_unique<Ledger>(*this, place));
-      ScheduleRepeats(place);
+    for (std::size_t index = 0; index < options.hosts; ++index) {
+      ledgers_.push_back(std::make_unique<Ledger>(*this, index));
+      ScheduleRepeats(index);
     }
     hosts_.RunFor(seconds(3));
   }
 
-  [[nodiscard]] HostsOfRegions& Hosts() { return hosts_; }
+  [[nodiscard]] MultiRegionSimulation& Hosts() { return hosts_; }
 
-  void Restart(std::size_t place) {
-    hosts_.Restart(place);
-    ledgers_[place] = std::make_unique<Ledger>(*this, place);
-    MarkRecovered(place);
+  void Restart(std::size_t index) {
+    hosts_.Restart(index);
+    ledgers_[index] = std::make_unique<Ledger>(*this, index);
+    MarkRecovered(index);
   }
-  void Cut(std::size_t place, Duration length) {
-    hosts_.Cut(place);
-    hosts_.After(length, [this, place] {
-      hosts_.Heal(place);
-      MarkRecovered(place);
+  void Disconnect(std::size_t index, Duration length) {
+    hosts_.Disconnect(index);
+    hosts_.After(length, [this, index] {
+      hosts_.Reconnect(index);
+      MarkRecovered(index);
     });
   }
   /// @brief Disconnects the host from all other hosts. It still reaches the
   /// targets and the store, so its late sends are counted.
-  void CutFromHostsOnly(std::size_t place) {
-    hosts_.Cut(place);
-    store_readers_.insert(place);
+  void DisconnectFromHosts(std::size_t index) {
+    hosts_.Disconnect(index);
+    store_readers_.insert(index);
   }
-  void Pause(std::size_t place, Duration length) {
-    hosts_.Pause(place, length);
-    hosts_.After(length, [this, place] { MarkRecovered(place); });
+  void Pause(std::size_t index, Duration length) {
+    hosts_.Pause(index, length);
+    hosts_.After(length, [this, index] { MarkRecovered(index); });
   }
 
   void AskFor(Duration time, Duration period) {
@@ -88,20 +88,20 @@
   }
   [[nodiscard]] std::size_t Crashes() const { return crashed_at_.size(); }
 
-  void OnHeard(std::size_t host, const PeerUpdate& news) override {
-    for (const CrashReport& report : news.crashes) {
+  void OnUpdateReceived(std::size_t host, const PeerUpdate& update) override {
+    for (const CrashReport& report : update.crashes) {
       ledgers_[host]->ledger.OnReport(report, hosts_.Now());
     }
   }
 
  private:
   struct Ledger final : public request_path::CrashObserver {
-    Ledger(CrashSimulation& simulation, std::size_t place)
-        : simulation(simulation), place(place) {
+    Ledger(CrashSimulation& simulation, std::size_t index)
+        : simulation(simulation), index(index) {
       ledger.Observe(this);
     }
     void OnPublish(const CrashReport& report) override {
-      simulation.hosts_.At(place).TellCrashes(std::span(&report, 1));
+      simulation.hosts_.At(index).BroadcastCrashes(std::span(&report, 1));
     }
     void OnBlocked(RequestFingerprint /*request*/,
                    Duration blocked_for,
@@ -113,7 +113,7 @@
     void OnUnblocked(RequestFingerprint /*request*/) override {}
 
     CrashSimulation& simulation;
-    std::size_t place;
+    std::size_t index;
     CrashTracker ledger{{}};
   };
   struct Send {
@@ -121,21 +121,22 @@
     MonotonicTime recovered_at;
   };
 
-  void MarkRecovered(std::size_t place) { recovered_at_[place] = hosts_.Now(); }
+  void MarkRecovered(std::size_t index) { recovered_at_[index] = hosts_.Now(); }
 
-  void Ask(std::size_t place) {
-    if (hosts_.IsPaused(place) ||
-        ledgers_[place]->ledger.BlockedFor(kRequest, hosts_.Now())) {
+  void Ask(std::size_t index) {
+    if (hosts_.IsPaused(index) ||
+        ledgers_[index]->ledger.BlockedFor(kRequest, hosts_.Now())) {
       return;
     }
-    const bool is_cut = hosts_.IsCut(place) && !store_readers_.contains(place);
-    sends_.push_back(
-        {.at = hosts_.Now(),
-         .recovered_at = is_cut ? hosts_.Now() : recovered_at_[place]});
+    const bool is_disconnected =
+        hosts_.IsDisconnected(index) && !store_readers_.contains(index);
+    sends_.push_back({.at = hosts_.Now(),
+                      .recovered_at = is_disconnected ? hosts_.Now()
+                                                      : recovered_at_[index]});
     const TargetNumber target{++last_target_};
-    hosts_.After(kRunTime, [this, place, target] {
+    hosts_.After(kRunTime, [this, index, target] {
       crashed_at_.push_back(hosts_.Now());
-      ledgers_[place]->ledger.OnCrash(kRequest, target, hosts_.Now());
+      ledgers_[index]->ledger.OnCrash(kRequest, target, hosts_.Now());
     });
   }
 
@@ -145,8 +146,8 @@
     }
     is_blocked_row_stored_ = true;
     hosts_.After(kBlockedRowDelay, [this, blocked_for] {
-      for (const std::size_t place : store_readers_) {
-        ledgers_[place]->ledger.OnReport(
+      for (const std::size_t index : store_readers_) {
+        ledgers_[index]->ledger.OnReport(
             {.kind = request_path::CrashReportKind::kBlocked,
              .request = kRequest,
              .blocked_for = blocked_for - kBlockedRowDelay},
@@ -155,25 +156,26 @@
     });
   }
 
-  void ScheduleRepeats(std::size_t place) {
-    hosts_.After(kGlobalRepeatPeriod, [this, place] {
-      if (!hosts_.IsPaused(place)) {
-        hosts_.At(place).TellCrashes(
-            ledgers_[place]->ledger.ReportsToRepeat(40, hosts_.Now()));
+  void ScheduleRepeats(std::size_t index) {
+    hosts_.After(kGlobalRepeatPeriod, [this, index] {
+      if (!hosts_.IsPaused(index)) {
+        hosts_.At(index).BroadcastCrashes(
+            ledgers_[index]->ledger.ReportsToRepeat(40, hosts_.Now()));
       }
-      ScheduleRepeats(place);
+      ScheduleRepeats(index);
     });
   }
 
   inline static const auto kRequest = RequestFingerprint::Of({"crash"});
 
-  HostsOfRegions hosts_;
+  MultiRegionSimulation hosts_;
   std::vector<std::unique_ptr<Ledger>> ledgers_;
   std::vector<MonotonicTime> recovered_at_;
   std::vector<MonotonicTime> crashed_at_;
   std::vector<Send> sends_;
   std::uint32_t last_target_ = 0;
-  /// Hosts that hear no others and learn of blocks from the store.
+  /// Hosts that are disconnected from all others and learn of blocks from the
+  /// store.
   std::set<std::size_t> store_readers_;
   bool is_blocked_row_stored_ = false;
 };
@@ -181,18 +183,18 @@
 struct CrashCase {
   std::string name;
   std::size_t hosts;
-  double lost_part;
+  double loss_rate;
   std::function<void(CrashSimulation&)> inject_faults;
 };
 
-class CrashNewsTable : public testing::TestWithParam<CrashCase> {};
+class CrashBroadcastTable : public testing::TestWithParam<CrashCase> {};
 
 // Guards against hosts that keep sending a crashing request because each one
 // observes too few of the crashes.
-TEST_P(CrashNewsTable, ConnectedHostsStopSendingTheRequest) {
+TEST_P(CrashBroadcastTable, ConnectedHostsStopSendingTheRequest) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     CrashSimulation simulation({.hosts = GetParam().hosts,
-                                .lost_part = GetParam().lost_part,
+                                .loss_rate = GetParam().loss_rate,
                                 .seed = seed});
     simulation.AskFor(seconds(2), milliseconds(60));
     GetParam().inject_faults(simulation);
@@ -202,16 +204,16 @@
   }
 }
 
-class CutOffTable : public testing::TestWithParam<std::size_t> {};
+class DisconnectedHostsTable : public testing::TestWithParam<std::size_t> {};
 
 // Guards against hosts that reach the store but no other host, and keep sending
 // a request that the other hosts have blocked.
-TEST_P(CutOffTable, CutOffHostsStopSendingTheRequest) {
+TEST_P(DisconnectedHostsTable, DisconnectedHostsStopSendingTheRequest) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     CrashSimulation simulation(
-        {.hosts = GetParam(), .lost_part = 0.05, .seed = seed});
-    for (std::size_t place = 0; place < GetParam(); place += 4) {
-      simulation.CutFromHostsOnly(place);
+        {.hosts = GetParam(), .loss_rate = 0.05, .seed = seed});
+    for (std::size_t index = 0; index < GetParam(); index += 4) {
+      simulation.DisconnectFromHosts(index);
     }
     simulation.AskFor(seconds(12), milliseconds(60));
     EXPECT_GE(simulation.Crashes(), 3U);
@@ -219,37 +221,39 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(All, CutOffTable, testing::Values(8, 58, 295));
+INSTANTIATE_TEST_SUITE_P(All,
+                         DisconnectedHostsTable,
+                         testing::Values(8, 58, 295));
 
 std::vector<CrashCase> CrashCases() {
   std::vector<CrashCase> cases;
   for (const std::size_t hosts : {8, 58, 295}) {
     const std::string size = std::to_string(hosts) + "_hosts_";
-    const auto add = [&](const std::string& name, double lost_part,
+    const auto add = [&](const std::string& name, double loss_rate,
                          std::function<void(CrashSimulation&)> inject_faults) {
       cases.push_back({.name = size + name,
                        .hosts = hosts,
-                       .lost_part = lost_part,
+                       .loss_rate = loss_rate,
                        .inject_faults = std::move(inject_faults)});
     };
     add("no_faults", 0, [](CrashSimulation&) {});
     add("a_fifth_of_datagrams_lost", 0.2, [](CrashSimulation&) {});
     add("a_third_restarted", 0, [](CrashSimulation& simulation) {
-      for (std::size_t place = 0; place < simulation.Hosts().Size();
-           place += 3) {
-        simulation.Restart(place);
+      for (std::size_t index = 0; index < simulation.Hosts().Size();
+           index += 3) {
+        simulation.Restart(index);
       }
     });
-    add("a_quarter_cut_off", 0.05, [](CrashSimulation& simulation) {
-      for (std::size_t place = 0; place < simulation.Hosts().Size();
-           place += 4) {
-        simulation.Cut(place, seconds(5));
+    add("a_quarter_disconnected", 0.05, [](CrashSimulation& simulation) {
+      for (std::size_t index = 0; index < simulation.Hosts().Size();
+           index += 4) {
+        simulation.Disconnect(index, seconds(5));
       }
     });
     add("a_quarter_paused", 0.05, [](CrashSimulation& simulation) {
-      for (std::size_t place = 1; place < simulation.Hosts().Size();
-           place += 4) {
-        simulation.Pause(place, seconds(5));
+      for (std::size_t index = 1; index < simulation.Hosts().Size();
+           index += 4) {
+        simulation.Pause(index, seconds(5));
       }
     });
   }
@@ -257,7 +261,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(All,
-                         CrashNewsTable,
+                         CrashBroadcastTable,
                          testing::ValuesIn(CrashCases()),
                          [](const auto& info) { return info.param.name; });
 
--- a/tests/unit/peer_updates/multi_region_simulation.h
+++ b/tests/unit/peer_updates/multi_region_simulation.h
@@ -14,30 +14,30 @@
 
 namespace medlarcroft::peer_updates {
 
-/// @brief Receives the news delivered to each host.
-class HostListener {
+/// @brief Receives the updates delivered to each host.
+class UpdateListener {
  public:
-  virtual ~HostListener() = default;
-  virtual void OnHeard(std::size_t host, const PeerUpdate& news) = 0;
+  virtual ~UpdateListener() = default;
+  virtual void OnUpdateReceived(std::size_t host, const PeerUpdate& update) = 0;
 };
 
 /// @brief Simulates hosts in three regions of three failure domains each, in
 /// virtual time, with datagram loss, disconnects, pauses and restarts.
-class HostsOfRegions {
+class MultiRegionSimulation {
  public:
   struct Options {
     std::size_t hosts = 8;
-    double lost_part = 0;  ///< Fraction of datagrams lost.
+    double loss_rate = 0;  ///< Fraction of datagrams lost.
     std::uint64_t seed = 1;
   };
 
-  HostsOfRegions(const Options& options, HostListener& listener)
+  MultiRegionSimulation(const Options& options, UpdateListener& listener)
       : options_(options), listener_(listener), random_(options.seed) {
-    for (std::size_t place = 0; place < options.hosts; ++place) {
-      hosts_.push_back(std::make_unique<Host>(*this, place));
+    for (std::size_t index = 0; index < options.hosts; ++index) {
+      hosts_.push_back(std::make_unique<Host>(*this, index));
     }
-    for (std::size_t place = 0; place < options.hosts; ++place) {
-      Start(place);
+    for (std::size_t index = 0; index < options.hosts; ++index) {
+      Start(index);
     }
   }
 
@@ -47,30 +47,30 @@
   }
   [[nodiscard]] MonotonicTime Now() const { return time_.Now(); }
   [[nodiscard]] std::size_t Size() const { return hosts_.size(); }
-  [[nodiscard]] std::size_t RegionOf(std::size_t place) const {
-    return place % kRegions;
+  [[nodiscard]] std::size_t RegionOf(std::size_t index) const {
+    return index % kRegions;
   }
   [[nodiscard]] fakes::SeededRandom& Random() { return random_; }
-  [[nodiscard]] GlobalBroadcaster& At(std::size_t place) {
-    return hosts_[place]->global;
+  [[nodiscard]] GlobalBroadcaster& At(std::size_t index) {
+    return hosts_[index]->global;
   }
 
-  void Cut(std::size_t place) { cut_.insert(place); }
-  void Heal(std::size_t place) { cut_.erase(place); }
-  void Pause(std::size_t place, Duration length) {
-    time_.Pause(static_cast<int>(place), time_.Now() + length);
+  void Disconnect(std::size_t index) { disconnected_.insert(index); }
+  void Reconnect(std::size_t index) { disconnected_.erase(index); }
+  void Pause(std::size_t index, Duration length) {
+    time_.Pause(static_cast<int>(index), time_.Now() + length);
   }
   /// @brief Replaces the host with one without any state.
-  void Restart(std::size_t place) {
-    time_.Kill(static_cast<int>(place));
-    hosts_[place] = std::make_unique<Host>(*this, place);
-    Start(place);
+  void Restart(std::size_t index) {
+    time_.Kill(static_cast<int>(index));
+    hosts_[index] = std::make_unique<Host>(*this, index);
+    Start(index);
   }
-  [[nodiscard]] bool IsCut(std::size_t place) const {
-    return cut_.contains(place);
+  [[nodiscard]] bool IsDisconnected(std::size_t index) const {
+    return disconnected_.contains(index);
   }
-  [[nodiscard]] bool IsPaused(std::size_t place) const {
-    return time_.IsPaused(static_cast<int>(place));
+  [[nodiscard]] bool IsPaused(std::size_t index) const {
+    return time_.IsPaused(static_cast<int>(index));
   }
 
  private:
@@ -78,16 +78,16 @@
   static constexpr std::size_t kDomains = 3;
 
   struct Host final : public UpdateSender {
-    Host(HostsOfRegions& all, std::size_t place)
+    Host(MultiRegionSimulation& all, std::size_t index)
         : all(all),
-          place(place),
-          timers(all.time_, static_cast<int>(place)),
-          region({.host = NameAt(place),
-                  .failure_domain = all.DomainAt(place),
+          index(index),
+          timers(all.time_, static_cast<int>(index)),
+          region({.host = NameAt(index),
+                  .failure_domain = all.DomainAt(index),
                   .link_mbps = 100},
                  timers,
                  *this),
-          global(NameAt(place),
+          global(NameAt(index),
                  {.region = region,
                   .sender = *this,
                   .random = all.random_,
@@ -96,13 +96,13 @@
     void Send(std::span<const std::string> addresses,
               const PeerUpdate& sent) override {
       for (const std::string& address : addresses) {
-        all.Deliver(place, std::stoul(address), sent);
+        all.Deliver(index, std::stoul(address), sent);
       }
     }
     [[nodiscard]] std::vector<RemoteHost> RemoteHosts() const {
       std::vector<RemoteHost> hosts;
       for (std::size_t other = 0; other < all.Size(); ++other) {
-        if (all.RegionOf(other) != all.RegionOf(place)) {
+        if (all.RegionOf(other) != all.RegionOf(index)) {
           hosts.push_back(
               {.region = RegionName(std::to_string(all.RegionOf(other))),
                .address = std::to_string(other)});
@@ -111,27 +111,27 @@
       return hosts;
     }
 
-    HostsOfRegions& all;
-    std::size_t place;
+    MultiRegionSimulation& all;
+    std::size_t index;
     fakes::HostTimers timers;
     RegionBroadcaster region;
     GlobalBroadcaster global;
     std::uint32_t sequence = 0;
   };
 
-  static HostName NameAt(std::size_t place) {
-    return HostName("edge-" + std::to_string(place));
+  static HostName NameAt(std::size_t index) {
+    return HostName("edge-" + std::to_string(index));
   }
-  [[nodiscard]] FailureDomainName DomainAt(std::size_t place) const {
-    return FailureDomainName("r" + std::to_string(place % kRegions) + "z" +
-                             std::to_string(place / kRegions % kDomains));
+  [[nodiscard]] FailureDomainName DomainAt(std::size_t index) const {
+    return FailureDomainName("r" + std::to_string(index % kRegions) + "z" +
+                             std::to_string(index / kRegions % kDomains));
   }
 
-  void Start(std::size_t place) {
-    Host& host = *hosts_[place];
+  void Start(std::size_t index) {
+    Host& host = *hosts_[index];
     std::vector<Peer> peers;
     for (std::size_t other = 0; other < Size(); ++other) {
-      if (other != place && RegionOf(other) == RegionOf(place)) {
+      if (other != index && RegionOf(other) == RegionOf(index)) {
         peers.push_back({.host = NameAt(other),
                          .address = std::to_string(other),
                          .failure_domain = DomainAt(other),
@@ -142,37 +142,39 @@
     host.region.SetPeers(std::move(peers));
     host.region.Start();
     for (const Peer& peer : known) {
-      host.region.OnNews({.sender = membership::HashOf(peer.host)});
+      host.region.OnUpdate({.sender = membership::HashOf(peer.host)});
     }
-    Beat(host);
+    SendHeartbeat(host);
   }
 
-  void Beat(Host& host) {
+  void SendHeartbeat(Host& host) {
     host.region.BroadcastHeartbeat(
-        {.host_hash = membership::HashOf(NameAt(host.place)),
+        {.host_hash = membership::HashOf(NameAt(host.index)),
          .sequence = ++host.sequence});
-    host.timers.RunAfter(kHeartbeatPeriod, [this, &host] { Beat(host); });
+    host.timers.RunAfter(kHeartbeatPeriod,
+                         [this, &host] { SendHeartbeat(host); });
   }
 
-  void Deliver(std::size_t from, std::size_t to, const PeerUpdate& news) {
-    if (IsCut(from) || IsCut(to) || random_.NextUnit() < options_.lost_part) {
+  void Deliver(std::size_t from, std::size_t to, const PeerUpdate& update) {
+    if (IsDisconnected(from) || IsDisconnected(to) ||
+        random_.NextUnit() < options_.loss_rate) {
       return;
     }
     const Duration latency =
         std::chrono::milliseconds(RegionOf(from) == RegionOf(to) ? 1 : 55);
-    time_.At(static_cast<int>(to), time_.Now() + latency, [this, to, news] {
-      hosts_[to]->region.OnNews(news);
-      hosts_[to]->global.OnNews(news);
-      listener_.OnHeard(to, news);
+    time_.At(static_cast<int>(to), time_.Now() + latency, [this, to, update] {
+      hosts_[to]->region.OnUpdate(update);
+      hosts_[to]->global.OnUpdate(update);
+      listener_.OnUpdateReceived(to, update);
     });
   }
 
   Options options_;
-  HostListener& listener_;
+  UpdateListener& listener_;
   fakes::VirtualTime time_;
   fakes::SeededRandom random_;
   std::vector<std::unique_ptr<Host>> hosts_;
-  std::set<std::size_t> cut_;
+  std::set<std::size_t> disconnected_;
 };
 
 }  // namespace medlarcroft::peer_updates
--- a/tests/unit/peer_updates/rate_limit_broadcast_test.cc
+++ b/tests/unit/peer_updates/rate_limit_broadcast_test.cc
@@ -29,53 +29,53 @@
 
 /// @brief Simulates a target that declares a rate limit, and hosts of three
 /// regions whose combined demand for it exceeds the limit.
-class LimitSimulation final : public HostListener {
+class LimitSimulation final : public UpdateListener {
  public:
-  LimitSimulation(const HostsOfRegions::Options& options,
+  LimitSimulation(const MultiRegionSimulation::Options& options,
                   double limit,
                   double demand)
       : hosts_(options, *this), limit_(limit), demand_(demand) {
-    for (std::size_t place = 0; place < options.hosts; ++place) {
-      host_limits_.push_back(std::make_unique<HostLimits>(*this, place));
-      Refresh(place);
+    for (std::size_t index = 0; index < options.hosts; ++index) {
+      host_limits_.push_back(std::make_unique<HostLimits>(*this, index));
+      Refresh(index);
     }
     hosts_.RunFor(seconds(3));
-    for (std::size_t place = 0; place < options.hosts; ++place) {
-      ScheduleRequests(place);
+    for (std::size_t index = 0; index < options.hosts; ++index) {
+      ScheduleRequests(index);
     }
     hosts_.RunFor(seconds(2));
     limited_since_ = hosts_.Now();
   }
 
-  [[nodiscard]] HostsOfRegions& Hosts() { return hosts_; }
+  [[nodiscard]] MultiRegionSimulation& Hosts() { return hosts_; }
 
-  void Restart(std::size_t place) {
-    hosts_.Restart(place);
-    host_limits_[place] = std::make_unique<HostLimits>(*this, place);
-    MarkFault(place);
+  void Restart(std::size_t index) {
+    hosts_.Restart(index);
+    host_limits_[index] = std::make_unique<HostLimits>(*this, index);
+    MarkFault(index);
   }
   /// @brief Disconnects the host from all other hosts, but not from the target:
   /// its requests still count against the limit.
-  void Cut(std::size_t place, Duration length) {
-    hosts_.Cut(place);
-    MarkReachabilityChange(place);
-    hosts_.After(length, [this, place] {
-      hosts_.Heal(place);
-      MarkReachabilityChange(place);
+  void Disconnect(std::size_t index, Duration length) {
+    hosts_.Disconnect(index);
+    MarkReachabilityChange(index);
+    hosts_.After(length, [this, index] {
+      hosts_.Reconnect(index);
+      MarkReachabilityChange(index);
     });
   }
-  void Pause(std::size_t place, Duration length) {
-    hosts_.Pause(place, length);
-    MarkFault(place);
-    hosts_.After(length, [this, place] { MarkFault(place); });
+  void Pause(std::size_t index, Duration length) {
+    hosts_.Pause(index, length);
+    MarkFault(index);
+    hosts_.After(length, [this, index] { MarkFault(index); });
   }
   void EndLimit() { limited_since_.reset(); }
 
   /// @return the maximum number of requests in any `kWindow`. Counts only hosts
   /// that had received the limit `kPropagationTime` before and had neither
   /// restarted nor been paused for `kInTouchAfter`.
-  [[nodiscard]] std::size_t MostInWindow() const {
-    std::size_t most = 0;
+  [[nodiscard]] std::size_t MaxInWindow() const {
+    std::size_t max_count = 0;
     std::deque<MonotonicTime> window;
     for (const Arrival& arrival : arrivals_) {
       if (!arrival.is_bound) {
@@ -85,9 +85,9 @@
       while (arrival.at - window.front() > kWindow) {
         window.pop_front();
       }
-      most = std::max(most, window.size());
+      max_count = std::max(max_count, window.size());
     }
-    return most;
+    return max_count;
   }
   [[nodiscard]] std::size_t ArrivalsSince(MonotonicTime since) const {
     std::size_t count = 0;
@@ -97,8 +97,8 @@
     return count;
   }
 
-  void OnHeard(std::size_t host, const PeerUpdate& news) override {
-    for (const LimitReport& report : news.limits) {
+  void OnUpdateReceived(std::size_t host, const PeerUpdate& update) override {
+    for (const LimitReport& report : update.limits) {
       host_limits_[host]->limits.OnReport(report, RegionName("1"),
                                           hosts_.Now());
     }
@@ -106,14 +106,14 @@
 
  private:
   struct HostLimits final : public request_path::LimitObserver {
-    HostLimits(LimitSimulation& simulation, std::size_t place)
+    HostLimits(LimitSimulation& simulation, std::size_t index)
         : simulation(simulation),
-          place(place),
+          index(index),
           limits({}, simulation.hosts_.Random()) {
       limits.Observe(this);
     }
     void OnPublish(const LimitReport& report) override {
-      simulation.hosts_.At(place).TellLimits(std::span(&report, 1));
+      simulation.hosts_.At(index).BroadcastLimits(std::span(&report, 1));
     }
     void OnLimited(TargetNumber /*target*/,
                    double /*requests_per_second*/,
@@ -121,13 +121,13 @@
     void OnLifted(TargetNumber /*target*/) override {}
 
     LimitSimulation& simulation;
-    std::size_t place;
+    std::size_t index;
     RateLimits limits;
     /// First answer to this host that declared the limit.
     std::optional<MonotonicTime> limited_at;
     MonotonicTime fault_at{};  ///< Start or end of the latest fault.
-    /// Start or end of the latest period in which other hosts could not hear
-    /// this host.
+    /// Start or end of the latest period in which no other host could receive
+    /// updates from this host.
     MonotonicTime reachability_changed_at{};
   };
   struct Arrival {
@@ -135,68 +135,69 @@
     bool is_bound = false;
   };
 
-  void MarkFault(std::size_t place) {
-    host_limits_[place]->fault_at = hosts_.Now();
-    MarkReachabilityChange(place);
+  void MarkFault(std::size_t index) {
+    host_limits_[index]->fault_at = hosts_.Now();
+    MarkReachabilityChange(index);
   }
-  void MarkReachabilityChange(std::size_t place) {
-    host_limits_[place]->reachability_changed_at = hosts_.Now();
+  void MarkReachabilityChange(std::size_t index) {
+    host_limits_[index]->reachability_changed_at = hosts_.Now();
   }
 
-  [[nodiscard]] bool IsLiveFor(std::size_t place, std::size_t other) const {
-    if (place == other) {
+  [[nodiscard]] bool IsLiveFor(std::size_t index, std::size_t other) const {
+    if (index == other) {
       return true;
     }
     const bool is_undetected =
         hosts_.Now() - host_limits_[other]->reachability_changed_at <
             kDetectionTime ||
-        hosts_.Now() - host_limits_[place]->reachability_changed_at <
+        hosts_.Now() - host_limits_[index]->reachability_changed_at <
             kDetectionTime;
-    return is_undetected || (!hosts_.IsCut(place) && !hosts_.IsCut(other) &&
-                             !hosts_.IsPaused(other));
+    return is_undetected ||
+           (!hosts_.IsDisconnected(index) && !hosts_.IsDisconnected(other) &&
+            !hosts_.IsPaused(other));
   }
 
-  void Refresh(std::size_t place) {
-    hosts_.After(milliseconds(250), [this, place] { Refresh(place); });
-    if (hosts_.IsPaused(place)) {
+  void Refresh(std::size_t index) {
+    hosts_.After(milliseconds(250), [this, index] { Refresh(index); });
+    if (hosts_.IsPaused(index)) {
       return;
     }
     LimitHosts hosts{
-        .own_hash = place + 1,
-        .own_region = RegionName(std::to_string(hosts_.RegionOf(place))),
+        .own_hash = index + 1,
+        .own_region = RegionName(std::to_string(hosts_.RegionOf(index))),
         .known_hosts = static_cast<std::uint32_t>(hosts_.Size())};
     hosts.known_in_region = 0;
     for (std::size_t other = 0; other < host_limits_.size(); ++other) {
-      if (hosts_.RegionOf(other) != hosts_.RegionOf(place)) {
+      if (hosts_.RegionOf(other) != hosts_.RegionOf(index)) {
         continue;
       }
       ++hosts.known_in_region;
-      if (IsLiveFor(place, other)) {
+      if (IsLiveFor(index, other)) {
         hosts.live_in_region.push_back(other + 1);
       }
     }
-    host_limits_[place]->limits.SetHosts(std::move(hosts), hosts_.Now());
-    host_limits_[place]->limits.Advance(hosts_.Now());
+    host_limits_[index]->limits.SetHosts(std::move(hosts), hosts_.Now());
+    host_limits_[index]->limits.Advance(hosts_.Now());
     if (++refreshes_ % 4 == 0) {
-      hosts_.At(place).TellLimits(
-          host_limits_[place]->limits.ReportsToRepeat(hosts_.Now()));
+      hosts_.At(index).BroadcastLimits(
+          host_limits_[index]->limits.ReportsToRepeat(hosts_.Now()));
     }
   }
 
   /// @brief Schedules the host's requests to the target at random intervals.
-  void ScheduleRequests(std::size_t place) {
+  void ScheduleRequests(std::size_t index) {
     const double mean = static_cast<double>(hosts_.Size()) / demand_;
     hosts_.After(FromSeconds(2 * mean * hosts_.Random().NextUnit()),
-                 [this, place] {
-                   ScheduleRequests(place);
-                   Send(place);
+                 [this, index] {
+                   ScheduleRequests(index);
+                   Send(index);
                  });
   }
 
-  void Send(std::size_t place) {
-    HostLimits& host = *host_limits_[place];
+  void Send(std::size_t index) {
+    HostLimits& host = *host_limits_[index];
     const MonotonicTime now = hosts_.Now();
-    if (hosts_.IsPaused(place) || !host.limits.AllowsSend(kTarget, now)) {
+    if (hosts_.IsPaused(index) || !host.limits.AllowsSend(kTarget, now)) {
       return;
     }
     host.limits.OnSent(kTarget, now);
@@ -204,16 +205,16 @@
                           now - *host.limited_at >= kPropagationTime &&
                           now - host.fault_at > kInTouchAfter;
     arrivals_.push_back({.at = now, .is_bound = is_bound});
-    hosts_.After(milliseconds(100), [this, place, now] { Answer(place, now); });
+    hosts_.After(milliseconds(100), [this, index, now] { Answer(index, now); });
   }
 
-  void Answer(std::size_t place, MonotonicTime sent_at) {
-    if (hosts_.IsPaused(place)) {
+  void Answer(std::size_t index, MonotonicTime sent_at) {
+    if (hosts_.IsPaused(index)) {
       hosts_.After(milliseconds(100),
-                   [this, place, sent_at] { Answer(place, sent_at); });
+                   [this, index, sent_at] { Answer(index, sent_at); });
       return;
     }
-    HostLimits& host = *host_limits_[place];
+    HostLimits& host = *host_limits_[index];
     std::optional<double> limit;
     if (limited_since_) {
       limit = limit_;
@@ -223,7 +224,7 @@
                          limit, sent_at, hosts_.Now());
   }
 
-  HostsOfRegions hosts_;
+  MultiRegionSimulation hosts_;
   double limit_;
   double demand_;
   std::optional<MonotonicTime> limited_since_;
@@ -236,7 +237,7 @@
   std::string name;
   std::size_t hosts;
   double limit;
-  double lost_part;
+  double loss_rate;
   std::function<void(LimitSimulation&)> inject_fault;
 };
 
@@ -257,13 +258,13 @@
 TEST_P(LimitTable, HostsTogetherRespectAndUseTheLimit) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     LimitSimulation simulation({.hosts = GetParam().hosts,
-                                .lost_part = GetParam().lost_part,
+                                .loss_rate = GetParam().loss_rate,
                                 .seed = seed},
                                GetParam().limit, Demand());
     simulation.Hosts().RunFor(seconds(5));
     GetParam().inject_fault(simulation);
     simulation.Hosts().RunFor(seconds(15));
-    EXPECT_LE(static_cast<double>(simulation.MostInWindow()), Allowed())
+    EXPECT_LE(static_cast<double>(simulation.MaxInWindow()), Allowed())
         << "seed " << seed;
     const MonotonicTime settled_at = simulation.Hosts().Now();
     simulation.Hosts().RunFor(seconds(10));
@@ -277,7 +278,7 @@
 // detect the end and report it to the others.
 TEST_P(LimitTable, AllHostsResumeSendingWhenTheLimitEnds) {
   LimitSimulation simulation(
-      {.hosts = GetParam().hosts, .lost_part = GetParam().lost_part, .seed = 4},
+      {.hosts = GetParam().hosts, .loss_rate = GetParam().loss_rate, .seed = 4},
       GetParam().limit, Demand());
   simulation.Hosts().RunFor(seconds(5));
   simulation.EndLimit();
@@ -295,38 +296,38 @@
       const std::string size = std::to_string(hosts) + "_hosts_" +
                                std::to_string(static_cast<int>(10 * limit)) +
                                "_per_10_s_";
-      const auto add = [&](const std::string& name, double lost_part,
+      const auto add = [&](const std::string& name, double loss_rate,
                            std::function<void(LimitSimulation&)> inject_fault) {
         cases.push_back({.name = size + name,
                          .hosts = hosts,
                          .limit = limit,
-                         .lost_part = lost_part,
+                         .loss_rate = loss_rate,
                          .inject_fault = std::move(inject_fault)});
       };
       add("no_faults", 0, [](LimitSimulation&) {});
       add("fifth_of_datagrams_lost", 0.2, [](LimitSimulation&) {});
       add("quarter_restarted", 0.05, [](LimitSimulation& simulation) {
-        for (std::size_t place = 0; place < simulation.Hosts().Size();
-             place += 4) {
-          simulation.Restart(place);
+        for (std::size_t index = 0; index < simulation.Hosts().Size();
+             index += 4) {
+          simulation.Restart(index);
         }
       });
       add("quarter_disconnected", 0.05, [](LimitSimulation& simulation) {
-        for (std::size_t place = 1; place < simulation.Hosts().Size();
-             place += 4) {
-          simulation.Cut(place, seconds(5));
+        for (std::size_t index = 1; index < simulation.Hosts().Size();
+             index += 4) {
+          simulation.Disconnect(index, seconds(5));
         }
       });
       add("half_disconnected", 0.05, [](LimitSimulation& simulation) {
-        for (std::size_t place = 1; place < simulation.Hosts().Size();
-             place += 2) {
-          simulation.Cut(place, seconds(10));
+        for (std::size_t index = 1; index < simulation.Hosts().Size();
+             index += 2) {
+          simulation.Disconnect(index, seconds(10));
         }
       });
       add("quarter_paused", 0.05, [](LimitSimulation& simulation) {
-        for (std::size_t place = 2; place < simulation.Hosts().Size();
-             place += 4) {
-          simulation.Pause(place, seconds(4));
+        for (std::size_t index = 2; index < simulation.Hosts().Size();
+             index += 4) {
+          simulation.Pause(index, seconds(4));
         }
       });
     }
--- a/tests/unit/peer_updates/update_timing_test.cc
+++ b/tests/unit/peer_updates/update_timing_test.cc
@@ -9,51 +9,55 @@
 
 using std::chrono::milliseconds;
 
-struct PaceCase {
+struct TimingCase {
   std::size_t peers;
-  bool is_told_directly;
-  Duration news_delay;
+  bool uses_direct_delivery;
+  Duration batch_delay;
 };
 
-class NewsPaceTable : public testing::TestWithParam<PaceCase> {};
+class UpdateTimingTable : public testing::TestWithParam<TimingCase> {};
 
-// Alone a host tells nobody and waits for nothing; in the largest region news
-// still comes while an object's first work is under way.
-TEST_P(NewsPaceTable, GrowsSlowerThanTheRegion) {
-  EXPECT_EQ(UsesDirectDelivery(GetParam().peers), GetParam().is_told_directly);
-  EXPECT_EQ(PlacedNewsDelay(GetParam().peers), GetParam().news_delay);
+// A host without peers has no batch delay; in the largest region the delay
+// stays below the time that a target takes to process an object for the first
+// time.
+TEST_P(UpdateTimingTable, DelayGrowsSlowerThanTheRegion) {
+  EXPECT_EQ(UsesDirectDelivery(GetParam().peers),
+            GetParam().uses_direct_delivery);
+  EXPECT_EQ(PlacementBatchDelay(GetParam().peers), GetParam().batch_delay);
 }
 
-INSTANTIATE_TEST_SUITE_P(All,
-                         NewsPaceTable,
-                         testing::Values(PaceCase{0, true, milliseconds(0)},
-                                         PaceCase{3, true, milliseconds(6)},
-                                         PaceCase{8, true, milliseconds(16)},
-                                         PaceCase{9, false, milliseconds(18)},
-                                         PaceCase{29, false, milliseconds(58)},
-                                         PaceCase{879, false,
-                                                  milliseconds(200)}));
-
-// The same of what it tells in a region without relays: its loads, and the
-// headers of its datagrams.
-TEST(NewsPaceTest, NewsToldDirectlyFitsTheBytesOfControl) {
+INSTANTIATE_TEST_SUITE_P(
+    All,
+    UpdateTimingTable,
+    testing::Values(TimingCase{0, true, milliseconds(0)},
+                    TimingCase{3, true, milliseconds(6)},
+                    TimingCase{8, true, milliseconds(16)},
+                    TimingCase{9, false, milliseconds(18)},
+                    TimingCase{29, false, milliseconds(58)},
+                    TimingCase{879, false, milliseconds(200)}));
+
+// In a region without relays, a host's loads and the headers of its datagrams
+// must fit in the bandwidth for control traffic.
+TEST(UpdateTimingTest, DirectUpdatesFitTheControlBandwidth) {
   constexpr double kControlBytesPerSecond = 7000;
-  constexpr double kLoadsASecond = 50;
+  constexpr double kLoadsPerSecond = 50;
   constexpr double kHeaderBytes = 53;
-  const double to_each = kLoadsASecond * static_cast<double>(kLoadBytes) +
-                         kHeaderBytes / ToSeconds(kReportBatchDelay);
-  EXPECT_LT(to_each * static_cast<double>(kMaxDirectPeers),
+  const double bytes_to_each_peer =
+      kLoadsPerSecond * static_cast<double>(kLoadBytes) +
+      kHeaderBytes / ToSeconds(kReportBatchDelay);
+  EXPECT_LT(bytes_to_each_peer * static_cast<double>(kMaxDirectPeers),
             kControlBytesPerSecond);
 }
 
-// What a host hears from relays stays within what its control may take,
-// whatever the region's size.
-TEST(NewsPaceTest, DigestsFitTheBytesOfControl) {
+// What a host receives from relays must fit in the bandwidth for control
+// traffic, whatever the size of the region.
+TEST(UpdateTimingTest, DigestsFitTheControlBandwidth) {
   constexpr double kControlBytesPerSecond = 7000;
-  constexpr std::size_t kEnvelope = 60;
-  const double each_second = static_cast<double>(kMostDigestBytes + kEnvelope) /
-                             ToSeconds(kRelayPeriod);
-  EXPECT_LT(each_second, kControlBytesPerSecond);
+  constexpr std::size_t kOverheadBytes = 60;
+  const double bytes_per_second =
+      static_cast<double>(kMaxRelayDatagramBytes + kOverheadBytes) /
+      ToSeconds(kRelayPeriod);
+  EXPECT_LT(bytes_per_second, kControlBytesPerSecond);
 }
 
 }  // namespace
