--- a/tests/unit/replication/peer_readers_test.cc
+++ b/tests/unit/replication/peer_readers_test.cc
@@ -21,7 +21,7 @@
  public:
   std::vector<ReaderCandidate> LiveHosts() const override { return live; }
   std::vector<ReaderCandidate> HostsInOtherRegions() const override {
-    return elsewhere;
+    return other_regions;
   }
   std::size_t HostsInRegion() const override { return live.size(); }
 
@@ -38,7 +38,7 @@
   }
 
   std::vector<ReaderCandidate> live;
-  std::vector<ReaderCandidate> elsewhere;
+  std::vector<ReaderCandidate> other_regions;
 };
 
 class PeerReadersTest : public testing::Test {
@@ -46,7 +46,7 @@
   PeerReadersTest() {
     FixedDirectory::Add(directory_.live, kOwn, 30);
     FixedDirectory::Add(directory_.live, kOther, 30);
-    FixedDirectory::Add(directory_.elsewhere, kFar, 30);
+    FixedDirectory::Add(directory_.other_regions, kFar, 30);
   }
 
   PeerReaders Make(int other_readers_asked) {
@@ -71,8 +71,8 @@
 
   /// @return the reader of this host's domain.
   std::string FirstReader() const {
-    const auto own =
-        CandidatesFor(kOwn, directory_.HostsInRegion(), directory_.LiveHosts());
+    const auto own = EligibleReaders(kOwn, directory_.HostsInRegion(),
+                                     directory_.LiveHosts());
     return ChooseReader("t", own)->address;
   }
 
@@ -86,17 +86,17 @@
   FixedDirectory directory_;
   std::set<std::string> refusing_;
   std::vector<std::string> asked_;
-  const RowsRequest question_{.table = "t"};
+  const RowsRequest request_{.table = "t"};
 };
 
 TEST_F(PeerReadersTest, TheReaderOfTheOwnDomainIsAsked) {
   PeerReaders readers = Make(1);
-  EXPECT_TRUE(readers.AskReader(question_, [](const auto&) {}));
+  EXPECT_TRUE(readers.AskReader(request_, [](const auto&) {}));
   EXPECT_EQ(asked_, std::vector{FirstReader()});
 }
 
-// Guards against all followers of a reader that the store turns away calling
-// the store themselves.
+// Guards against all followers of a reader that the store refuses calling the
+// store themselves.
 TEST_F(PeerReadersTest, AnotherReaderIsAskedAfterOneThatRefuses) {
   const std::string first = FirstReader();
   refusing_ = {first};
@@ -104,13 +104,13 @@
   bool is_answered = false;
   const auto ask = [&] {
     return readers.AskReader(
-        question_, [&](const auto& answer) { is_answered = IsOk(answer); });
+        request_, [&](const auto& answer) { is_answered = IsOk(answer); });
   };
   EXPECT_TRUE(ask());
   EXPECT_TRUE(is_answered);
   ASSERT_EQ(asked_.size(), 2U);
 
-  // And the first one is left alone for a while.
+  // The first reader is not asked again for a while.
   EXPECT_TRUE(ask());
   EXPECT_EQ(asked_.size(), 3U);
   EXPECT_EQ(asked_[2], asked_[1]);
@@ -120,37 +120,39 @@
   EXPECT_EQ(asked_.back(), first);
 }
 
-// Where leaving targets must be known sooner there is no time for it.
-TEST_F(PeerReadersTest, NoOtherIsAskedWhereTimeIsShort) {
+// Where leaving targets must be known sooner, there is no time to ask another
+// reader.
+TEST_F(PeerReadersTest, NoOtherReaderIsAskedWhenTimeIsShort) {
   refusing_ = {FirstReader()};
   PeerReaders readers = Make(OtherReadersAsked(std::chrono::seconds(2)));
   bool is_refused = false;
   EXPECT_TRUE(readers.AskReader(
-      question_, [&](const auto& answer) { is_refused = !IsOk(answer); }));
+      request_, [&](const auto& answer) { is_refused = !IsOk(answer); }));
   EXPECT_TRUE(is_refused);
   EXPECT_EQ(asked_.size(), 1U);
 }
 
-// Whoever is asked reads the store: of 90 hosts only readers may be asked.
-TEST_F(PeerReadersTest, AHostThatIsTurnedAwayAsksReadersOfAllRegions) {
+// A host that is asked reads the store itself, so of 90 hosts only the readers
+// may be asked.
+TEST_F(PeerReadersTest, ARefusedHostAsksReadersOfAllRegions) {
   PeerReaders readers = Make(1);
   for (int i = 0; i < 100; ++i) {
-    readers.AskSomeReader(question_, [](const auto&) {});
+    readers.AskSomeReader(request_, [](const auto&) {});
   }
   const std::set<std::string> distinct(asked_.begin(), asked_.end());
   EXPECT_EQ(distinct.size(), 3U);
 }
 
-TEST_F(PeerReadersTest, NobodyToAskIsToldSoon) {
+TEST_F(PeerReadersTest, FailsSoonWithoutAnyReader) {
   directory_.live.resize(1);
-  directory_.elsewhere.clear();
+  directory_.other_regions.clear();
   PeerReaders readers = Make(1);
-  bool is_told = false;
-  readers.AskSomeReader(question_,
-                        [&](const auto& answer) { is_told = !IsOk(answer); });
+  bool is_answered = false;
+  readers.AskSomeReader(
+      request_, [&](const auto& answer) { is_answered = !IsOk(answer); });
   time_.RunUntil(time_.Now() + seconds(1));
-  EXPECT_TRUE(is_told);
-  EXPECT_FALSE(readers.AskReader(question_, [](const auto&) {}));
+  EXPECT_TRUE(is_answered);
+  EXPECT_FALSE(readers.AskReader(request_, [](const auto&) {}));
 }
 
 }  // namespace
--- a/tests/unit/replication/reader_choice_test.cc
+++ b/tests/unit/replication/reader_choice_test.cc
@@ -15,7 +15,7 @@
 
 constexpr MonotonicTime kNow{std::chrono::hours(1)};
 
-/// @return hosts of three domains for each region.
+/// @return hosts in three domains of a region.
 std::vector<ReaderCandidate> HostsOf(const std::string& region,
                                      int hosts_a_domain) {
   std::vector<ReaderCandidate> hosts;
@@ -41,50 +41,52 @@
   return regions;
 }
 
-// Guards against one small host that tells a hundred others of a thousand
-// targets, most of them in other domains.
+// Guards against one small host that sends a thousand targets to a hundred
+// others, most of them in other domains.
 TEST(ReaderChoiceTest, ALargeRegionHasAReaderInEachDomain) {
   const FailureDomainName own("r-b");
-  const auto few = CandidatesFor(own, 30, HostsOf("r", 10));
+  const auto few = EligibleReaders(own, 30, HostsOf("r", 10));
   EXPECT_EQ(few.size(), 30U);
-  const auto many = CandidatesFor(own, 99, HostsOf("r", 33));
+  const auto many = EligibleReaders(own, 99, HostsOf("r", 33));
   ASSERT_EQ(many.size(), 33U);
   EXPECT_EQ(ChooseReader("t", many)->failure_domain, own);
 }
 
-// Guards against hosts that the store turns away making all others read it.
-TEST(ReaderChoiceTest, HostsThatAreTurnedAwayAskReadersOnly) {
+// Guards against hosts that the store refuses making all others read it.
+TEST(ReaderChoiceTest, RefusedHostsAskReadersOnly) {
   std::vector<ReaderCandidate> hosts = HostsOf("r", 33);
   for (const ReaderCandidate& host : HostsOf("s", 10)) {
     hosts.push_back(host);
   }
   std::set<std::string> asked;
-  for (const ReaderCandidate& reader : ReadersOfAll("t", hosts, Regions())) {
+  for (const ReaderCandidate& reader :
+       ChooseReadersOfAllRegions("t", hosts, Regions())) {
     asked.insert(reader.address);
   }
-  const auto own = CandidatesFor(FailureDomainName("r-a"), 99, hosts);
+  const auto own = EligibleReaders(FailureDomainName("r-a"), 99, hosts);
   EXPECT_EQ(asked.size(), 4U);
   EXPECT_TRUE(asked.contains(ChooseReader("t", own)->address));
 }
 
-TEST(ReaderChoiceTest, InASmallRegionAnyHostIsAsked) {
-  EXPECT_EQ(ReadersOfAll("t", HostsOf("r", 1), Regions()).size(), 3U);
+TEST(ReaderChoiceTest, InASmallRegionEachHostIsAReader) {
+  EXPECT_EQ(ChooseReadersOfAllRegions("t", HostsOf("r", 1), Regions()).size(),
+            3U);
 }
 
-TEST(ReaderChoiceTest, AReaderThatRefusedIsLeftOutForAWhile) {
+TEST(ReaderChoiceTest, AReaderThatRefusedIsExcludedForAWhile) {
   RefusedReaders refused;
   const auto hosts = HostsOf("r", 33);
   const ReaderCandidate first = *ChooseReader("t", hosts);
-  refused.Note(first.host, kNow);
+  refused.Record(first.host, kNow);
 
-  auto left = hosts;
-  refused.LeaveOut(left, kNow + seconds(1));
-  EXPECT_EQ(left.size(), hosts.size() - 1);
-  EXPECT_NE(ChooseReader("t", left)->host, first.host);
+  auto remaining = hosts;
+  refused.RemoveRefusing(remaining, kNow + seconds(1));
+  EXPECT_EQ(remaining.size(), hosts.size() - 1);
+  EXPECT_NE(ChooseReader("t", remaining)->host, first.host);
 
-  left = hosts;
-  refused.LeaveOut(left, kNow + seconds(4));
-  EXPECT_EQ(ChooseReader("t", left)->host, first.host);
+  remaining = hosts;
+  refused.RemoveRefusing(remaining, kNow + seconds(4));
+  EXPECT_EQ(ChooseReader("t", remaining)->host, first.host);
 }
 
 }  // namespace
--- a/tests/unit/replication/store_clock_test.cc
+++ b/tests/unit/replication/store_clock_test.cc
@@ -10,37 +10,41 @@
 
 constexpr MonotonicTime kOrigin{std::chrono::hours(3)};
 
-// A cut holds an answer up for two seconds. What it tells is two seconds old,
-// though it has just arrived.
-TEST(StoreClockTest, AnAnswerThatWasHeldUpIsAsOldAsItIs) {
+// A network failure delays an answer by two seconds. Its rows are two seconds
+// old, although they have just arrived.
+TEST(StoreClockTest, ADelayedAnswerCountsFromWhenItWasGiven) {
   StoreClock clock;
-  const Duration way = milliseconds(5);
-  EXPECT_EQ(clock.GivenAt(seconds(10), kOrigin + seconds(10) + way),
-            kOrigin + seconds(10) + way);
+  const Duration latency = milliseconds(5);
+  EXPECT_EQ(
+      clock.EstimateAnswerTime(seconds(10), kOrigin + seconds(10) + latency),
+      kOrigin + seconds(10) + latency);
 
-  const MonotonicTime received = kOrigin + seconds(13) + way;
-  EXPECT_EQ(clock.GivenAt(seconds(11), received), received - seconds(2));
+  const MonotonicTime received = kOrigin + seconds(13) + latency;
+  EXPECT_EQ(clock.EstimateAnswerTime(seconds(11), received),
+            received - seconds(2));
 }
 
-TEST(StoreClockTest, AFasterAnswerMovesTheOrigin) {
+TEST(StoreClockTest, AFasterAnswerCorrectsTheClockOffset) {
   StoreClock clock;
-  (void)clock.GivenAt(seconds(10), kOrigin + seconds(10) + milliseconds(60));
+  (void)clock.EstimateAnswerTime(seconds(10),
+                                 kOrigin + seconds(10) + milliseconds(60));
 
-  EXPECT_EQ(clock.GivenAt(seconds(11), kOrigin + seconds(11)),
+  EXPECT_EQ(clock.EstimateAnswerTime(seconds(11), kOrigin + seconds(11)),
             kOrigin + seconds(11));
-  EXPECT_EQ(
-      clock.GivenAt(seconds(12), kOrigin + seconds(12) + milliseconds(60)),
-      kOrigin + seconds(12));
+  EXPECT_EQ(clock.EstimateAnswerTime(seconds(12),
+                                     kOrigin + seconds(12) + milliseconds(60)),
+            kOrigin + seconds(12));
 }
 
-// The store starts again with a clock that begins anew. Its answers must not
-// count as hours old for good.
-TEST(StoreClockTest, AClockThatBeganAnewIsTakenAsItIs) {
+// A restarted store has a clock that starts anew. Its answers must not count as
+// hours old from then on.
+TEST(StoreClockTest, ARestartedClockIsAccepted) {
   StoreClock clock;
-  (void)clock.GivenAt(std::chrono::hours(2), kOrigin + std::chrono::hours(2));
+  (void)clock.EstimateAnswerTime(std::chrono::hours(2),
+                                 kOrigin + std::chrono::hours(2));
 
   const MonotonicTime received = kOrigin + std::chrono::hours(2) + seconds(5);
-  EXPECT_EQ(clock.GivenAt(seconds(1), received), received);
+  EXPECT_EQ(clock.EstimateAnswerTime(seconds(1), received), received);
 }
 
 }  // namespace
--- a/tests/unit/replication/table_mirror_test.cc
+++ b/tests/unit/replication/table_mirror_test.cc
@@ -8,7 +8,7 @@
 namespace medlarcroft::replication {
 namespace {
 
-TEST(TableMirrorTest, TellsWhatChangedAndToWhoIsFarBehindTheWholeTable) {
+TEST(TableMirrorTest, ReturnsChangesOrTheWholeTableIfTheyAreNotKept) {
   TableMirror mirror;
   mirror.Replace(
       std::vector<Row>{{.key = "a", .version = 3}, {.key = "c", .version = 4}},
@@ -16,48 +16,48 @@
   mirror.Apply(std::vector<Row>{{.key = "b", .version = 6}}, 6);
   mirror.Apply(std::vector<Row>{{.key = "a", .is_removed = true}}, 7);
 
-  EXPECT_TRUE(mirror.Since(7).rows.empty());
-  const RowBatch last = mirror.Since(6);
+  EXPECT_TRUE(mirror.ChangesSince(7).rows.empty());
+  const RowBatch last = mirror.ChangesSince(6);
   ASSERT_EQ(last.rows.size(), 1U);
   EXPECT_TRUE(last.rows[0].is_removed);
   EXPECT_EQ(last.rows[0].key, "a");
-  EXPECT_FALSE(last.is_whole);
-  EXPECT_EQ(mirror.Since(5).rows.size(), 2U);
-  const RowBatch whole = mirror.Since(4);
-  EXPECT_TRUE(whole.is_whole);
+  EXPECT_FALSE(last.is_full_table);
+  EXPECT_EQ(mirror.ChangesSince(5).rows.size(), 2U);
+  const RowBatch whole = mirror.ChangesSince(4);
+  EXPECT_TRUE(whole.is_full_table);
   EXPECT_EQ(whole.rows.size(), 2U);
   EXPECT_EQ(whole.newest_version, 7U);
 }
 
-// All hosts start before anything was ever written. Those that ask the reader
-// must hear that the empty table is the whole one: else they would never have
-// it, and never be ready.
-TEST(TableMirrorTest, AnEmptyTableIsToldAsWhole) {
+// All hosts start before anything was ever written. Hosts that request it from
+// the reader must be informed that the empty table is complete. Otherwise they
+// would never have the table, and never be ready.
+TEST(TableMirrorTest, AnEmptyTableIsSentAsWhole) {
   TableMirror mirror;
   mirror.Replace({}, 0);
-  EXPECT_TRUE(mirror.Since(0).is_whole);
+  EXPECT_TRUE(mirror.ChangesSince(0).is_full_table);
 
   mirror.Apply(std::vector<Row>{{.key = "a", .version = 1}}, 1);
-  const RowBatch rows = mirror.Since(0);
-  EXPECT_TRUE(rows.is_whole);
+  const RowBatch rows = mirror.ChangesSince(0);
+  EXPECT_TRUE(rows.is_full_table);
   EXPECT_EQ(rows.rows.size(), 1U);
 }
 
-// A row that was removed and is written again is told as written.
-TEST(TableMirrorTest, ARowThatReturnsIsNotTakenForRemoved) {
+// A row that was removed and written again must be sent as written.
+TEST(TableMirrorTest, ARowWrittenAgainIsNotMarkedAsRemoved) {
   TableMirror mirror;
   mirror.Replace({}, 1);
   mirror.Apply(std::vector<Row>{{.key = "a", .is_removed = true}}, 2);
   mirror.Apply(std::vector<Row>{{.key = "a", .version = 3}}, 3);
 
-  const RowBatch rows = mirror.Since(1);
+  const RowBatch rows = mirror.ChangesSince(1);
   ASSERT_EQ(rows.rows.size(), 1U);
   EXPECT_FALSE(rows.rows[0].is_removed);
 }
 
-// More rows go than are remembered as gone: whoever was behind gets the whole
-// table and keeps none of them.
-TEST(TableMirrorTest, AfterManyRemovalsTheWholeTableIsTold) {
+// When more rows are removed than are kept as removed, a host that lags behind
+// must get the whole table, or it would keep removed rows.
+TEST(TableMirrorTest, AfterManyRemovalsTheWholeTableIsSent) {
   TableMirror mirror;
   mirror.Replace({}, 1);
   for (std::uint64_t i = 0; i < 600; ++i) {
@@ -65,7 +65,7 @@
         std::vector<Row>{{.key = "k" + std::to_string(i), .is_removed = true}},
         2 + i);
   }
-  EXPECT_TRUE(mirror.Since(1).is_whole);
+  EXPECT_TRUE(mirror.ChangesSince(1).is_full_table);
 }
 
 }  // namespace
