--- a/lib/libmedlarcroft/source/adapters/forward/crash_probe.cc
+++ b/lib/libmedlarcroft/source/adapters/forward/crash_probe.cc
@@ -12,7 +12,7 @@
 // A refusal takes one round trip. Without a response within this time the
 // target counts as not crashed.
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(500);
-constexpr Duration kSilenceLimit = std::chrono::seconds(3);
+constexpr Duration kStallTimeout = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -26,7 +26,7 @@
                                    timer_ = 0;
                                    owner_.Finish(address_, false);
                                  })),
-        stream_(owner.loop_, parsed, kSilenceLimit, *this) {}
+        stream_(owner.loop_, parsed, kStallTimeout, *this) {}
   ~Probe() override {
     if (timer_ != 0) {
       owner_.loop_.Cancel(timer_);
@@ -41,7 +41,7 @@
     owner_.Finish(address_, end == StreamEnd::kCannotConnect);
   }
 
-  std::vector<InterruptedSend> broken;
+  std::vector<InterruptedSend> interrupted;
 
  private:
   CrashProbe& owner_;
@@ -55,10 +55,11 @@
 
 CrashProbe::~CrashProbe() = default;
 
-void CrashProbe::Check(const std::string& address, InterruptedSend broken) {
+void CrashProbe::Check(const std::string& address,
+                       InterruptedSend interrupted) {
   const auto known = probes_.find(address);
   if (known != probes_.end()) {
-    known->second->broken.push_back(std::move(broken));
+    known->second->interrupted.push_back(std::move(interrupted));
     return;
   }
   const auto parsed = ParseSocketAddress(address);
@@ -66,7 +67,7 @@
     return;
   }
   auto probe = std::make_unique<Probe>(*this, address, *parsed);
-  probe->broken.push_back(std::move(broken));
+  probe->interrupted.push_back(std::move(interrupted));
   probes_.emplace(address, std::move(probe));
 }
 
@@ -80,8 +81,8 @@
   if (!is_refused) {
     return;
   }
-  for (const InterruptedSend& broken : probe->broken) {
-    on_crash_(broken);
+  for (const InterruptedSend& interrupted : probe->interrupted) {
+    on_crash_(interrupted);
   }
 }
 
--- a/lib/libmedlarcroft/source/adapters/forward/crash_probe.h
+++ b/lib/libmedlarcroft/source/adapters/forward/crash_probe.h
@@ -13,14 +13,14 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief A send whose connection closed before the complete answer arrived.
+/// @brief A send whose connection closed before the complete response arrived.
 struct InterruptedSend {
   std::string id;
   request_path::RequestFingerprint fingerprint;
   request_path::TargetIdentity target;
 };
 
-/// @brief Distinguishes a crashed target from a lost answer by connecting to
+/// @brief Distinguishes a crashed target from a lost response by connecting to
 /// the target: the port of a terminated process refuses the connection.
 class CrashProbe {
  public:
@@ -33,7 +33,7 @@
 
   /// @brief Probes the target and reports the send if the target has crashed.
   /// Sends to the same address share a pending probe.
-  void Check(const std::string& address, InterruptedSend broken);
+  void Check(const std::string& address, InterruptedSend interrupted);
 
  private:
   class Probe;
--- a/lib/libmedlarcroft/source/adapters/forward/request_codec.h
+++ b/lib/libmedlarcroft/source/adapters/forward/request_codec.h
@@ -9,13 +9,13 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief A caller's request as one protocol tells it.
+/// @brief A caller's request, decoded from one protocol.
 struct DecodedRequest {
-  std::string id;  ///< The caller's own name for this request.
+  std::string id;  ///< Request identifier assigned by the caller.
   request_path::CallerRequest request;
 };
 
-/// @brief What a target's whole answer says of its request.
+/// @brief A target's complete response, classified.
 struct ClassifiedResponse {
   request_path::AttemptEnd end = request_path::AttemptEnd::kLost;
   std::optional<request_path::LoadReport> load;
@@ -24,27 +24,29 @@
   std::optional<double> rate_limit;
 };
 
-/// @brief Between one protocol's messages and the types that decide. It holds
-/// names and formats, and decides nothing.
+/// @brief Translates between the messages of one protocol and the types of the
+/// request path. It contains names and formats, but makes no decisions.
 class RequestCodec {
  public:
   virtual ~RequestCodec() = default;
 
   [[nodiscard]] virtual DecodedRequest Decode(
       const HttpRequest& call) const = 0;
-  /// @return the request as sent to a target, head and body.
+  /// @return the serialized request for a target, header and body.
   [[nodiscard]] virtual std::string EncodeAttempt(
       const HttpRequest& call,
       const request_path::SendAttempt& attempt) const = 0;
-  /// @return whether an answer belongs to the request of that id.
-  [[nodiscard]] virtual bool IsOwnAnswer(const HttpResponse& answer,
-                                         const std::string& id) const = 0;
-  [[nodiscard]] virtual ClassifiedResponse Judge(
+  /// @return whether a response belongs to the request with this identifier.
+  [[nodiscard]] virtual bool IsResponseTo(const HttpResponse& answer,
+                                          const std::string& id) const = 0;
+  [[nodiscard]] virtual ClassifiedResponse ClassifyResponse(
       const HttpResponse& answer) const = 0;
-  /// @return a target's answer as passed on to the caller.
-  [[nodiscard]] virtual HttpResponse PassOn(HttpResponse answer) const = 0;
-  /// @return this host's own answer.
-  [[nodiscard]] virtual HttpResponse EncodeEnding(
+  /// @return a target's response in the form in which it is forwarded to the
+  /// caller.
+  [[nodiscard]] virtual HttpResponse ForwardResponse(
+      HttpResponse answer) const = 0;
+  /// @return a response that this host generates itself.
+  [[nodiscard]] virtual HttpResponse EncodeLocalResponse(
       const request_path::RequestFailure& ending,
       const std::string& id) const = 0;
 };
--- a/lib/libmedlarcroft/source/adapters/forward/request_forwarder.cc
+++ b/lib/libmedlarcroft/source/adapters/forward/request_forwarder.cc
@@ -15,21 +15,21 @@
 using request_path::SendAttempt;
 using request_path::Step;
 
-// A new connection needs one round trip; a lost opening packet is sent again
-// after a second, so a longer wait than that brings little.
-constexpr Duration kLeastConnectTimeout = std::chrono::milliseconds(250);
+// A new connection takes one round trip. A lost SYN packet is retransmitted
+// after one second, so a longer timeout than that gains little.
+constexpr Duration kMinConnectTimeout = std::chrono::milliseconds(250);
 constexpr int kConnectTimeoutRoundTrips = 4;
-// Failure: a target drops an idle connection as a request is sent on it.
-// Symptom: nothing tells whether the request ran, so one that is not idempotent
-// can't be sent again. Servers keep connections for seconds, so one that was in
-// use a moment ago is safe.
-constexpr Duration kFreshIdle = std::chrono::milliseconds(2500);
-constexpr Duration kAnyIdle = std::chrono::seconds(8);
+// If a target closes an idle connection while a request is sent on it, it is
+// unknown whether the request ran, so a request that is not idempotent can't be
+// retried. Servers keep idle connections open for seconds, so a connection that
+// was in use a moment ago is safe.
+constexpr Duration kMaxIdleIfNotRepeatable = std::chrono::milliseconds(2500);
+constexpr Duration kMaxIdleIfRepeatable = std::chrono::seconds(8);
 
-// Callers of a host that leaves may go to another one at once.
-constexpr Duration kReturnElsewhere = std::chrono::milliseconds(50);
+// Callers of a draining host can use another host at once.
+constexpr Duration kRetryAfterWhenLeaving = std::chrono::milliseconds(50);
 
-AttemptEnd EndOf(const ExchangeError& error) {
+AttemptEnd AttemptEndOf(const ExchangeError& error) {
   if (error.is_proved_unsent) {
     return AttemptEnd::kNeverSent;
   }
@@ -40,10 +40,10 @@
 }  // namespace
 
 RequestForwarder::~RequestForwarder() {
-  for (auto& [ticket, running] : running_) {
-    parts_.loop.Cancel(running->timeout);
-    parts_.loop.Cancel(running->slow);
-    running->exchange->OnCallerGone(nullptr);
+  for (auto& [ticket, active] : active_requests_) {
+    parts_.loop.Cancel(active->request_timer);
+    parts_.loop.Cancel(active->slow_attempt_timer);
+    active->exchange->OnCallerGone(nullptr);
   }
 }
 
@@ -51,160 +51,165 @@
     HttpRequest call,
     const std::shared_ptr<HttpExchange>& exchange) {
   const MonotonicTime now = parts_.loop.Now();
-  auto running = std::make_unique<Running>();
-  running->decoded = parts_.codec.Decode(call);
-  running->trace.emplace(parts_.tracer, call, running->decoded.id);
-  running->call = std::move(call);
-  running->exchange = exchange;
-  running->started_at = now;
-  if (!is_taking_) {
-    End(*running, {.reason = request_path::FailureReason::kHostDraining,
-                   .retry_after = kReturnElsewhere});
+  auto active = std::make_unique<ActiveRequest>();
+  active->decoded = parts_.codec.Decode(call);
+  active->trace.emplace(parts_.tracer, call, active->decoded.id);
+  active->call = std::move(call);
+  active->exchange = exchange;
+  active->started_at = now;
+  if (!is_accepting_) {
+    End(*active, {.reason = request_path::FailureReason::kHostDraining,
+                  .retry_after = kRetryAfterWhenLeaving});
     return;
   }
-  running->begun = parts_.path.Begin(running->decoded.request, now);
-  const RequestTicket ticket = running->begun.ticket;
+  active->begun = parts_.path.Begin(active->decoded.request, now);
+  const RequestTicket ticket = active->begun.ticket;
   if (ticket == 0) {
-    End(*running, std::get<RequestFailure>(running->begun.step));
+    End(*active, std::get<RequestFailure>(active->begun.step));
     return;
   }
 
-  Running& kept = *running;
-  running_.emplace(ticket, std::move(running));
+  ActiveRequest& stored = *active;
+  active_requests_.emplace(ticket, std::move(active));
   exchange->OnCallerGone([this, ticket] { OnCallerGone(ticket); });
-  kept.timeout = parts_.loop.After(kept.begun.time_left,
-                                   [this, ticket] { OnTimeout(ticket); });
-  Carry(ticket, kept.begun.step);
+  stored.request_timer = parts_.loop.After(
+      stored.begun.time_left, [this, ticket] { OnTimeout(ticket); });
+  ExecuteStep(ticket, stored.begun.step);
 }
 
-void RequestForwarder::Carry(RequestTicket ticket, const Step& step) {
-  const auto found = running_.find(ticket);
-  if (found == running_.end()) {
+void RequestForwarder::ExecuteStep(RequestTicket ticket, const Step& step) {
+  const auto found = active_requests_.find(ticket);
+  if (found == active_requests_.end()) {
     return;
   }
-  Running& running = *found->second;
+  ActiveRequest& active = *found->second;
   if (const auto* const attempt = std::get_if<SendAttempt>(&step)) {
-    Send(ticket, running, *attempt);
+    Send(ticket, active, *attempt);
     return;
   }
   if (const auto* const pass_on = std::get_if<request_path::PassOn>(&step)) {
-    PassOn(running, *pass_on);
-    Forget(ticket);
+    ForwardResponse(active, *pass_on);
+    Remove(ticket);
     return;
   }
   if (const auto* const ending = std::get_if<RequestFailure>(&step)) {
-    End(running, *ending);
-    Forget(ticket);
+    End(active, *ending);
+    Remove(ticket);
   }
 }
 
 void RequestForwarder::Send(RequestTicket ticket,
-                            Running& running,
+                            ActiveRequest& active,
                             const SendAttempt& attempt) {
-  parts_.telemetry.OnSend(running.lines, running.decoded.id,
-                          *running.begun.route, attempt);
+  parts_.telemetry.OnSend(active.lines, active.decoded.id, *active.begun.route,
+                          attempt);
   if (attempt.should_announce && parts_.on_placed) {
-    parts_.on_placed(attempt.target, running.decoded.request.object);
+    parts_.on_placed(attempt.target, active.decoded.request.object);
   }
-  running.trace->OnSend(attempt, running.call);
+  active.trace->OnSend(attempt, active.call);
   OutboundRequest request;
   request.address = attempt.address;
-  request.text = parts_.codec.EncodeAttempt(running.call, attempt);
-  request.is_head_request = running.call.method == "HEAD";
+  request.text = parts_.codec.EncodeAttempt(active.call, attempt);
+  request.is_head_request = active.call.method == "HEAD";
   request.connect_timeout = std::max(
-      kLeastConnectTimeout, kConnectTimeoutRoundTrips * attempt.round_trip);
-  // The request's own timeout ends it.
+      kMinConnectTimeout, kConnectTimeoutRoundTrips * attempt.round_trip);
+  // The timer of the whole request ends the exchange earlier.
   request.timeout = Duration(std::chrono::hours(1));
-  request.max_idle = attempt.may_repeat ? kAnyIdle : kFreshIdle;
+  request.max_idle =
+      attempt.may_repeat ? kMaxIdleIfRepeatable : kMaxIdleIfNotRepeatable;
   request.is_matching_response =
-      [this, id = running.decoded.id](const HttpResponse& answer) {
-        return parts_.codec.IsOwnAnswer(answer, id);
+      [this, id = active.decoded.id](const HttpResponse& answer) {
+        return parts_.codec.IsResponseTo(answer, id);
       };
   request.on_connected = [this, region = attempt.region](Duration round_trip) {
     parts_.path.OnConnected(region, round_trip);
   };
-  running.exchanges[attempt.attempt] = parts_.caller.Send(
+  active.exchanges[attempt.attempt] = parts_.caller.Send(
       std::move(request), [this, ticket, attempt](ExchangeResult result) {
         OnResult(ticket, attempt, std::move(result));
       });
-  if (attempt.hedge_after && running.slow == 0) {
-    running.slow = parts_.loop.After(*attempt.hedge_after,
-                                     [this, ticket] { OnSlow(ticket); });
+  if (attempt.hedge_after && active.slow_attempt_timer == 0) {
+    active.slow_attempt_timer = parts_.loop.After(
+        *attempt.hedge_after, [this, ticket] { OnSlow(ticket); });
   }
 }
 
 void RequestForwarder::OnResult(RequestTicket ticket,
                                 const SendAttempt& attempt,
                                 ExchangeResult result) {
-  const auto found = running_.find(ticket);
-  if (found == running_.end()) {
+  const auto found = active_requests_.find(ticket);
+  if (found == active_requests_.end()) {
     return;
   }
-  Running& running = *found->second;
-  running.exchanges.erase(attempt.attempt);
+  ActiveRequest& active = *found->second;
+  active.exchanges.erase(attempt.attempt);
   const MonotonicTime now = parts_.loop.Now();
   AttemptEnd end = AttemptEnd::kLost;
   if (IsOk(result)) {
-    const ClassifiedResponse judged = parts_.codec.Judge(ValueOf(result));
-    end = judged.end;
-    if (judged.load) {
-      parts_.path.OnReport(attempt.target, *judged.load, now);
-      if (parts_.on_report) {
-        parts_.on_report(attempt.target, *judged.load);
+    const ClassifiedResponse classified =
+        parts_.codec.ClassifyResponse(ValueOf(result));
+    end = classified.end;
+    if (classified.load) {
+      parts_.path.OnReport(attempt.target, *classified.load, now);
+      if (parts_.on_load_report) {
+        parts_.on_load_report(attempt.target, *classified.load);
       }
     }
     if (end != AttemptEnd::kWrongTarget) {
-      parts_.path.OnRateLimit(ticket, attempt.attempt, judged.rate_limit, now);
+      parts_.path.OnRateLimit(ticket, attempt.attempt, classified.rate_limit,
+                              now);
     }
-    running.answers[attempt.attempt] = TakeValue(std::move(result));
+    active.answers[attempt.attempt] = TakeValue(std::move(result));
   } else {
-    end = EndOf(ErrorOf(result));
-    OnExchangeFailed(running, attempt, ErrorOf(result));
+    end = AttemptEndOf(ErrorOf(result));
+    OnExchangeFailed(active, attempt, ErrorOf(result));
   }
-  running.trace->OnAttemptEnd(attempt.attempt, end);
-  parts_.telemetry.OnAttemptEnd(running.lines, running.decoded.id, attempt, end,
-                                now - running.started_at);
-  Carry(ticket, parts_.path.OnAttemptEnd(ticket, attempt.attempt, end, now));
+  active.trace->OnAttemptEnd(attempt.attempt, end);
+  parts_.telemetry.OnAttemptEnd(active.lines, active.decoded.id, attempt, end,
+                                now - active.started_at);
+  ExecuteStep(ticket,
+              parts_.path.OnAttemptEnd(ticket, attempt.attempt, end, now));
 }
 
-void RequestForwarder::OnExchangeFailed(const Running& running,
+void RequestForwarder::OnExchangeFailed(const ActiveRequest& active,
                                         const SendAttempt& attempt,
                                         const ExchangeError& error) {
-  // What broke one connection may have broken those that idle beside it.
+  // The cause of one broken connection may have broken the idle connections to
+  // the same address, too.
   parts_.caller.CloseIdleConnections(attempt.address);
   const bool is_connection_closed =
       error.failure == ExchangeFailure::kClosed ||
       error.failure == ExchangeFailure::kTruncated;
   if (is_connection_closed && !error.is_proved_unsent) {
     crash_probe_.Check(attempt.address,
-                       {.id = running.decoded.id,
-                        .fingerprint = running.decoded.request.fingerprint,
+                       {.id = active.decoded.id,
+                        .fingerprint = active.decoded.request.fingerprint,
                         .target = attempt.target});
   }
 }
 
 void RequestForwarder::OnSlow(RequestTicket ticket) {
-  const auto found = running_.find(ticket);
-  if (found == running_.end()) {
+  const auto found = active_requests_.find(ticket);
+  if (found == active_requests_.end()) {
     return;
   }
-  found->second->slow = 0;
-  Carry(ticket, parts_.path.OnSlow(ticket, parts_.loop.Now()));
+  found->second->slow_attempt_timer = 0;
+  ExecuteStep(ticket, parts_.path.OnSlow(ticket, parts_.loop.Now()));
 }
 
 void RequestForwarder::OnTimeout(RequestTicket ticket) {
-  const auto found = running_.find(ticket);
-  if (found == running_.end()) {
+  const auto found = active_requests_.find(ticket);
+  if (found == active_requests_.end()) {
     return;
   }
-  found->second->timeout = 0;
+  found->second->request_timer = 0;
   End(*found->second, parts_.path.OnTimeout(ticket, parts_.loop.Now()));
-  Forget(ticket);
+  Remove(ticket);
 }
 
 void RequestForwarder::OnCallerGone(RequestTicket ticket) {
-  const auto found = running_.find(ticket);
-  if (found == running_.end()) {
+  const auto found = active_requests_.find(ticket);
+  if (found == active_requests_.end()) {
     return;
   }
   const MonotonicTime now = parts_.loop.Now();
@@ -212,39 +217,40 @@
                                 *found->second->begun.route,
                                 now - found->second->started_at);
   parts_.path.OnCallerGone(ticket);
-  Forget(ticket);
+  Remove(ticket);
 }
 
-void RequestForwarder::PassOn(Running& running,
-                              const request_path::PassOn& pass_on) {
-  HttpResponse& answer = running.answers.at(pass_on.attempt);
-  running.trace->OnAnswer(answer.status);
-  parts_.telemetry.OnAnswer(running.lines, running.decoded.id,
-                            *running.begun.route, answer.status,
-                            parts_.loop.Now() - running.started_at);
-  running.exchange->Respond(parts_.codec.PassOn(std::move(answer)));
+void RequestForwarder::ForwardResponse(ActiveRequest& active,
+                                       const request_path::PassOn& pass_on) {
+  HttpResponse& answer = active.answers.at(pass_on.attempt);
+  active.trace->OnAnswer(answer.status);
+  parts_.telemetry.OnAnswer(active.lines, active.decoded.id,
+                            *active.begun.route, answer.status,
+                            parts_.loop.Now() - active.started_at);
+  active.exchange->Respond(parts_.codec.ForwardResponse(std::move(answer)));
 }
 
-void RequestForwarder::End(Running& running, const RequestFailure& ending) {
-  running.trace->OnEnding(ending);
-  parts_.telemetry.OnEnding(running.lines, running.decoded,
-                            running.begun.route.get(), ending,
+void RequestForwarder::End(ActiveRequest& active,
+                           const RequestFailure& ending) {
+  active.trace->OnEnding(ending);
+  parts_.telemetry.OnEnding(active.lines, active.decoded,
+                            active.begun.route.get(), ending,
                             parts_.path.ConfigurationVersion(),
-                            parts_.loop.Now() - running.started_at);
-  running.exchange->Respond(
-      parts_.codec.EncodeEnding(ending, running.decoded.id));
+                            parts_.loop.Now() - active.started_at);
+  active.exchange->Respond(
+      parts_.codec.EncodeLocalResponse(ending, active.decoded.id));
 }
 
-void RequestForwarder::Forget(RequestTicket ticket) {
-  const auto found = running_.find(ticket);
-  if (found == running_.end()) {
+void RequestForwarder::Remove(RequestTicket ticket) {
+  const auto found = active_requests_.find(ticket);
+  if (found == active_requests_.end()) {
     return;
   }
-  const std::unique_ptr<Running> running = std::move(found->second);
-  running_.erase(found);
-  parts_.loop.Cancel(running->timeout);
-  parts_.loop.Cancel(running->slow);
-  for (const auto& [attempt, exchange] : running->exchanges) {
+  const std::unique_ptr<ActiveRequest> active = std::move(found->second);
+  active_requests_.erase(found);
+  parts_.loop.Cancel(active->request_timer);
+  parts_.loop.Cancel(active->slow_attempt_timer);
+  for (const auto& [attempt, exchange] : active->exchanges) {
     parts_.caller.Cancel(exchange);
   }
 }
--- a/lib/libmedlarcroft/source/adapters/forward/request_forwarder.h
+++ b/lib/libmedlarcroft/source/adapters/forward/request_forwarder.h
@@ -20,8 +20,8 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Carries out what RequestPath decides: takes callers' requests, sends
-/// them to targets, and gives each its answer.
+/// @brief Executes the decisions of `RequestPath`: accepts callers' requests,
+/// sends them to targets and returns the responses.
 class RequestForwarder final : public HttpRequestHandler {
  public:
   struct Parts {
@@ -31,23 +31,24 @@
     const RequestCodec& codec;
     RequestTelemetry& telemetry;
     telemetry::Tracer& tracer;
-    /// Told when an object was sent to a target, unless it was lately.
+    /// Called when an object is sent to a target to which it was not sent
+    /// recently.
     std::function<void(const request_path::TargetIdentity& target,
                        const std::string& object)>
         on_placed;
-    /// Told the load that a target's answer reported.
+    /// Called with the load that a target's response reports.
     std::function<void(const request_path::TargetIdentity&,
                        const request_path::LoadReport&)>
-        on_report;
+        on_load_report;
     /// Called for each send whose target crashed.
     CrashProbe::OnCrash on_crash;
   };
 
   explicit RequestForwarder(Parts parts)
       : parts_(std::move(parts)),
-        crash_probe_(parts_.loop, [this](const InterruptedSend& broken) {
+        crash_probe_(parts_.loop, [this](const InterruptedSend& interrupted) {
           if (parts_.on_crash) {
-            parts_.on_crash(broken);
+            parts_.on_crash(interrupted);
           }
         }) {}
   ~RequestForwarder() override;
@@ -55,13 +56,13 @@
   void OnRequest(HttpRequest call,
                  const std::shared_ptr<HttpExchange>& exchange) override;
 
-  /// @brief From now on every new request is refused: this host leaves.
-  void StopTaking() { is_taking_ = false; }
+  /// @brief Rejects all new requests from now on, since this host shuts down.
+  void StopAcceptingRequests() { is_accepting_ = false; }
 
-  [[nodiscard]] std::size_t InFlight() const { return running_.size(); }
+  [[nodiscard]] std::size_t InFlight() const { return active_requests_.size(); }
 
  private:
-  struct Running {
+  struct ActiveRequest {
     DecodedRequest decoded;
     HttpRequest call;
     std::optional<RequestTrace> trace;
@@ -69,38 +70,39 @@
     std::shared_ptr<HttpExchange> exchange;
     request_path::RequestStart begun;
     MonotonicTime started_at;
-    TimerId timeout = 0;
-    TimerId slow = 0;
+    TimerId request_timer = 0;
+    TimerId slow_attempt_timer = 0;
     std::map<request_path::AttemptNumber, ExchangeId> exchanges;
-    /// Whole answers that were not passed on yet, by attempt.
+    /// Complete responses that are not forwarded yet, by attempt.
     std::map<request_path::AttemptNumber, HttpResponse> answers;
   };
-  using RunningRequests =
-      std::unordered_map<request_path::RequestTicket, std::unique_ptr<Running>>;
+  using ActiveRequests = std::unordered_map<request_path::RequestTicket,
+                                            std::unique_ptr<ActiveRequest>>;
 
-  void Carry(request_path::RequestTicket ticket,
-             const request_path::Step& step);
+  void ExecuteStep(request_path::RequestTicket ticket,
+                   const request_path::Step& step);
   void Send(request_path::RequestTicket ticket,
-            Running& running,
+            ActiveRequest& active,
             const request_path::SendAttempt& attempt);
   void OnResult(request_path::RequestTicket ticket,
                 const request_path::SendAttempt& attempt,
                 ExchangeResult result);
-  void OnExchangeFailed(const Running& running,
+  void OnExchangeFailed(const ActiveRequest& active,
                         const request_path::SendAttempt& attempt,
                         const ExchangeError& error);
   void OnSlow(request_path::RequestTicket ticket);
   void OnTimeout(request_path::RequestTicket ticket);
   void OnCallerGone(request_path::RequestTicket ticket);
-  void PassOn(Running& running, const request_path::PassOn& pass_on);
-  void End(Running& running, const request_path::RequestFailure& ending);
-  /// @brief Forgets a request and ends what is still under way for it.
-  void Forget(request_path::RequestTicket ticket);
+  void ForwardResponse(ActiveRequest& active,
+                       const request_path::PassOn& pass_on);
+  void End(ActiveRequest& active, const request_path::RequestFailure& ending);
+  /// @brief Removes a request, and cancels its timers and pending exchanges.
+  void Remove(request_path::RequestTicket ticket);
 
   Parts parts_;
   CrashProbe crash_probe_;
-  bool is_taking_ = true;
-  RunningRequests running_;
+  bool is_accepting_ = true;
+  ActiveRequests active_requests_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/forward/request_telemetry.cc
+++ b/lib/libmedlarcroft/source/adapters/forward/request_telemetry.cc
@@ -13,42 +13,42 @@
 using telemetry::MetricDescription;
 using telemetry::RequestOutcome;
 
-constexpr MetricDescription kAnswers = {"medlar_requests_answered_total",
-                                        "Requests that got a target's answer."};
-constexpr MetricDescription kEndings = {
+constexpr MetricDescription kAnsweredRequests = {
+    "medlar_requests_answered_total", "Requests that got a target's answer."};
+constexpr MetricDescription kLocallyEndedRequests = {
     "medlar_requests_ended_total",
     "Requests that this host answered itself, by reason."};
-constexpr MetricDescription kGone = {"medlar_callers_gone_total",
-                                     "Callers that left before their answer."};
-constexpr MetricDescription kSends = {"medlar_attempts_total",
-                                      "Sends to targets, first or further."};
-constexpr MetricDescription kEnds = {"medlar_attempt_ends_total",
-                                     "Ends of sends, by what was seen."};
-constexpr MetricDescription kLeftOut = {
+constexpr MetricDescription kCallersGone = {
+    "medlar_callers_gone_total", "Callers that left before their answer."};
+constexpr MetricDescription kAttempts = {"medlar_attempts_total",
+                                         "Sends to targets, first or further."};
+constexpr MetricDescription kAttemptEnds = {"medlar_attempt_ends_total",
+                                            "Ends of sends, by what was seen."};
+constexpr MetricDescription kUnloggedRequests = {
     "medlar_requests_not_logged_total",
     "Requests of which no line was written, by how they ended."};
-constexpr MetricDescription kAnswerTime = {
+constexpr MetricDescription kAnswerLatency = {
     "medlar_answer_seconds", "From a request's arrival to its whole answer."};
 
-constexpr std::array<std::string_view, 11> kReasonNames = {
+constexpr std::array<std::string_view, 11> kEndReasonNames = {
     "not-configured", "no-route",     "no-route-yet",   "no-target",
     "no-room",        "too-late",     "retries-spent",  "may-have-run",
     "timed-out",      "host-leaving", "crashes-targets"};
-constexpr std::array<std::string_view, 7> kEndNames = {
+constexpr std::array<std::string_view, 7> kAttemptEndNames = {
     "answered",   "target-failed", "not-run",  "other-target",
     "never-sent", "lost",          "timed-out"};
 
-RequestOutcome OutcomeOfEnding(const routing::Route* route) {
-  const bool is_order =
+RequestOutcome OutcomeOf(const routing::Route* route) {
+  const bool is_non_idempotent =
       route != nullptr && route->kind == routing::RequestKind::kNonIdempotent;
-  return is_order ? RequestOutcome::kNonIdempotentFailed
-                  : RequestOutcome::kFailed;
+  return is_non_idempotent ? RequestOutcome::kNonIdempotentFailed
+                           : RequestOutcome::kFailed;
 }
 
-void WriteSend(WallTime at,
-               std::string_view id,
-               const routing::Route& route,
-               const request_path::SendAttempt& attempt) {
+void LogSend(WallTime at,
+             std::string_view id,
+             const routing::Route& route,
+             const request_path::SendAttempt& attempt) {
   const request_path::Placement& placement = attempt.placement;
   LogUnthrottled(
       {.time = at,
@@ -70,11 +70,11 @@
        {"is_warm", placement.is_warm}});
 }
 
-void WriteAttemptEnd(WallTime at,
-                     std::string_view id,
-                     const request_path::SendAttempt& attempt,
-                     AttemptEnd end,
-                     Duration since_arrival) {
+void LogAttemptEnd(WallTime at,
+                   std::string_view id,
+                   const request_path::SendAttempt& attempt,
+                   AttemptEnd end,
+                   Duration since_arrival) {
   LogUnthrottled(
       {.time = at, .level = LogLevel::kWarning, .event = "attempt-failed"},
       {{"request", id},
@@ -89,57 +89,60 @@
 }  // namespace
 
 std::string_view NameOf(FailureReason reason) {
-  return kReasonNames.at(static_cast<std::size_t>(reason));
+  return kEndReasonNames.at(static_cast<std::size_t>(reason));
 }
 
 std::string_view NameOf(AttemptEnd end) {
-  return kEndNames.at(static_cast<std::size_t>(end));
+  return kAttemptEndNames.at(static_cast<std::size_t>(end));
 }
 
 RequestTelemetry::RequestTelemetry(telemetry::MetricsRegistry& metrics,
                                    const ports::Clock& clock)
     : metrics_(metrics),
       clock_(clock),
-      answered_(metrics.CounterOf(kAnswers)),
-      caller_gone_(metrics.CounterOf(kGone)),
-      first_sends_(
-          metrics.CounterOf(kSends, {Label::OfConstant("attempt", "first")})),
+      answered_(metrics.CounterOf(kAnsweredRequests)),
+      caller_gone_(metrics.CounterOf(kCallersGone)),
+      first_sends_(metrics.CounterOf(kAttempts,
+                                     {Label::OfConstant("attempt", "first")})),
       further_sends_(
-          metrics.CounterOf(kSends, {Label::OfConstant("attempt", "further")})),
-      answer_time_(metrics.HistogramOf(kAnswerTime)) {}
-
-bool RequestTelemetry::IsChosenById(RequestLogBuffer& lines,
-                                    std::string_view id) {
-  if (!lines.is_chosen) {
-    lines.is_chosen = budget_.SampleById(id, clock_.Now());
+          metrics.CounterOf(kAttempts,
+                            {Label::OfConstant("attempt", "further")})),
+      answer_latency_(metrics.HistogramOf(kAnswerLatency)) {}
+
+bool RequestTelemetry::IsSampledById(RequestLogBuffer& lines,
+                                     std::string_view id) {
+  if (!lines.is_sampled_by_id) {
+    lines.is_sampled_by_id = budget_.SampleById(id, clock_.Now());
   }
-  return *lines.is_chosen;
+  return *lines.is_sampled_by_id;
 }
 
 bool RequestTelemetry::SampleAtEnd(RequestLogBuffer& lines,
                                    std::string_view id,
                                    const routing::Route* route,
                                    RequestOutcome outcome) {
-  if (IsChosenById(lines, id)) {
+  if (IsSampledById(lines, id)) {
     return true;
   }
   if (!budget_.SampleAtEnd(outcome, clock_.Now())) {
     metrics_
-        .CounterOf(kLeftOut, {Label::OfConstant("outcome", NameOf(outcome))})
+        .CounterOf(kUnloggedRequests,
+                   {Label::OfConstant("outcome", NameOf(outcome))})
         .Add();
     return false;
   }
-  for (const BufferedAttempt& kept : lines.kept) {
-    if (kept.end) {
-      WriteAttemptEnd(kept.at, id, kept.attempt, *kept.end, kept.since_arrival);
+  for (const BufferedAttempt& buffered : lines.attempts) {
+    if (buffered.end) {
+      LogAttemptEnd(buffered.at, id, buffered.attempt, *buffered.end,
+                    buffered.since_arrival);
     } else {
-      WriteSend(kept.at, id, *route, kept.attempt);
+      LogSend(buffered.at, id, *route, buffered.attempt);
     }
   }
   return true;
 }
 
-LogLine RequestTelemetry::LastLine(LogLevel level, std::string_view event) {
+LogLine RequestTelemetry::FinalLogLine(LogLevel level, std::string_view event) {
   return {.time = clock_.WallNow(),
           .level = level,
           .event = event,
@@ -151,10 +154,10 @@
                               const routing::Route& route,
                               const request_path::SendAttempt& attempt) {
   (attempt.attempt == 1 ? first_sends_ : further_sends_).Add();
-  if (IsChosenById(lines, id)) {
-    WriteSend(clock_.WallNow(), id, route, attempt);
+  if (IsSampledById(lines, id)) {
+    LogSend(clock_.WallNow(), id, route, attempt);
   } else {
-    lines.kept.push_back({.at = clock_.WallNow(), .attempt = attempt});
+    lines.attempts.push_back({.at = clock_.WallNow(), .attempt = attempt});
   }
 }
 
@@ -163,17 +166,18 @@
                                     const request_path::SendAttempt& attempt,
                                     AttemptEnd end,
                                     Duration since_arrival) {
-  metrics_.CounterOf(kEnds, {Label::OfConstant("end", NameOf(end))}).Add();
+  metrics_.CounterOf(kAttemptEnds, {Label::OfConstant("end", NameOf(end))})
+      .Add();
   if (end == AttemptEnd::kAnswered) {
     return;
   }
-  if (IsChosenById(lines, id)) {
-    WriteAttemptEnd(clock_.WallNow(), id, attempt, end, since_arrival);
+  if (IsSampledById(lines, id)) {
+    LogAttemptEnd(clock_.WallNow(), id, attempt, end, since_arrival);
   } else {
-    lines.kept.push_back({.at = clock_.WallNow(),
-                          .attempt = attempt,
-                          .end = end,
-                          .since_arrival = since_arrival});
+    lines.attempts.push_back({.at = clock_.WallNow(),
+                              .attempt = attempt,
+                              .end = end,
+                              .since_arrival = since_arrival});
   }
 }
 
@@ -183,14 +187,14 @@
                                 int status,
                                 Duration since_arrival) {
   answered_.Add();
-  answer_time_.Record(since_arrival);
+  answer_latency_.Record(since_arrival);
   const bool is_late = since_arrival > route.latency_objective;
   if (!SampleAtEnd(lines, id, &route,
                    is_late ? RequestOutcome::kLate : RequestOutcome::kServed)) {
     return;
   }
-  LogUnthrottled(LastLine(LogLevel::kInfo, is_late ? "request-answered-late"
-                                                   : "request-answered"),
+  LogUnthrottled(FinalLogLine(LogLevel::kInfo, is_late ? "request-answered-late"
+                                                       : "request-answered"),
                  {{"request", id},
                   {"route", route.name},
                   {"status", status},
@@ -206,13 +210,14 @@
                                 Duration since_arrival) {
   const std::string_view name = NameOf(ending.reason);
   const auto& best = ending.best;
-  metrics_.CounterOf(kEndings, {Label::OfConstant("reason", name)}).Add();
-  if (!SampleAtEnd(lines, call.id, route, OutcomeOfEnding(route))) {
+  metrics_.CounterOf(kLocallyEndedRequests, {Label::OfConstant("reason", name)})
+      .Add();
+  if (!SampleAtEnd(lines, call.id, route, OutcomeOf(route))) {
     return;
   }
   LogUnthrottled(
-      LastLine(LogLevel::kWarning,
-               ending.is_not_run ? "request-refused" : "request-failed"),
+      FinalLogLine(LogLevel::kWarning,
+                   ending.is_not_run ? "request-refused" : "request-failed"),
       {{"request", call.id},
        {"route", route == nullptr ? std::string_view{} : route->name},
        {"path", call.request.target},
@@ -237,7 +242,7 @@
   if (!SampleAtEnd(lines, id, &route, RequestOutcome::kLate)) {
     return;
   }
-  LogUnthrottled(LastLine(LogLevel::kInfo, "request-cancelled"),
+  LogUnthrottled(FinalLogLine(LogLevel::kInfo, "request-cancelled"),
                  {{"request", id},
                   {"reason", "caller-gone"},
                   {"since_arrival_ms", ToMilliseconds(since_arrival)}});
--- a/lib/libmedlarcroft/source/adapters/forward/request_telemetry.h
+++ b/lib/libmedlarcroft/source/adapters/forward/request_telemetry.h
@@ -20,25 +20,26 @@
 [[nodiscard]] std::string_view NameOf(request_path::FailureReason reason);
 [[nodiscard]] std::string_view NameOf(request_path::AttemptEnd end);
 
-/// @brief A send or its end, kept until it is known whether the request is
-/// logged.
+/// @brief The start or the end of a send, buffered until it is known whether
+/// the request is logged.
 struct BufferedAttempt {
   WallTime at;
   request_path::SendAttempt attempt;
-  std::optional<request_path::AttemptEnd> end;  ///< None: it was sent.
+  std::optional<request_path::AttemptEnd> end;  ///< nullopt: the start.
   Duration since_arrival{0};
 };
 
-/// @brief What is known of one request's lines.
+/// @brief The logging state of one request.
 struct RequestLogBuffer {
-  /// Whether it is logged for its id; nothing before its first line.
-  std::optional<bool> is_chosen;
-  std::vector<BufferedAttempt> kept;
+  /// Whether the request is logged for its identifier; nullopt before its first
+  /// line.
+  std::optional<bool> is_sampled_by_id;
+  std::vector<BufferedAttempt> attempts;
 };
 
-/// @brief Counts what is decided on requests, and logs all lines of some of
-/// them: see `RequestLogSampler`. The last line says how many requests were
-/// left out since.
+/// @brief Counts the decisions on requests, and logs some of the requests, each
+/// with all its lines; see `RequestLogSampler`. The final line of a request
+/// states how many requests were not logged since the previous final line.
 class RequestTelemetry {
  public:
   RequestTelemetry(telemetry::MetricsRegistry& metrics,
@@ -58,7 +59,7 @@
                 const routing::Route& route,
                 int status,
                 Duration since_arrival);
-  /// @param route null when none was found.
+  /// @param route null when no route matched.
   void OnEnding(RequestLogBuffer& lines,
                 const DecodedRequest& call,
                 const routing::Route* route,
@@ -71,15 +72,17 @@
                     Duration since_arrival);
 
  private:
-  [[nodiscard]] bool IsChosenById(RequestLogBuffer& lines, std::string_view id);
-  /// @brief Writes what was kept of a request that is logged after all.
-  /// @param route null when none was found.
-  /// @return whether its last line is to be written.
+  [[nodiscard]] bool IsSampledById(RequestLogBuffer& lines,
+                                   std::string_view id);
+  /// @brief Decides whether a request is logged at its end. Writes the buffered
+  /// lines of a request that was not logged for its identifier.
+  /// @param route null when no route matched.
+  /// @return whether its final line is to be written.
   [[nodiscard]] bool SampleAtEnd(RequestLogBuffer& lines,
                                  std::string_view id,
                                  const routing::Route* route,
                                  telemetry::RequestOutcome outcome);
-  [[nodiscard]] LogLine LastLine(LogLevel level, std::string_view event);
+  [[nodiscard]] LogLine FinalLogLine(LogLevel level, std::string_view event);
 
   telemetry::MetricsRegistry& metrics_;
   const ports::Clock& clock_;
@@ -88,7 +91,7 @@
   telemetry::Counter& caller_gone_;
   telemetry::Counter& first_sends_;
   telemetry::Counter& further_sends_;
-  telemetry::LatencyHistogram& answer_time_;
+  telemetry::LatencyHistogram& answer_latency_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/forward/request_trace.cc
+++ b/lib/libmedlarcroft/source/adapters/forward/request_trace.cc
@@ -15,7 +15,7 @@
 
 constexpr std::string_view kTraceHeader = "traceparent";
 
-std::optional<telemetry::TraceContext> ParentOf(const HttpRequest& call) {
+std::optional<telemetry::TraceContext> ParseParent(const HttpRequest& call) {
   const auto parsed = telemetry::ParseTraceparent(
       call.headers.Find(kTraceHeader).value_or(std::string_view{}));
   return IsOk(parsed) ? std::optional(ValueOf(parsed)) : std::nullopt;
@@ -28,59 +28,60 @@
                            std::string_view id)
     : tracer_(tracer) {
   telemetry::ActiveSpan span =
-      tracer.Start("entry-host", SpanKind::kServer, ParentOf(call));
+      tracer.Start("entry-host", SpanKind::kServer, ParseParent(call));
   if (!span.IsSampled()) {
     return;
   }
-  request_.emplace(std::move(span));
-  request_->SetAttribute("medlar.request", std::string(id));
+  request_span_.emplace(std::move(span));
+  request_span_->SetAttribute("medlar.request", std::string(id));
 }
 
 void RequestTrace::OnSend(const request_path::SendAttempt& attempt,
                           HttpRequest& call) {
-  if (!request_) {
+  if (!request_span_) {
     return;
   }
   telemetry::ActiveSpan span =
-      tracer_.Start("target", SpanKind::kClient, request_->Context());
+      tracer_.Start("target", SpanKind::kClient, request_span_->Context());
   span.SetAttribute("medlar.target", attempt.target.name.Value());
   span.SetAttribute("medlar.region", attempt.region.Value());
   span.SetAttribute("medlar.attempt", std::int64_t{attempt.attempt});
   call.headers.Set(kTraceHeader, telemetry::FormatTraceparent(span.Context()));
-  attempts_.emplace(attempt.attempt, std::move(span));
+  attempt_spans_.emplace(attempt.attempt, std::move(span));
 }
 
 void RequestTrace::OnAttemptEnd(request_path::AttemptNumber attempt,
                                 request_path::AttemptEnd end) {
-  const auto found = attempts_.find(attempt);
-  if (found == attempts_.end()) {
+  const auto found = attempt_spans_.find(attempt);
+  if (found == attempt_spans_.end()) {
     return;
   }
   found->second.SetAttribute("medlar.end", std::string(NameOf(end)));
   found->second.SetStatus(end == request_path::AttemptEnd::kAnswered
                               ? SpanStatus::kOk
                               : SpanStatus::kError);
-  attempts_.erase(found);
+  attempt_spans_.erase(found);
 }
 
 void RequestTrace::OnAnswer(int status) {
-  attempts_.clear();
-  if (!request_) {
+  attempt_spans_.clear();
+  if (!request_span_) {
     return;
   }
-  request_->SetAttribute("http.status_code", std::int64_t{status});
-  request_->SetStatus(SpanStatus::kOk);
-  request_.reset();
+  request_span_->SetAttribute("http.status_code", std::int64_t{status});
+  request_span_->SetStatus(SpanStatus::kOk);
+  request_span_.reset();
 }
 
 void RequestTrace::OnEnding(const request_path::RequestFailure& ending) {
-  attempts_.clear();
-  if (!request_) {
+  attempt_spans_.clear();
+  if (!request_span_) {
     return;
   }
-  request_->SetAttribute("medlar.reason", std::string(NameOf(ending.reason)));
-  request_->SetStatus(SpanStatus::kError);
-  request_.reset();
+  request_span_->SetAttribute("medlar.reason",
+                              std::string(NameOf(ending.reason)));
+  request_span_->SetStatus(SpanStatus::kError);
+  request_span_.reset();
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/forward/request_trace.h
+++ b/lib/libmedlarcroft/source/adapters/forward/request_trace.h
@@ -12,27 +12,29 @@
 namespace medlarcroft::adapters {
 
 /// @brief The spans of one request: one for this host, and below it one for
-/// each send to a target. A request that is not sampled has none, and what its
-/// caller said of its trace is sent on unchanged.
+/// each send to a target. A request that is not sampled has no spans, and its
+/// caller's trace header is forwarded unchanged.
 class RequestTrace {
  public:
-  /// @param id the caller's own name for the request.
+  /// @param id request identifier assigned by the caller.
   RequestTrace(telemetry::Tracer& tracer,
                const HttpRequest& call,
                std::string_view id);
 
-  /// @brief Begins a send's span, and names it to the target in `call`.
+  /// @brief Starts the span of a send, and sets the trace header of `call` so
+  /// that this span is the parent of the target's spans.
   void OnSend(const request_path::SendAttempt& attempt, HttpRequest& call);
   void OnAttemptEnd(request_path::AttemptNumber attempt,
                     request_path::AttemptEnd end);
-  /// @brief Ends this host's span, and those of sends that are given up.
+  /// @brief Ends this host's span and the spans of abandoned sends.
   void OnAnswer(int status);
   void OnEnding(const request_path::RequestFailure& ending);
 
  private:
   telemetry::Tracer& tracer_;
-  std::optional<telemetry::ActiveSpan> request_;  ///< Absent: not sampled.
-  std::map<request_path::AttemptNumber, telemetry::ActiveSpan> attempts_;
+  std::optional<telemetry::ActiveSpan>
+      request_span_;  ///< nullopt: not sampled.
+  std::map<request_path::AttemptNumber, telemetry::ActiveSpan> attempt_spans_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/programs/node/crash_sharing.cc
+++ b/programs/node/crash_sharing.cc
@@ -19,7 +19,7 @@
 using request_path::RequestFingerprint;
 
 // Reports repeated per period; bounds the traffic per host.
-constexpr std::size_t kMostRepeatedReports = 40;
+constexpr std::size_t kMaxRepeatedReports = 40;
 constexpr Duration kRowWriteRetryPeriod = std::chrono::seconds(5);
 // A row is removed this long after its expiry, to allow for clock skew.
 constexpr Duration kRowExpiryMargin = std::chrono::seconds(30);
@@ -37,7 +37,7 @@
 }  // namespace
 
 CrashSharing::CrashSharing(const Parts& parts)
-    : parts_(parts), crashes_(parts.metrics.CounterOf(kCrashes)) {
+    : parts_(parts), crash_counter_(parts.metrics.CounterOf(kCrashes)) {
   parts_.ledger.Observe(this);
   parts_.metrics.AddGaugeSource(kBlocked, {}, [this] {
     return static_cast<double>(parts_.ledger.BlockedRequests());
@@ -52,17 +52,17 @@
   parts_.loop.Every(peer_updates::kGlobalRepeatPeriod, [this] { Tick(); });
 }
 
-void CrashSharing::OnCrash(const adapters::InterruptedSend& broken) {
-  crashes_.Add();
-  parts_.ledger.OnCrash(broken.fingerprint,
-                        request_path::NumberOf(broken.target),
+void CrashSharing::OnCrash(const adapters::InterruptedSend& interrupted) {
+  crash_counter_.Add();
+  parts_.ledger.OnCrash(interrupted.fingerprint,
+                        request_path::NumberOf(interrupted.target),
                         parts_.loop.Now());
   Log(LogLevel::kWarning, "target-crashed",
-      {{"request", broken.id},
-       {"fingerprint", platform::FormatFingerprint(broken.fingerprint)},
-       {"target", broken.target.name.Value()},
-       {"incarnation", broken.target.incarnation},
-       {"crashes", parts_.ledger.CrashesOf(broken.fingerprint)}});
+      {{"request", interrupted.id},
+       {"fingerprint", platform::FormatFingerprint(interrupted.fingerprint)},
+       {"target", interrupted.target.name.Value()},
+       {"incarnation", interrupted.target.incarnation},
+       {"crashes", parts_.ledger.CrashesOf(interrupted.fingerprint)}});
 }
 
 void CrashSharing::OnReport(const request_path::CrashReport& report) {
@@ -70,7 +70,7 @@
 }
 
 void CrashSharing::OnPublish(const request_path::CrashReport& report) {
-  parts_.peers.BroadcastCrashes(std::span(&report, 1));
+  parts_.peers.PublishCrashes(std::span(&report, 1));
   const auto stored = stored_rows_.find(report.request);
   if (report.kind == request_path::CrashReportKind::kAnswered &&
       stored != stored_rows_.end()) {
@@ -151,8 +151,8 @@
   const MonotonicTime now = parts_.loop.Now();
   const WallTime wall = parts_.loop.Clock().WallNow();
   parts_.ledger.Advance(now);
-  parts_.peers.BroadcastCrashes(
-      parts_.ledger.ReportsToRepeat(kMostRepeatedReports, now));
+  parts_.peers.PublishCrashes(
+      parts_.ledger.ReportsToRepeat(kMaxRepeatedReports, now));
   std::erase_if(own_rows_,
                 [wall](const auto& own) { return own.second.until < wall; });
   for (auto& [request, row] : own_rows_) {
--- a/programs/node/crash_sharing.h
+++ b/programs/node/crash_sharing.h
@@ -36,7 +36,7 @@
   void Start();
 
   /// @brief Handles a target crash during a send of this host.
-  void OnCrash(const adapters::InterruptedSend& broken);
+  void OnCrash(const adapters::InterruptedSend& interrupted);
   /// @brief Handles a report of another host.
   void OnReport(const request_path::CrashReport& report);
   /// @brief Handles a written or removed row of a blocked request.
@@ -71,7 +71,7 @@
   Parts parts_;
   std::map<request_path::RequestFingerprint, OwnRow> own_rows_;
   std::map<request_path::RequestFingerprint, StoredRow> stored_rows_;
-  telemetry::Counter& crashes_;
+  telemetry::Counter& crash_counter_;
 };
 
 }  // namespace medlarcroft::node
--- a/programs/node/limit_sharing.cc
+++ b/programs/node/limit_sharing.cc
@@ -32,13 +32,13 @@
 
 void LimitSharing::Start() {
   parts_.loop.Every(peer_updates::kGlobalRepeatPeriod, [this] {
-    parts_.peers.BroadcastLimits(
+    parts_.peers.PublishLimits(
         parts_.limits.ReportsToRepeat(parts_.loop.Now()));
   });
 }
 
 void LimitSharing::OnPublish(const request_path::LimitReport& report) {
-  parts_.peers.BroadcastLimits(std::span(&report, 1));
+  parts_.peers.PublishLimits(std::span(&report, 1));
 }
 
 void LimitSharing::OnLimited(request_path::TargetNumber target,
--- a/programs/node/logging_table_listener.h
+++ b/programs/node/logging_table_listener.h
@@ -8,11 +8,11 @@
 
 namespace medlarcroft::node {
 
-/// @brief Writes a line when a table's news stops coming, comes again, or has
-/// to be read by this host itself.
+/// @brief Logs when updates of a table stop, when they resume, and when this
+/// host has to read the table from the store itself.
 class LoggingTableListener : public replication::TableListener {
  public:
-  /// @param name of the table, in the log.
+  /// @param name name of the table in log lines.
   explicit LoggingTableListener(std::string_view name) : name_(name) {}
 
   void OnCallFailed(const replication::FailedCall& call) override {
--- a/programs/node/main.cc
+++ b/programs/node/main.cc
@@ -1,4 +1,4 @@
-// medlar-node: one host of medlarcroft on the users' platform.
+// medlar-node: runs one host of medlarcroft on the users' platform.
 #include <cstdlib>
 #include <iostream>
 #include <span>
@@ -21,14 +21,14 @@
 using Start = adapters::ProgramStart<adapters::NodeSettings>;
 
 void Reload(const Start& start, medlarcroft::node::Node& node) {
-  const auto again =
+  const auto reloaded =
       adapters::LoadSettings(adapters::NodeSchema(), start.settings_file);
-  if (!IsOk(again)) {
-    adapters::PrintSettingsErrors(medlarcroft::ErrorOf(again), std::cerr);
+  if (!IsOk(reloaded)) {
+    adapters::PrintSettingsErrors(medlarcroft::ErrorOf(reloaded), std::cerr);
     adapters::Log(adapters::LogLevel::kError, "settings-refused");
     return;
   }
-  node.Reload(ValueOf(again));
+  node.Reload(ValueOf(reloaded));
   adapters::Log(adapters::LogLevel::kInfo, "settings-reloaded");
 }
 
@@ -67,15 +67,15 @@
       argv + 1, static_cast<std::size_t>(argc - 1));
   const auto start = adapters::StartProgram(
       {.name = "medlar-node",
-       .summary = "steers and forwards requests on the users' platform"},
+       .summary = "routes and forwards requests on the users' platform"},
       adapters::NodeSchema(), arguments, std::cout, std::cerr);
   if (!IsOk(start)) {
     return medlarcroft::ErrorOf(start);
   }
   const int status = Run(ValueOf(start));
-  // Failure: at exit the log library waits for its worker threads, which were
-  // seen not to end on a host with one slow core. Symptom: a stopped process
-  // stays until it is killed, and its successor starts seconds later. All that
-  // was to be said is written by now, so nothing is lost by not waiting.
+  // At a normal exit the log library waits for its worker threads, which may
+  // fail to end on a host with one slow core. The stopped process would then
+  // stay until it is killed, and its successor would start seconds later. All
+  // log lines are written by now, so nothing is lost by not waiting.
   std::quick_exit(status);
 }
--- a/programs/node/metrics_handler.h
+++ b/programs/node/metrics_handler.h
@@ -8,7 +8,7 @@
 
 namespace medlarcroft::node {
 
-/// @brief Serves all metrics as Prometheus text.
+/// @brief Serves all metrics in the Prometheus text format.
 class MetricsHandler final : public adapters::HttpRequestHandler {
  public:
   explicit MetricsHandler(const telemetry::MetricsRegistry& metrics)
--- a/programs/node/node.cc
+++ b/programs/node/node.cc
@@ -19,32 +19,35 @@
 using telemetry::MetricDescription;
 
 constexpr Duration kTickPeriod = std::chrono::milliseconds(250);
-// Callers ask again after this, so a host that leaves or dies is named no
-// longer than that; shorter costs more look-ups.
+// Callers repeat their look-up after this time, so it bounds how long they are
+// sent to a host that has left or failed. A shorter time costs more look-ups.
 constexpr Duration kLookupTimeToLive = std::chrono::milliseconds(1000);
-// Some callers keep an answer three times as long as they are told.
-constexpr Duration kAnnounceTime = std::chrono::milliseconds(2800);
-// Before the end of the stop's time limit, to leave in order.
+// Some callers keep a look-up's result for three times its time to live.
+constexpr Duration kAnnouncementPeriod = std::chrono::milliseconds(2800);
+// Part of the stop limit that is reserved for an orderly exit.
 constexpr Duration kStopReserve = std::chrono::milliseconds(350);
-// A host that starts looks so long for hosts that read for its region. Load: a
-// start of all at once, when hundreds of rows are written one after the other;
-// each host that does not find a reader reads all tables from the store.
-constexpr Duration kReaderSearch = std::chrono::milliseconds(1200);
-constexpr Duration kReaderSearchStep = std::chrono::milliseconds(20);
-// Part of the memory that callers' bodies may take.
-constexpr std::size_t kBodyMemoryPart = 16;
+// How long a starting host searches for hosts that read the tables for its
+// region. All hosts may start at once, and hundreds of rows are then written
+// one after the other. Each host that finds no reader reads all tables from the
+// store.
+constexpr Duration kReaderDiscoveryTimeout = std::chrono::milliseconds(1200);
+constexpr Duration kReaderDiscoveryPollPeriod = std::chrono::milliseconds(20);
+// A request body may take at most the host's memory divided by this.
+constexpr std::size_t kBodyMemoryDivisor = 16;
 constexpr std::size_t kMegabyte = std::size_t{1024} * 1024;
 
-// The bound on shifts holds for windows of this length. Most of it is left to
-// chance and to domains that come and go; and objects that move fast are run
-// anew more often than room elsewhere makes up for.
+// Length of the windows for which the bound on shifted requests holds.
 constexpr Duration kShiftWindow = std::chrono::seconds(2);
-constexpr double kPlannedShift = 0.1;
+// Part of that bound that is used by plan. Most of it is left for random
+// fluctuation and for failure domains that fail and return. Besides, objects
+// that move fast are processed anew more often than the free capacity elsewhere
+// makes up for.
+constexpr double kPlannedShiftFraction = 0.1;
 
-constexpr std::array<std::string_view, 6> kFailureNames = {
+constexpr std::array<std::string_view, 6> kStartFailureNames = {
     "caller-listener",  "readiness-listener", "lookup-listener",
     "metrics-listener", "peer-listener",      "peer-socket"};
-constexpr std::array<std::string_view, 8> kChangeNames = {
+constexpr std::array<std::string_view, 8> kBookChangeNames = {
     "added",   "updated",  "leaving",   "doubted",
     "removed", "returned", "restarted", "unreadable"};
 
@@ -67,7 +70,7 @@
                           .window = bounds.attempt_window},
           .cold_over = bounds.cold_over,
           .cold_extra = static_cast<double>(bounds.cold_extra),
-          .region_plan = {.max_shift_per_second = kPlannedShift *
+          .region_plan = {.max_shift_per_second = kPlannedShiftFraction *
                                                   bounds.shift_most /
                                                   ToSeconds(kShiftWindow)}};
 }
@@ -75,14 +78,14 @@
 process::StopSequence::Options StopOptions(
     const adapters::NodeSettings& settings) {
   const Duration limit = settings.bounds.stop_limit - kStopReserve;
-  const Duration announce = std::min(kAnnounceTime, limit / 2);
+  const Duration announce = std::min(kAnnouncementPeriod, limit / 2);
   return {.announce_time = announce, .finish_limit = limit - announce};
 }
 
 }  // namespace
 
 std::string_view NameOf(StartFailure failure) {
-  return kFailureNames.at(static_cast<std::size_t>(failure));
+  return kStartFailureNames.at(static_cast<std::size_t>(failure));
 }
 
 Node::Node(const adapters::NodeSettings& settings, adapters::EventLoop& loop)
@@ -101,30 +104,30 @@
               random_,
               spans_.Exporter(),
               settings_.telemetry.trace_sampling),
-      runner_({.loop = loop,
-               .caller = caller_,
-               .path = path_,
-               .codec = codec_,
-               .telemetry = telemetry_,
-               .tracer = tracer_,
-               .on_placed =
-                   [this](const request_path::TargetIdentity& target,
-                          const std::string& object) {
-                     peers_.BroadcastPlacement(
-                         {.target = request_path::NumberOf(target),
-                          .object = request_path::ObjectKey(object)});
-                   },
-               .on_report =
-                   [this](const request_path::TargetIdentity& target,
-                          const request_path::LoadReport& report) {
-                     peers_.BroadcastLoad(
-                         {.target = request_path::NumberOf(target),
-                          .requests = report.running + report.waiting});
-                   },
-               .on_crash =
-                   [this](const adapters::InterruptedSend& broken) {
-                     crash_sharing_.OnCrash(broken);
-                   }}),
+      forwarder_({.loop = loop,
+                  .caller = caller_,
+                  .path = path_,
+                  .codec = codec_,
+                  .telemetry = telemetry_,
+                  .tracer = tracer_,
+                  .on_placed =
+                      [this](const request_path::TargetIdentity& target,
+                             const std::string& object) {
+                        peers_.PublishPlacement(
+                            {.target = request_path::NumberOf(target),
+                             .object = request_path::ObjectKey(object)});
+                      },
+                  .on_load_report =
+                      [this](const request_path::TargetIdentity& target,
+                             const request_path::LoadReport& report) {
+                        peers_.PublishLoad(
+                            {.target = request_path::NumberOf(target),
+                             .requests = report.running + report.waiting});
+                      },
+                  .on_crash =
+                      [this](const adapters::InterruptedSend& interrupted) {
+                        crash_sharing_.OnCrash(interrupted);
+                      }}),
       store_(loop, {.address = settings.store_address}, metrics_),
       peers_(settings_,
              {.loop = loop,
@@ -163,69 +166,74 @@
                       .targets = targets_,
                       .peers = peers_,
                       .metrics = metrics_}),
-      operator_news_(loop, routes_, targets_, [this] { ApplyCallerLimits(); }),
-      target_news_(loop, targets_),
-      operator_watch_({.timers = loop,
-                       .store = store_,
-                       .random = random_,
-                       .listener = operator_news_},
-                      WatchOptions(platform::kOperatorTableName)),
-      target_watch_({.timers = loop,
-                     .store = store_,
-                     .random = random_,
-                     .listener = target_news_},
-                    WatchOptions(platform::kTargetTableName)),
-      readiness_page_([this] { return IsReady(); }),
-      lookup_page_(
+      operator_listener_(loop,
+                         routes_,
+                         targets_,
+                         [this] { ApplyCallerLimits(); }),
+      target_listener_(loop, targets_),
+      operator_follower_({.timers = loop,
+                          .store = store_,
+                          .random = random_,
+                          .listener = operator_listener_},
+                         FollowerOptions(platform::kOperatorTableName)),
+      target_follower_({.timers = loop,
+                        .store = store_,
+                        .random = random_,
+                        .listener = target_listener_},
+                       FollowerOptions(platform::kTargetTableName)),
+      readiness_handler_([this] { return IsReady(); }),
+      lookup_handler_(
           [this](const FailureDomainName& domain) {
-            return peers_.CallableAddresses(domain);
+            return peers_.AddressesForCallers(domain);
           },
           std::min(kLookupTimeToLive, settings.bounds.lookup_time_to_live)),
-      metrics_page_(metrics_),
-      teller_(loop,
-              [this](std::string_view table) { return FindMirror(table); }),
-      mirror_page_(teller_),
+      metrics_handler_(metrics_),
+      row_server_(
+          loop,
+          [this](std::string_view table) { return FindFreshTable(table); }),
+      mirror_handler_(row_server_),
       stop_(StopOptions(settings)) {}
 
 std::optional<StartFailure> Node::Start() {
-  std::vector<ListenerPlan> plans = {
-      {settings_.caller_listen, runner_, caller_listener_,
+  std::vector<ListenerSpecification> specifications = {
+      {settings_.caller_listen, forwarder_, caller_listener_,
        StartFailure::kCallerListener},
-      {settings_.readiness_listen, readiness_page_, readiness_listener_,
+      {settings_.readiness_listen, readiness_handler_, readiness_listener_,
        StartFailure::kReadinessListener},
-      {settings_.lookup_listen, lookup_page_, lookup_listener_,
+      {settings_.lookup_listen, lookup_handler_, lookup_listener_,
        StartFailure::kLookupListener},
-      {settings_.peer_listen, mirror_page_, peer_listener_,
+      {settings_.peer_listen, mirror_handler_, peer_listener_,
        StartFailure::kPeerListener}};
   if (!settings_.metrics_listen.empty()) {
-    plans.push_back({settings_.metrics_listen, metrics_page_, metrics_listener_,
-                     StartFailure::kMetricsListener});
+    specifications.push_back({settings_.metrics_listen, metrics_handler_,
+                              metrics_listener_,
+                              StartFailure::kMetricsListener});
   }
-  for (const ListenerPlan& plan : plans) {
-    auto listener =
-        adapters::HttpListener::Open(loop_, plan.address, plan.handler);
+  for (const ListenerSpecification& specification : specifications) {
+    auto listener = adapters::HttpListener::Open(loop_, specification.address,
+                                                 specification.handler);
     if (!IsOk(listener)) {
-      return plan.failure;
+      return specification.failure;
     }
-    plan.listener = TakeValue(std::move(listener));
+    specification.listener = TakeValue(std::move(listener));
   }
   if (!peers_.Start()) {
     return StartFailure::kPeerSocket;
   }
   crash_sharing_.Start();
   limit_sharing_.Start();
-  for (replication::TableFollower* const watch :
-       {&operator_watch_, &target_watch_, &peers_.Watch()}) {
-    watch->Mirror().OnChange(
-        [this, watch] { teller_.OnChange(watch->Table()); });
+  for (replication::TableFollower* const follower :
+       {&operator_follower_, &target_follower_, &peers_.Follower()}) {
+    follower->Mirror().OnChange(
+        [this, follower] { row_server_.OnChange(follower->Table()); });
   }
-  StartWatches(loop_.Now() + kReaderSearch);
+  StartFollowers(loop_.Now() + kReaderDiscoveryTimeout);
   RegisterGauges();
   loop_.Every(kTickPeriod, [this] { Tick(); });
   return std::nullopt;
 }
 
-replication::TableFollower::Options Node::WatchOptions(
+replication::TableFollower::Options Node::FollowerOptions(
     const std::string& table) {
   return {.table = table,
           .timing =
@@ -243,22 +251,22 @@
               }};
 }
 
-void Node::StartWatches(MonotonicTime deadline) {
+void Node::StartFollowers(MonotonicTime deadline) {
   if (!peers_.HasFoundReaders() && loop_.Now() < deadline) {
-    loop_.After(kReaderSearchStep,
-                [this, deadline] { StartWatches(deadline); });
+    loop_.After(kReaderDiscoveryPollPeriod,
+                [this, deadline] { StartFollowers(deadline); });
     return;
   }
-  SetPaceOfWatches();
-  operator_watch_.Start();
-  target_watch_.Start();
+  UpdateFollowTiming();
+  operator_follower_.Start();
+  target_follower_.Start();
 }
 
-replication::FreshTable Node::FindMirror(std::string_view table) {
-  for (replication::TableFollower* const watch :
-       {&operator_watch_, &target_watch_, &peers_.Watch()}) {
-    if (watch->Table() == table) {
-      return watch->ServeFollowers();
+replication::FreshTable Node::FindFreshTable(std::string_view table) {
+  for (replication::TableFollower* const follower :
+       {&operator_follower_, &target_follower_, &peers_.Follower()}) {
+    if (follower->Table() == table) {
+      return follower->ServeFollowers();
     }
   }
   return {};
@@ -279,7 +287,7 @@
 
 bool Node::IsReady() const {
   return stop_.Phase() == StopPhase::kServing && routes_.IsConfigured() &&
-         target_watch_.HasTable();
+         target_follower_.HasTable();
 }
 
 void Node::Tick() {
@@ -287,21 +295,22 @@
   path_.SetHostCount(peers_.KnownHosts());
   path_.Limits().SetHosts(peers_.LimitHosts(), loop_.Now());
   path_.Limits().Advance(loop_.Now());
-  // Failure: news of the operator stops coming. Symptom: a route that was added
-  // meanwhile is denied, and callers do not ask again after that. While an
-  // answer of the store is due, a missing route may be news that has not come.
-  path_.SetConfigurationStale(operator_watch_.IsOverdue());
-  SetPaceOfWatches();
+  // If updates of the operator's table stop arriving, a request for a route
+  // that was added meanwhile would be rejected, and its caller would not retry.
+  // While a response of the store is overdue, a missing route may be an update
+  // that has not arrived, so callers are asked to retry meanwhile.
+  path_.SetConfigurationStale(operator_follower_.IsOverdue());
+  UpdateFollowTiming();
   UpdatePhase();
   AdvanceStop();
 }
 
-void Node::SetPaceOfWatches() {
+void Node::UpdateFollowTiming() {
   const replication::FollowTiming timing = replication::FollowTimingFor(
       peers_.HostsInRegion(), settings_.bounds.in_touch_after);
-  for (replication::TableFollower* const watch :
-       {&operator_watch_, &target_watch_}) {
-    watch->SetTiming(timing);
+  for (replication::TableFollower* const follower :
+       {&operator_follower_, &target_follower_}) {
+    follower->SetTiming(timing);
   }
 }
 
@@ -316,10 +325,10 @@
   if (before == StopPhase::kServing) {
     return;
   }
-  stop_.Advance(runner_.InFlight(), loop_.Now());
+  stop_.Advance(forwarder_.InFlight(), loop_.Now());
   if (before == StopPhase::kAnnouncing && stop_.Phase() != before) {
     caller_listener_->StopAccepting();
-    runner_.StopTaking();
+    forwarder_.StopAcceptingRequests();
   }
   if (stop_.Phase() == StopPhase::kStopped) {
     Log(LogLevel::kInfo, "stopped", {{"requests_cut", stop_.Cut()}});
@@ -330,7 +339,7 @@
 void Node::ApplyCallerLimits() {
   const routing::CallerLimits& limits = routes_.Limits();
   const std::size_t memory_limit =
-      settings_.memory_mb * kMegabyte / kBodyMemoryPart;
+      settings_.memory_mb * kMegabyte / kBodyMemoryDivisor;
   caller_listener_->SetLimits(
       {.max_header_bytes = limits.max_header_bytes,
        .max_body_bytes = std::min(limits.max_body_bytes, memory_limit),
@@ -341,7 +350,7 @@
 void Node::OnTargetChange(TargetChange change,
                           const request_path::TargetRecord& target) {
   Log(LogLevel::kInfo, "target-changed",
-      {{"change", kChangeNames.at(static_cast<std::size_t>(change))},
+      {{"change", kBookChangeNames.at(static_cast<std::size_t>(change))},
        {"target", target.id.Value()},
        {"incarnation", target.incarnation},
        {"service", target.service.Value()},
@@ -358,7 +367,7 @@
   add({"medlar_configuration_version", "Version of the routes in force."},
       [this] { return static_cast<double>(routes_.Version()); });
   add({"medlar_requests_in_flight", "Requests that wait for their answer."},
-      [this] { return static_cast<double>(runner_.InFlight()); });
+      [this] { return static_cast<double>(forwarder_.InFlight()); });
   add({"medlar_known_hosts", "Hosts that share the bounds for all."},
       [this] { return static_cast<double>(peers_.KnownHosts()); });
   add({"medlar_targets", "Targets that are registered."},
@@ -366,11 +375,13 @@
   add({"medlar_operator_news_age_seconds",
        "Since the store last answered about the operator's rows."},
       [this] {
-        return ToSeconds(operator_watch_.Age().value_or(Duration(0)));
+        return ToSeconds(operator_follower_.Age().value_or(Duration(0)));
       });
   add({"medlar_target_news_age_seconds",
        "Since the store last answered about targets."},
-      [this] { return ToSeconds(target_watch_.Age().value_or(Duration(0))); });
+      [this] {
+        return ToSeconds(target_follower_.Age().value_or(Duration(0)));
+      });
   add({"medlar_caller_connections", "Open connections of callers."}, [this] {
     return static_cast<double>(caller_listener_->OpenConnections());
   });
--- a/programs/node/node.h
+++ b/programs/node/node.h
@@ -26,7 +26,7 @@
 
 namespace medlarcroft::node {
 
-/// @brief Why a node could not start.
+/// @brief Why a node failed to start.
 enum class StartFailure {
   kCallerListener,
   kReadinessListener,
@@ -38,37 +38,40 @@
 
 [[nodiscard]] std::string_view NameOf(StartFailure failure);
 
-/// @brief One host on the platform: look-ups, readiness, and callers' requests
-/// from arrival to answer, in one process and on one thread.
+/// @brief One host on the platform. Serves look-ups, readiness probes and
+/// callers' requests from arrival to response, in one process and on one
+/// thread.
 class Node final : public request_path::TargetDirectoryObserver {
  public:
   Node(const adapters::NodeSettings& settings, adapters::EventLoop& loop);
 
   [[nodiscard]] std::optional<StartFailure> Start();
   void Reload(const adapters::NodeSettings& settings);
-  /// @param signals that asked for it so far.
+  /// @param signals number of termination signals received so far.
   void RequestStop(int signals);
 
   void OnTargetChange(request_path::TargetChange change,
                       const request_path::TargetRecord& target) override;
 
  private:
-  struct ListenerPlan {
+  struct ListenerSpecification {
     const std::string& address;
     adapters::HttpRequestHandler& handler;
     std::unique_ptr<adapters::HttpListener>& listener;
     StartFailure failure;
   };
 
-  [[nodiscard]] replication::TableFollower::Options WatchOptions(
+  [[nodiscard]] replication::TableFollower::Options FollowerOptions(
       const std::string& table);
-  /// @return the rows of a table while this host hears from the store itself.
-  [[nodiscard]] replication::FreshTable FindMirror(std::string_view table);
-  /// @brief Begins to read once the hosts that may read for this one are known.
-  void StartWatches(MonotonicTime deadline);
+  /// @return the rows of a table while this host receives them from the store
+  /// itself.
+  [[nodiscard]] replication::FreshTable FindFreshTable(std::string_view table);
+  /// @brief Starts to follow the tables as soon as the hosts that may read them
+  /// for this one are known, at the latest at `deadline`.
+  void StartFollowers(MonotonicTime deadline);
   [[nodiscard]] bool IsReady() const;
   void Tick();
-  void SetPaceOfWatches();
+  void UpdateFollowTiming();
   void ApplyCallerLimits();
   void UpdatePhase();
   void AdvanceStop();
@@ -87,20 +90,20 @@
   adapters::RequestTelemetry telemetry_;
   adapters::SpanOutput spans_;
   telemetry::Tracer tracer_;
-  adapters::RequestForwarder runner_;
+  adapters::RequestForwarder forwarder_;
   platform::StoreClient store_;
   PeerGroup peers_;
   CrashSharing crash_sharing_;
   LimitSharing limit_sharing_;
-  OperatorTableListener operator_news_;
-  TargetTableListener target_news_;
-  replication::TableFollower operator_watch_;
-  replication::TableFollower target_watch_;
-  platform::ReadinessHandler readiness_page_;
-  platform::LookupHandler lookup_page_;
-  MetricsHandler metrics_page_;
-  replication::TableServer teller_;
-  platform::MirrorHandler mirror_page_;
+  OperatorTableListener operator_listener_;
+  TargetTableListener target_listener_;
+  replication::TableFollower operator_follower_;
+  replication::TableFollower target_follower_;
+  platform::ReadinessHandler readiness_handler_;
+  platform::LookupHandler lookup_handler_;
+  MetricsHandler metrics_handler_;
+  replication::TableServer row_server_;
+  platform::MirrorHandler mirror_handler_;
   process::StopSequence stop_;
   std::unique_ptr<adapters::HttpListener> caller_listener_;
   std::unique_ptr<adapters::HttpListener> readiness_listener_;
--- a/programs/node/peer_group.cc
+++ b/programs/node/peer_group.cc
@@ -17,16 +17,18 @@
 using adapters::LogLevel;
 using membership::HostPhase;
 
-// One beat in so many tells all hosts of a small region the whole state, for
-// those that missed it; the others are signs of life, a third of its bytes.
-constexpr std::uint32_t kWholeStateEvery = 3;
-// The table's own limits are not used; they only must not be shorter.
-constexpr Duration kTableLimit = std::chrono::seconds(20);
-constexpr Duration kHostsMeet = std::chrono::seconds(3);
-constexpr Duration kHoldWhileHostsMeet = std::chrono::milliseconds(800);
-
-membership::HostState MakeSelf(const adapters::NodeSettings& settings,
-                               const ports::Clock& clock) {
+// In a small region, one heartbeat in this many comes with the full state, for
+// hosts that missed it. The others only show that this host is alive, in a
+// third of the bytes.
+constexpr std::uint32_t kHeartbeatsPerFullState = 3;
+// The timeouts of the membership table itself are not used; they only must not
+// be shorter than those used here.
+constexpr Duration kUnusedTableTimeout = std::chrono::seconds(20);
+constexpr Duration kStartupPeriod = std::chrono::seconds(3);
+constexpr Duration kStartupStoreWait = std::chrono::milliseconds(800);
+
+membership::HostState MakeOwnState(const adapters::NodeSettings& settings,
+                                   const ports::Clock& clock) {
   membership::HostState self;
   self.host = HostName(settings.host);
   self.failure_domain = FailureDomainName(settings.failure_domain);
@@ -36,18 +38,19 @@
   return self;
 }
 
-void LogRelay(const peer_updates::RelayChange& change) {
+void LogRelayChange(const peer_updates::RelayChange& change) {
   Log(LogLevel::kInfo, "news-relay-changed",
       {{"domain", change.failure_domain.Value()},
        {"relay", change.relay.Value()},
        {"was_silent", change.was_silent}});
 }
 
-// A host that starts knows of no reader yet. Were its first call held as long
-// as later ones, it would miss the rows of all that start with it.
-replication::FollowTiming PaceWhileHostsMeet() {
+// A starting host knows no reader yet. If the store held its first call as long
+// as later ones, it would miss the rows of all hosts that start at the same
+// time.
+replication::FollowTiming StartupTiming() {
   replication::FollowTiming timing = replication::kHostListTiming;
-  timing.wait = kHoldWhileHostsMeet;
+  timing.wait = kStartupStoreWait;
   return timing;
 }
 
@@ -58,10 +61,10 @@
       settings_(settings),
       parts_(parts),
       table_({.suspect_after = peer_updates::kLivenessTimeout,
-              .dead_after = kTableLimit,
-              .unknown_after = kTableLimit,
-              .forget_after = kLostAfter},
-             MakeSelf(settings, parts.loop.Clock()),
+              .dead_after = kUnusedTableTimeout,
+              .unknown_after = kUnusedTableTimeout,
+              .forget_after = kHostLostTimeout},
+             MakeOwnState(settings, parts.loop.Clock()),
              parts.loop.Clock()),
       caller_(parts.loop, {.max_idle_per_address = 1}),
       readers_({.host = HostName(settings.host),
@@ -73,52 +76,55 @@
                     [this](const std::string& address,
                            const replication::RowsRequest& question,
                            replication::RowsCallback callback) {
-                      platform::AskPeer(caller_, address, question,
-                                        std::move(callback));
+                      platform::FetchRowsFromPeer(caller_, address, question,
+                                                  std::move(callback));
                     },
                 .timers = parts.loop,
                 .random = parts.random,
                 .regions = parts.regions}),
-      watch_({.timers = parts.loop,
-              .store = parts.store,
-              .random = parts.random,
-              .listener = *this},
-             {.table = std::string(platform::kHostTable),
-              .timing = PaceWhileHostsMeet(),
-              .ask_reader = [this](const replication::RowsRequest& question,
-                                   replication::RowsCallback callback) {
-                return readers_.AskReader(question, std::move(callback));
-              }}) {}
+      follower_({.timers = parts.loop,
+                 .store = parts.store,
+                 .random = parts.random,
+                 .listener = *this},
+                {.table = std::string(platform::kHostTable),
+                 .timing = StartupTiming(),
+                 .ask_reader = [this](const replication::RowsRequest& question,
+                                      replication::RowsCallback callback) {
+                   return readers_.AskReader(question, std::move(callback));
+                 }}) {}
 
 bool PeerGroup::Start() {
   auto channel = adapters::PeerChannel::Open(
       parts_.loop, settings_.peer_listen,
-      [this](const peer_updates::PeerUpdate& news) { OnUpdate(news); });
+      [this](const peer_updates::PeerUpdate& message) { OnMessage(message); });
   if (!IsOk(channel)) {
     return false;
   }
   channel_ = TakeValue(std::move(channel));
-  news_.emplace(
+  region_broadcaster_.emplace(
       peer_updates::RegionBroadcaster::Options{
           .host = HostName(settings_.host),
           .failure_domain = FailureDomainName(settings_.failure_domain),
           .link_mbps = settings_.link_mbps,
-          .on_relay_changed = LogRelay},
+          .on_relay_changed = LogRelayChange},
       parts_.loop, *channel_);
-  global_news_.emplace(HostName(settings_.host),
-                       peer_updates::GlobalBroadcaster::Parts{
-                           .region = *news_,
-                           .sender = *channel_,
-                           .random = parts_.random,
-                           .remote_hosts = [this] { return RemoteHosts(); }});
-  news_->Start();
-  watch_.Start();
-  parts_.loop.Every(peer_updates::kHeartbeatPeriod, [this] { SendBeats(); });
-  parts_.loop.After(kHostsMeet,
-                    [this] { watch_.SetTiming(replication::kHostListTiming); });
-  parts_.loop.Every(kLostAfter, [this] {
+  global_broadcaster_.emplace(
+      HostName(settings_.host),
+      peer_updates::GlobalBroadcaster::Parts{
+          .region = *region_broadcaster_,
+          .sender = *channel_,
+          .random = parts_.random,
+          .remote_hosts = [this] { return RemoteHosts(); }});
+  region_broadcaster_->Start();
+  follower_.Start();
+  parts_.loop.Every(peer_updates::kHeartbeatPeriod,
+                    [this] { SendHeartbeats(); });
+  parts_.loop.After(kStartupPeriod, [this] {
+    follower_.SetTiming(replication::kHostListTiming);
+  });
+  parts_.loop.Every(kHostLostTimeout, [this] {
     RemoveLostHosts();
-    KeepOwnRow();
+    EnsureOwnRow();
   });
   return true;
 }
@@ -128,7 +134,7 @@
     return;
   }
   table_.UpdateSelf([&](membership::HostState& self) { self.phase = phase; });
-  news_->BroadcastState(table_.Self());
+  region_broadcaster_->BroadcastState(table_.Self());
 }
 
 bool PeerGroup::IsLive(const membership::HostStateView& host) const {
@@ -137,7 +143,7 @@
          IsInOwnRegion(host.state.failure_domain);
 }
 
-std::vector<std::string> PeerGroup::CallableAddresses(
+std::vector<std::string> PeerGroup::AddressesForCallers(
     const FailureDomainName& domain) const {
   std::vector<membership::LookupCandidate> callable;
   const auto add = [&](const membership::HostState& state) {
@@ -158,7 +164,7 @@
   return membership::ChooseLookupHosts(callable, domain, parts_.random);
 }
 
-replication::ReaderCandidate PeerGroup::CandidateOf(
+replication::ReaderCandidate PeerGroup::MakeReaderCandidate(
     const membership::HostState& state,
     const std::string& address) const {
   const auto entry = entries_.find(state.host);
@@ -170,10 +176,10 @@
 
 std::vector<replication::ReaderCandidate> PeerGroup::LiveHosts() const {
   std::vector<replication::ReaderCandidate> live = {
-      CandidateOf(table_.Self(), settings_.peer_listen)};
+      MakeReaderCandidate(table_.Self(), settings_.peer_listen)};
   table_.VisitHostStates([&](const membership::HostStateView& host) {
     if (IsLive(host) && !host.state.peer_address.empty()) {
-      live.push_back(CandidateOf(host.state, host.state.peer_address));
+      live.push_back(MakeReaderCandidate(host.state, host.state.peer_address));
     }
   });
   return live;
@@ -207,17 +213,18 @@
 }
 
 std::size_t PeerGroup::HostsInRegion() const {
-  return news_->Peers().size() + 1;
+  return region_broadcaster_->Peers().size() + 1;
 }
 
 bool PeerGroup::IsLargeRegion() const {
   return HostsInRegion() > replication::kMaxDirectReaders;
 }
 
-// Where all hosts start together a large region looks small at first: few have
-// written their row. The own one comes after most others.
+// When all hosts start together, a large region looks small at first, since few
+// hosts have written their row. The row of this host arrives after most others,
+// so the region's size is known well enough once it is there.
 bool PeerGroup::HasFoundReaders() const {
-  if (!watch_.HasTable()) {
+  if (!follower_.HasTable()) {
     return false;
   }
   return IsLargeRegion() ? readers_.HasReaders()
@@ -229,38 +236,38 @@
   return static_cast<std::uint32_t>(entries_.size()) + (is_listed ? 0 : 1);
 }
 
-void PeerGroup::SendBeats() {
+void PeerGroup::SendHeartbeats() {
   table_.Tick();
   table_.UpdateSelf([](membership::HostState&) {});
   const membership::HostState& self = table_.Self();
   const auto heartbeat =
       membership::MakeHeartbeat(self.host, self.number, Duration(0));
-  if (news_->UsesRelays()) {
-    news_->SendStateToNextPeers(self);
-  } else if (++beats_ % kWholeStateEvery == 0) {
-    news_->BroadcastState(self);
+  if (region_broadcaster_->UsesRelays()) {
+    region_broadcaster_->SendStateToNextPeers(self);
+  } else if (++heartbeats_sent_ % kHeartbeatsPerFullState == 0) {
+    region_broadcaster_->BroadcastState(self);
   }
   if (heartbeat) {
-    news_->BroadcastHeartbeat(*heartbeat);
+    region_broadcaster_->BroadcastHeartbeat(*heartbeat);
   }
 }
 
-void PeerGroup::BroadcastPlacement(const peer_updates::PlacedObject& placed) {
-  news_->BroadcastPlacement(placed);
+void PeerGroup::PublishPlacement(const peer_updates::PlacedObject& placed) {
+  region_broadcaster_->BroadcastPlacement(placed);
 }
 
-void PeerGroup::BroadcastLoad(const peer_updates::ReportedLoad& load) {
-  news_->BroadcastLoad(load);
+void PeerGroup::PublishLoad(const peer_updates::ReportedLoad& load) {
+  region_broadcaster_->BroadcastLoad(load);
 }
 
-void PeerGroup::BroadcastCrashes(
+void PeerGroup::PublishCrashes(
     std::span<const request_path::CrashReport> reports) {
-  global_news_->BroadcastCrashes(reports);
+  global_broadcaster_->BroadcastCrashes(reports);
 }
 
-void PeerGroup::BroadcastLimits(
+void PeerGroup::PublishLimits(
     std::span<const request_path::LimitReport> reports) {
-  global_news_->BroadcastLimits(reports);
+  global_broadcaster_->BroadcastLimits(reports);
 }
 
 request_path::LimitHosts PeerGroup::LimitHosts() const {
@@ -278,32 +285,33 @@
   return hosts;
 }
 
-void PeerGroup::OnUpdate(const peer_updates::PeerUpdate& news) {
-  news_->OnUpdate(news);
-  global_news_->OnUpdate(news);
-  if (news.state) {
-    OnState(*news.state);
+void PeerGroup::OnMessage(const peer_updates::PeerUpdate& message) {
+  region_broadcaster_->OnUpdate(message);
+  global_broadcaster_->OnUpdate(message);
+  if (message.state) {
+    OnState(*message.state);
   }
-  for (const membership::Heartbeat& heartbeat : news.heartbeats) {
+  for (const membership::Heartbeat& heartbeat : message.heartbeats) {
     table_.Receive(heartbeat);
   }
-  for (const peer_updates::PlacedObject& placed : news.placed) {
+  for (const peer_updates::PlacedObject& placed : message.placed) {
     parts_.on_placed(placed);
   }
-  for (const peer_updates::ReportedLoad& load : news.loads) {
+  for (const peer_updates::ReportedLoad& load : message.loads) {
     parts_.on_load(load);
   }
-  for (const request_path::CrashReport& report : news.crashes) {
+  for (const request_path::CrashReport& report : message.crashes) {
     parts_.on_crash_report(report);
   }
-  for (const request_path::LimitReport& report : news.limits) {
+  for (const request_path::LimitReport& report : message.limits) {
     parts_.on_limit_report(report);
   }
 }
 
-// Failure: a host starts, and the next whole states of the others are seconds
-// away. Symptom: it knows of nobody that it could name to callers, or that
-// reads for it. So a process that is heard for the first time is answered.
+// A host that has just started would know of no host that it could return in
+// look-ups, or that reads tables for it, since the other hosts send their next
+// full states only seconds later. A process from which the first state is
+// received is therefore sent this host's state at once.
 void PeerGroup::OnState(const membership::HostState& state) {
   const auto known = table_.Find(state.host);
   const bool is_first =
--- a/programs/node/peer_group.h
+++ b/programs/node/peer_group.h
@@ -24,8 +24,8 @@
 
 namespace medlarcroft::node {
 
-/// @brief The other hosts: found through rows of the system's own table, heard
-/// through datagrams within the region.
+/// @brief The other hosts. They are discovered through rows of the system's own
+/// table, and exchange datagrams within the region.
 class PeerGroup final : public LoggingTableListener,
                         public replication::PeerDirectory {
  public:
@@ -34,9 +34,9 @@
     platform::StoreClient& store;
     ports::RandomSource& random;
     const request_path::DomainRegions& regions;
-    /// Told what other hosts of the region placed.
+    /// Called when another host of the region places an object.
     std::function<void(const peer_updates::PlacedObject&)> on_placed;
-    /// Told what other hosts of the region heard of targets' load.
+    /// Called with a target's load that another host of the region received.
     std::function<void(const peer_updates::ReportedLoad&)> on_load;
     /// Called for each crash report from a host of any region.
     std::function<void(const request_path::CrashReport&)> on_crash_report;
@@ -52,33 +52,34 @@
   bool Start();
 
   void SetPhase(membership::HostPhase phase);
-  /// @brief Tells the other hosts of the region what was placed.
-  void BroadcastPlacement(const peer_updates::PlacedObject& placed);
-  /// @brief Tells the other hosts of the region a target's load. Each host
-  /// hears from a target a few times a second at most, and the others' work
-  /// there changes meanwhile: with this it hears as often as all of them
-  /// together.
-  void BroadcastLoad(const peer_updates::ReportedLoad& load);
+  /// @brief Sends a placed object to the other hosts of the region.
+  void PublishPlacement(const peer_updates::PlacedObject& placed);
+  /// @brief Sends a target's load to the other hosts of the region. A single
+  /// host receives the load of a target a few times a second at most, and
+  /// meanwhile the work of other hosts there changes. With this, it receives
+  /// the load as often as all of them together.
+  void PublishLoad(const peer_updates::ReportedLoad& load);
   /// @brief Sends the reports to the hosts of all regions.
-  void BroadcastCrashes(std::span<const request_path::CrashReport> reports);
-  void BroadcastLimits(std::span<const request_path::LimitReport> reports);
+  void PublishCrashes(std::span<const request_path::CrashReport> reports);
+  void PublishLimits(std::span<const request_path::LimitReport> reports);
   /// @return the hosts among which rate limits are divided.
   [[nodiscard]] request_path::LimitHosts LimitHosts() const;
-  /// @param domain of the callers; empty: unknown.
+  /// @param domain failure domain of the callers; empty: unknown.
   /// @return addresses of ready hosts of this region, this one included.
-  [[nodiscard]] std::vector<std::string> CallableAddresses(
+  [[nodiscard]] std::vector<std::string> AddressesForCallers(
       const FailureDomainName& domain) const;
-  /// @return all hosts that have a row, this one included.
+  /// @return the number of hosts that have a row, this one included.
   [[nodiscard]] std::uint32_t KnownHosts() const;
   [[nodiscard]] replication::PeerReaders& Readers() { return readers_; }
-  /// @return how many hosts of the region have a row, this one included.
+  /// @return the number of hosts of the region that have a row, this one
+  /// included.
   [[nodiscard]] std::size_t HostsInRegion() const override;
-  /// @return whether one host reads each table for all of the region, as soon
-  /// as they have found each other.
+  /// @return whether one host reads each table for the whole region, once its
+  /// hosts have discovered each other.
   [[nodiscard]] bool IsLargeRegion() const;
-  /// @return whether the hosts that may read for this one are known.
+  /// @return whether the hosts that may read tables for this one are known.
   [[nodiscard]] bool HasFoundReaders() const;
-  [[nodiscard]] replication::TableFollower& Watch() { return watch_; }
+  [[nodiscard]] replication::TableFollower& Follower() { return follower_; }
 
   [[nodiscard]] std::vector<replication::ReaderCandidate> LiveHosts()
       const override;
@@ -89,37 +90,40 @@
   void OnRows(std::span<const replication::Row> rows) override;
 
  private:
-  // A row without a living host is taken away after this; until then the host
-  // counts among those that share what is bounded for all.
-  static constexpr Duration kLostAfter = std::chrono::seconds(40);
+  // A row without a live host is removed after this time. Until then the host
+  // counts among those that global limits are divided among.
+  static constexpr Duration kHostLostTimeout = std::chrono::seconds(40);
 
   struct Entry {
     ports::ListedHost host;
     double link_mbps = 0;
     std::uint64_t row_version = 0;
-    MonotonicTime seen_at;
-    /// This host told it what it is.
-    bool is_introduced = false;
+    MonotonicTime updated_at;
+    /// Whether the state of this host was sent to it.
+    bool is_announced_to = false;
   };
 
   void Apply(const replication::Row& row);
-  /// @brief What was known of the host holds; its own row it writes anew.
-  void OnUnreadable(const replication::Row& row,
-                    const platform::DecodeError& fault);
-  void PublishList();
-  /// @brief Writes this host's row unless it stands there as it would be.
-  void KeepOwnRow();
+  /// @brief Keeps what is known of another host; this host's own row counts as
+  /// missing and is written again.
+  void OnUnreadableRow(const replication::Row& row,
+                       const platform::DecodeError& fault);
+  void ApplyEntries();
+  /// @brief Writes this host's row unless the stored one is current.
+  void EnsureOwnRow();
   void WriteOwnRow();
-  /// @brief Tells what this host is to those that have not heard it.
-  void Introduce();
-  void SendBeats();
-  void OnUpdate(const peer_updates::PeerUpdate& news);
+  /// @brief Sends the state of this host to the hosts of the region that do not
+  /// have it yet.
+  void AnnounceToNewPeers();
+  void SendHeartbeats();
+  void OnMessage(const peer_updates::PeerUpdate& message);
   void OnState(const membership::HostState& state);
-  /// @return whether that host of the region is alive and does not leave.
+  /// @return whether the host belongs to this region, is alive and is not
+  /// leaving.
   [[nodiscard]] bool IsLive(const membership::HostStateView& host) const;
   void RemoveLostHosts();
   [[nodiscard]] std::vector<peer_updates::RemoteHost> RemoteHosts() const;
-  [[nodiscard]] replication::ReaderCandidate CandidateOf(
+  [[nodiscard]] replication::ReaderCandidate MakeReaderCandidate(
       const membership::HostState& state,
       const std::string& address) const;
   [[nodiscard]] bool IsInOwnRegion(const FailureDomainName& domain) const;
@@ -130,13 +134,13 @@
   adapters::EventHttpClient caller_;
   std::unique_ptr<adapters::PeerChannel> channel_;
   replication::PeerReaders readers_;
-  replication::TableFollower watch_;
-  std::optional<peer_updates::RegionBroadcaster> news_;
-  std::optional<peer_updates::GlobalBroadcaster> global_news_;
+  replication::TableFollower follower_;
+  std::optional<peer_updates::RegionBroadcaster> region_broadcaster_;
+  std::optional<peer_updates::GlobalBroadcaster> global_broadcaster_;
   std::map<HostName, Entry> entries_;
-  std::uint32_t beats_ = 0;
-  bool is_writing_ = false;
-  std::optional<MonotonicTime> written_at_;
+  std::uint32_t heartbeats_sent_ = 0;
+  bool is_row_write_pending_ = false;
+  std::optional<MonotonicTime> row_written_at_;
 };
 
 }  // namespace medlarcroft::node
--- a/programs/node/peer_group_rows.cc
+++ b/programs/node/peer_group_rows.cc
@@ -13,9 +13,9 @@
 using adapters::Log;
 using adapters::LogLevel;
 
-constexpr Duration kWriteAgain = std::chrono::milliseconds(700);
-// The own row's news takes so long to come back from the store.
-constexpr Duration kRowSettles = std::chrono::seconds(5);
+constexpr Duration kRowWriteRetryDelay = std::chrono::milliseconds(700);
+// Time that this host's row takes to come back from the store after a write.
+constexpr Duration kOwnRowPropagationTime = std::chrono::seconds(5);
 
 }  // namespace
 
@@ -28,37 +28,39 @@
   std::erase_if(entries_, [&listed](const auto& entry) {
     return !listed.contains(entry.first);
   });
-  PublishList();
-  KeepOwnRow();
-  Introduce();
+  ApplyEntries();
+  EnsureOwnRow();
+  AnnounceToNewPeers();
 }
 
 void PeerGroup::OnRows(std::span<const replication::Row> rows) {
   for (const replication::Row& row : rows) {
     Apply(row);
   }
-  PublishList();
-  KeepOwnRow();
-  Introduce();
+  ApplyEntries();
+  EnsureOwnRow();
+  AnnounceToNewPeers();
 }
 
-// The others hear at once of a host that starts, and not at its next beat that
-// tells the whole state: it is named to callers, and counts as a reader, from
-// then on. Whoever hears a host for the first time answers with its own state.
-void PeerGroup::Introduce() {
-  std::vector<std::string> strangers;
+// A starting host sends its state to the others at once, not only with its next
+// heartbeat that comes with the full state: from then on it is returned in
+// look-ups and counts as a reader. A host that receives the state of a host for
+// the first time replies with its own.
+void PeerGroup::AnnounceToNewPeers() {
+  std::vector<std::string> new_peer_addresses;
   for (auto& [name, entry] : entries_) {
-    const bool is_stranger = !entry.is_introduced &&
+    const bool is_new_peer = !entry.is_announced_to &&
                              name.Value() != settings_.host &&
                              IsInOwnRegion(entry.host.failure_domain);
-    if (is_stranger) {
-      strangers.push_back(entry.host.address);
-      entry.is_introduced = true;
+    if (is_new_peer) {
+      new_peer_addresses.push_back(entry.host.address);
+      entry.is_announced_to = true;
     }
   }
-  if (!strangers.empty()) {
-    channel_->Send(strangers, {.sender = membership::HashOf(table_.Self().host),
-                               .state = table_.Self()});
+  if (!new_peer_addresses.empty()) {
+    channel_->Send(new_peer_addresses,
+                   {.sender = membership::HashOf(table_.Self().host),
+                    .state = table_.Self()});
   }
 }
 
@@ -74,7 +76,7 @@
   }
   const auto decoded = platform::DecodeHostEntry(row.key, row.value);
   if (!IsOk(decoded)) {
-    OnUnreadable(row, ErrorOf(decoded));
+    OnUnreadableRow(row, ErrorOf(decoded));
     return;
   }
   Entry& entry = entries_[name];
@@ -82,17 +84,17 @@
       .host = ValueOf(decoded).host,
       .link_mbps = ValueOf(decoded).link_mbps,
       .row_version = row.version,
-      .seen_at = parts_.loop.Now(),
-      .is_introduced = entry.is_introduced &&
-                       entry.host.address == ValueOf(decoded).host.address};
+      .updated_at = parts_.loop.Now(),
+      .is_announced_to = entry.is_announced_to &&
+                         entry.host.address == ValueOf(decoded).host.address};
 }
 
-// Failure: another writer spoils a host's row. Symptom: were it dropped, the
-// others would divide what all may send among fewer hosts than send. So they
-// keep what they knew, and the host itself takes its row for gone and writes it
-// again.
-void PeerGroup::OnUnreadable(const replication::Row& row,
-                             const platform::DecodeError& fault) {
+// Another writer may corrupt a host's row. If the other hosts dropped it, they
+// would divide global limits among fewer hosts than send requests. They
+// therefore keep what they knew, and the host itself treats its row as missing
+// and writes it again.
+void PeerGroup::OnUnreadableRow(const replication::Row& row,
+                                const platform::DecodeError& fault) {
   Log(LogLevel::kWarning, "host-entry-unreadable",
       {{"peer", row.key},
        {"row_version", row.version},
@@ -108,7 +110,7 @@
   }
 }
 
-void PeerGroup::PublishList() {
+void PeerGroup::ApplyEntries() {
   std::vector<ports::ListedHost> hosts;
   std::vector<peer_updates::Peer> peers;
   for (const auto& [name, entry] : entries_) {
@@ -122,24 +124,25 @@
     }
   }
   table_.ApplyHostList(hosts);
-  news_->SetPeers(std::move(peers));
+  region_broadcaster_->SetPeers(std::move(peers));
 }
 
-// A host that starts again finds its row and leaves it: each row that is
-// written wakes all who follow the table.
-void PeerGroup::KeepOwnRow() {
+// A restarted host finds its row and keeps it, since each written row ends the
+// pending calls of all hosts that follow the table.
+void PeerGroup::EnsureOwnRow() {
   const auto own = entries_.find(HostName(settings_.host));
-  const bool is_kept = own != entries_.end() &&
-                       own->second.host.address == settings_.peer_listen;
-  const bool is_settling =
-      written_at_ && parts_.loop.Now() - *written_at_ < kRowSettles;
-  if (!is_kept && !is_writing_ && !is_settling) {
+  const bool is_current = own != entries_.end() &&
+                          own->second.host.address == settings_.peer_listen;
+  const bool is_propagating =
+      row_written_at_ &&
+      parts_.loop.Now() - *row_written_at_ < kOwnRowPropagationTime;
+  if (!is_current && !is_row_write_pending_ && !is_propagating) {
     WriteOwnRow();
   }
 }
 
 void PeerGroup::WriteOwnRow() {
-  is_writing_ = true;
+  is_row_write_pending_ = true;
   const platform::HostEntry self{
       .host = {.name = settings_.host,
                .failure_domain = FailureDomainName(settings_.failure_domain),
@@ -150,30 +153,30 @@
        .key = settings_.host,
        .value = platform::EncodeHostEntry(self)},
       [this](const Result<Success, replication::RowFailure>& result) {
-        // Writing it twice does no harm.
+        // A repeated write is harmless.
         if (!IsOk(result)) {
-          parts_.loop.After(kWriteAgain, [this] { WriteOwnRow(); });
+          parts_.loop.After(kRowWriteRetryDelay, [this] { WriteOwnRow(); });
           return;
         }
-        is_writing_ = false;
-        written_at_ = parts_.loop.Now();
+        is_row_write_pending_ = false;
+        row_written_at_ = parts_.loop.Now();
       });
 }
 
 void PeerGroup::RemoveLostHosts() {
-  if (watch_.IsDisconnected()) {
+  if (follower_.IsDisconnected()) {
     return;
   }
   const MonotonicTime now = parts_.loop.Now();
   for (const auto& [name, entry] : entries_) {
-    const bool may_judge = name.Value() != settings_.host &&
-                           IsInOwnRegion(entry.host.failure_domain) &&
-                           now - entry.seen_at > kLostAfter;
-    if (!may_judge) {
+    const bool is_removable = name.Value() != settings_.host &&
+                              IsInOwnRegion(entry.host.failure_domain) &&
+                              now - entry.updated_at > kHostLostTimeout;
+    if (!is_removable) {
       continue;
     }
     const auto member = table_.Find(name);
-    if (member && member->state.age < kLostAfter &&
+    if (member && member->state.age < kHostLostTimeout &&
         member->state.number.incarnation > 0) {
       continue;
     }
--- a/programs/node/routing_table_listeners.cc
+++ b/programs/node/routing_table_listeners.cc
@@ -15,9 +15,9 @@
 using adapters::Log;
 using adapters::LogLevel;
 
-// Live targets whose entries lapsed while the store was away have registered
-// again after this.
-constexpr Duration kRegisteredAgain = std::chrono::milliseconds(2200);
+// Time after a store outage by which live targets whose entries expired have
+// registered again.
+constexpr Duration kReregistrationPeriod = std::chrono::milliseconds(2200);
 
 void LogUnreadable(std::string_view event,
                    const replication::Row& row,
@@ -65,7 +65,7 @@
 }
 
 void OperatorTableListener::ApplyConfiguration(const replication::Row& row) {
-  // Nobody takes a configuration away: what is in force stays.
+  // A configuration is never withdrawn: the active one stays in force.
   if (row.is_removed) {
     return;
   }
@@ -101,15 +101,15 @@
       unreadable.emplace_back(row.key);
     }
   }
-  targets_.ReplaceAll(targets, unreadable, DoubtedUntil(), loop_.Now());
+  targets_.ReplaceAll(targets, unreadable, LapseGraceEnd(), loop_.Now());
 }
 
 void TargetTableListener::OnRows(std::span<const replication::Row> rows) {
   const MonotonicTime now = loop_.Now();
   for (const replication::Row& row : rows) {
     if (row.is_removed) {
-      unreadable_.erase(row.key);
-      targets_.Remove(TargetName(row.key), DoubtedUntil());
+      logged_unreadable_versions_.erase(row.key);
+      targets_.Remove(TargetName(row.key), LapseGraceEnd());
     } else if (const auto target = Decode(row)) {
       targets_.Put(*target, now);
     } else {
@@ -122,10 +122,11 @@
     const replication::Row& row) {
   auto target = platform::DecodeTargetEntry(row.key, row.value);
   if (IsOk(target)) {
-    unreadable_.erase(row.key);
+    logged_unreadable_versions_.erase(row.key);
     return TakeValue(std::move(target));
   }
-  const auto [logged, is_new] = unreadable_.try_emplace(row.key, row.version);
+  const auto [logged, is_new] =
+      logged_unreadable_versions_.try_emplace(row.key, row.version);
   if (is_new || logged->second != row.version) {
     logged->second = row.version;
     LogUnreadable("target-entry-unreadable", row, ErrorOf(target));
@@ -133,15 +134,16 @@
   return std::nullopt;
 }
 
-std::optional<MonotonicTime> TargetTableListener::DoubtedUntil() const {
-  if (!back_at_ || loop_.Now() - *back_at_ > kRegisteredAgain) {
+std::optional<MonotonicTime> TargetTableListener::LapseGraceEnd() const {
+  if (!store_back_at_ ||
+      loop_.Now() - *store_back_at_ > kReregistrationPeriod) {
     return std::nullopt;
   }
-  return *back_at_ + kRegisteredAgain;
+  return *store_back_at_ + kReregistrationPeriod;
 }
 
 void TargetTableListener::OnStoreRecovered(Duration away) {
-  back_at_ = loop_.Now();
+  store_back_at_ = loop_.Now();
   LoggingTableListener::OnStoreRecovered(away);
 }
 
--- a/programs/node/routing_table_listeners.h
+++ b/programs/node/routing_table_listeners.h
@@ -14,8 +14,8 @@
 
 namespace medlarcroft::node {
 
-/// @brief Brings the operator's rows into force: the configuration and the
-/// domains that are evacuated.
+/// @brief Applies the operator's rows: the configuration and the evacuated
+/// failure domains.
 class OperatorTableListener final : public LoggingTableListener {
  public:
   OperatorTableListener(adapters::EventLoop& loop,
@@ -43,7 +43,7 @@
   std::set<FailureDomainName> evacuated_;
 };
 
-/// @brief Brings the targets' registry into the book.
+/// @brief Applies the rows of the target registry to the known targets.
 class TargetTableListener final : public LoggingTableListener {
  public:
   TargetTableListener(adapters::EventLoop& loop,
@@ -55,18 +55,19 @@
   void OnStoreRecovered(Duration away) override;
 
  private:
-  /// @return what a row says of its target; nothing when it can't be read.
+  /// @return the decoded target entry, or nullopt when it can't be decoded.
   [[nodiscard]] std::optional<request_path::TargetRecord> Decode(
       const replication::Row& row);
-  /// @return until when a missing entry may only have lapsed.
-  [[nodiscard]] std::optional<MonotonicTime> DoubtedUntil() const;
+  /// @return until when a missing entry may only have expired during a store
+  /// outage; nullopt: there was no recent outage.
+  [[nodiscard]] std::optional<MonotonicTime> LapseGraceEnd() const;
 
   adapters::EventLoop& loop_;
   request_path::TargetDirectory& targets_;
-  std::optional<MonotonicTime> back_at_;
-  // The version of each unreadable entry that was logged: a table that is read
-  // again and again shows it each time.
-  std::map<std::string, std::uint64_t> unreadable_;
+  std::optional<MonotonicTime> store_back_at_;
+  // Versions of the unreadable entries that were logged. Each entry is logged
+  // once, although it is seen each time the table is read.
+  std::map<std::string, std::uint64_t> logged_unreadable_versions_;
 };
 
 }  // namespace medlarcroft::node
--- a/tests/unit/adapters/forward/request_telemetry_test.cc
+++ b/tests/unit/adapters/forward/request_telemetry_test.cc
@@ -17,8 +17,8 @@
 using request_path::AttemptEnd;
 using std::chrono::milliseconds;
 
-/// @brief The lines of each request, in order.
-using LinesOf = std::map<std::string, std::vector<nlohmann::json>>;
+/// @brief The log lines of each request, in order.
+using LinesByRequest = std::map<std::string, std::vector<nlohmann::json>>;
 
 class RequestTelemetryTest : public testing::Test {
  protected:
@@ -30,9 +30,9 @@
                   .output = LogOutput::kStandardOutput});
   }
 
-  static LinesOf Written() {
+  static LinesByRequest ParseLog() {
     std::istringstream text(testing::internal::GetCapturedStdout());
-    LinesOf lines;
+    LinesByRequest lines;
     for (std::string line; std::getline(text, line);) {
       auto parsed = nlohmann::json::parse(line);
       const std::string request = parsed["request"];
@@ -41,8 +41,8 @@
     return lines;
   }
 
-  /// Two sends, of which the first is refused and the second is lost.
-  void PlayOrderThatFails(const std::string& id) {
+  /// Sends a request twice: the first send is refused, the second one is lost.
+  void RunFailedOrder(const std::string& id) {
     RequestLogBuffer lines;
     for (request_path::AttemptNumber number = 1; number <= 2; ++number) {
       const request_path::SendAttempt attempt{
@@ -50,7 +50,7 @@
           .target = {TargetName("ledger-1")},
           .address = "10.1.2.3:8480",
           .region = RegionName("kigali")};
-      telemetry_.OnSend(lines, id, order_, attempt);
+      telemetry_.OnSend(lines, id, order_route_, attempt);
       clock_.Advance(milliseconds(1));
       telemetry_.OnAttemptEnd(
           lines, id, attempt,
@@ -59,44 +59,45 @@
     }
     DecodedRequest call;
     call.id = id;
-    telemetry_.OnEnding(lines, call, &order_,
+    telemetry_.OnEnding(lines, call, &order_route_,
                         {.reason = request_path::FailureReason::kMayHaveRun,
                          .is_not_run = false},
                         1, milliseconds(2));
   }
 
-  void PlayAnswered(const std::string& id) {
+  void RunAnsweredLookup(const std::string& id) {
     RequestLogBuffer lines;
-    telemetry_.OnSend(lines, id, lookup_, {.attempt = 1});
-    telemetry_.OnAnswer(lines, id, lookup_, 200, milliseconds(5));
+    telemetry_.OnSend(lines, id, lookup_route_, {.attempt = 1});
+    telemetry_.OnAnswer(lines, id, lookup_route_, 200, milliseconds(5));
   }
 
   fakes::ManualClock clock_;
   telemetry::MetricsRegistry metrics_;
   RequestTelemetry telemetry_{metrics_, clock_};
-  const routing::Route order_{.name = "orders"};
-  const routing::Route lookup_{.name = "lookups",
-                               .kind = routing::RequestKind::kIdempotent};
+  const routing::Route order_route_{.name = "orders"};
+  const routing::Route lookup_route_{.name = "lookups",
+                                     .kind = routing::RequestKind::kIdempotent};
 };
 
-// An operator looks for the id of an order that got 502, from a second in which
-// hundreds of requests came. Were lines written as they come, up to a number of
-// each name, he would find its end without its sends, or nothing.
-TEST_F(RequestTelemetryTest, AnIdThatIsFoundIsFoundWhole) {
+// An operator searches the log for the identifier of an order that failed with
+// status 502, in a second with hundreds of requests. If lines were limited one
+// by one, up to a number of each event, the log would contain the end of the
+// order without its sends, or nothing.
+TEST_F(RequestTelemetryTest, ALoggedRequestHasAllItsLines) {
   constexpr int kRequests = 300;
-  constexpr int kEachFails = 30;
+  constexpr int kFailurePeriod = 30;
   for (int number = 0; number < kRequests; ++number) {
     const std::string id = std::to_string(number);
-    if (number % kEachFails == 0) {
-      PlayOrderThatFails("order-" + id);
+    if (number % kFailurePeriod == 0) {
+      RunFailedOrder("order-" + id);
     } else {
-      PlayAnswered("lookup-" + id);
+      RunAnsweredLookup("lookup-" + id);
     }
   }
-  const LinesOf written = Written();
+  const LinesByRequest lines_by_request = ParseLog();
 
   int orders = 0;
-  for (const auto& [id, lines] : written) {
+  for (const auto& [id, lines] : lines_by_request) {
     const bool is_order = id.starts_with("order");
     orders += is_order ? 1 : 0;
     ASSERT_EQ(lines.size(), is_order ? 5U : 2U) << id;
@@ -105,21 +106,21 @@
               is_order ? "request-failed" : "request-answered")
         << id;
   }
-  EXPECT_EQ(orders, kRequests / kEachFails);
-  EXPECT_LT(written.size(), std::size_t{kRequests} / 2);
+  EXPECT_EQ(orders, kRequests / kFailurePeriod);
+  EXPECT_LT(lines_by_request.size(), std::size_t{kRequests} / 2);
 }
 
-// Lines that were kept back tell when things happened, not when it was known
-// that the request is logged.
-TEST_F(RequestTelemetryTest, LinesThatWereKeptHaveTheirOwnTimes) {
+// Buffered lines have the time of their event, not the time at which the
+// request was selected for the log.
+TEST_F(RequestTelemetryTest, BufferedLinesKeepTheirTimes) {
   for (int number = 0; number < 100; ++number) {
-    PlayAnswered("lookup-" + std::to_string(number));
+    RunAnsweredLookup("lookup-" + std::to_string(number));
   }
-  PlayOrderThatFails("order");
-  const LinesOf written = Written();
+  RunFailedOrder("order");
+  const LinesByRequest lines_by_request = ParseLog();
 
-  ASSERT_TRUE(written.contains("order"));
-  const auto& lines = written.at("order");
+  ASSERT_TRUE(lines_by_request.contains("order"));
+  const auto& lines = lines_by_request.at("order");
   for (std::size_t i = 1; i < lines.size(); ++i) {
     EXPECT_LE(lines[i - 1]["time"], lines[i]["time"]);
   }
--- a/tests/unit/adapters/forward/request_trace_test.cc
+++ b/tests/unit/adapters/forward/request_trace_test.cc
@@ -19,7 +19,7 @@
 constexpr std::string_view kNotSampled =
     "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-00";
 
-class KeptSpans final : public telemetry::SpanExporter {
+class SpanRecorder final : public telemetry::SpanExporter {
  public:
   void Export(telemetry::Span span) override {
     spans.push_back(std::move(span));
@@ -29,40 +29,40 @@
 
 class RequestTraceTest : public testing::Test {
  protected:
-  static HttpRequest CallWith(std::string_view parent) {
+  static HttpRequest MakeCall(std::string_view parent) {
     HttpRequest call;
     call.headers.Add("traceparent", parent);
     return call;
   }
-  static SendAttempt SendTo(const std::string& target,
-                            request_path::AttemptNumber number) {
+  static SendAttempt MakeAttempt(const std::string& target,
+                                 request_path::AttemptNumber number) {
     return {.attempt = number, .target = {TargetName(target)}};
   }
 
   fakes::ManualClock clock_;
   fakes::SeededRandom random_{3};
-  KeptSpans kept_;
-  telemetry::Tracer tracer_{clock_, random_, kept_, 0.0};
+  SpanRecorder exported_;
+  telemetry::Tracer tracer_{clock_, random_, exported_, 0.0};
 };
 
-// A lookup's first send is lost and its second answers: whoever reads the trace
-// sees the host's span and below it both sends, each with its end, and the
-// target was told its own send's span as its parent.
-TEST_F(RequestTraceTest, HasASpanForTheHostAndOneForEachSend) {
-  HttpRequest call = CallWith(kSampled);
+// The first send of a look-up is lost, and the second one is answered. The
+// trace shows the host's span and below it both sends with their results, and
+// each target receives the span of its own send as parent.
+TEST_F(RequestTraceTest, ExportsOneSpanForTheHostAndOnePerSend) {
+  HttpRequest call = MakeCall(kSampled);
   RequestTrace trace(tracer_, call, "r-1");
-  trace.OnSend(SendTo("a", 1), call);
+  trace.OnSend(MakeAttempt("a", 1), call);
   const std::string first(*call.headers.Find("traceparent"));
   trace.OnAttemptEnd(1, AttemptEnd::kLost);
-  trace.OnSend(SendTo("b", 2), call);
+  trace.OnSend(MakeAttempt("b", 2), call);
   const std::string second(*call.headers.Find("traceparent"));
   trace.OnAttemptEnd(2, AttemptEnd::kAnswered);
   trace.OnAnswer(200);
 
-  ASSERT_EQ(kept_.spans.size(), 3U);
-  const telemetry::Span& lost = kept_.spans[0];
-  const telemetry::Span& answered = kept_.spans[1];
-  const telemetry::Span& host = kept_.spans[2];
+  ASSERT_EQ(exported_.spans.size(), 3U);
+  const telemetry::Span& lost = exported_.spans[0];
+  const telemetry::Span& answered = exported_.spans[1];
+  const telemetry::Span& host = exported_.spans[2];
   EXPECT_EQ(lost.status, telemetry::SpanStatus::kError);
   EXPECT_EQ(answered.status, telemetry::SpanStatus::kOk);
   EXPECT_EQ(lost.parent, host.context.span_id);
@@ -73,33 +73,35 @@
             "4bf92f3577b34da6a3ce929d0e0e4736");
 }
 
-// A send that is given up, as the other one answered, still has its span.
-TEST_F(RequestTraceTest, ASendThatIsGivenUpEndsWithTheRequest) {
-  HttpRequest call = CallWith(kSampled);
+// A send that is abandoned when the request ends still has its span.
+TEST_F(RequestTraceTest, AnAbandonedSendEndsWithTheRequest) {
+  HttpRequest call = MakeCall(kSampled);
   RequestTrace trace(tracer_, call, "r-1");
-  trace.OnSend(SendTo("a", 1), call);
+  trace.OnSend(MakeAttempt("a", 1), call);
   trace.OnEnding({.reason = request_path::FailureReason::kTimedOut});
 
-  EXPECT_EQ(kept_.spans.size(), 2U);
+  EXPECT_EQ(exported_.spans.size(), 2U);
 }
 
-class UnsampledTable : public RequestTraceTest,
-                       public testing::WithParamInterface<std::string_view> {};
+class UnsampledTraceTest
+    : public RequestTraceTest,
+      public testing::WithParamInterface<std::string_view> {};
 
-// What is not sampled leaves no span, and the target gets what the caller sent.
-TEST_P(UnsampledTable, LeavesTheCallersHeaderAlone) {
-  HttpRequest call = CallWith(GetParam());
+// A request that is not sampled has no spans, and the target receives the
+// caller's header.
+TEST_P(UnsampledTraceTest, ForwardsTheCallersHeaderUnchanged) {
+  HttpRequest call = MakeCall(GetParam());
   RequestTrace trace(tracer_, call, "r-1");
-  trace.OnSend(SendTo("a", 1), call);
+  trace.OnSend(MakeAttempt("a", 1), call);
   trace.OnAttemptEnd(1, AttemptEnd::kAnswered);
   trace.OnAnswer(200);
 
-  EXPECT_TRUE(kept_.spans.empty());
+  EXPECT_TRUE(exported_.spans.empty());
   EXPECT_EQ(call.headers.Find("traceparent"), GetParam());
 }
 
 INSTANTIATE_TEST_SUITE_P(All,
-                         UnsampledTable,
+                         UnsampledTraceTest,
                          testing::Values(kNotSampled,
                                          std::string_view("no parent")));
 
--- a/tests/unit/node/crash_sharing_test.cc
+++ b/tests/unit/node/crash_sharing_test.cc
@@ -60,7 +60,7 @@
     return ledger_.BlockedFor(kRequest, loop_.Now()).has_value();
   }
 
-  std::string stored_value_;  ///< Of the row of the block, in the store.
+  std::string stored_value_;  ///< Of the blocked request, in the store.
   adapters::SystemClock clock_;
   adapters::EventLoop loop_{clock_};
   telemetry::MetricsRegistry metrics_;
--- a/tests/unit/node/peer_group_test.cc
+++ b/tests/unit/node/peer_group_test.cc
@@ -25,9 +25,9 @@
 constexpr request_path::TargetNumber kTarget{7};
 const request_path::ObjectKey kObject("o");
 
-std::string RowOf(const std::string& host,
-                  const std::string& domain,
-                  const std::string& address) {
+std::string EncodeRow(const std::string& host,
+                      const std::string& domain,
+                      const std::string& address) {
   return platform::EncodeHostEntry(
       {.host = {.name = host,
                 .failure_domain = FailureDomainName(domain),
@@ -40,11 +40,12 @@
   struct Host {
     adapters::NodeSettings settings;
     std::unique_ptr<PeerGroup> group;
-    std::vector<std::uint32_t> placed;  ///< Objects that others placed.
-    std::vector<std::uint32_t> loads;   ///< Told by others.
+    std::vector<std::uint32_t> placed;  ///< Objects placed by others.
+    std::vector<std::uint32_t> loads;   ///< Received from others.
   };
 
-  /// Tests run beside each other, each in a process of its own.
+  /// Tests run in parallel processes; an address per process avoids bind
+  /// conflicts.
   static std::string AddressOf(int number) {
     constexpr unsigned kFirst = 64;
     const auto process = static_cast<unsigned>(::getpid());
@@ -52,7 +53,7 @@
            std::to_string(process % 256) + "." + std::to_string(number);
   }
 
-  PeerGroup& Add(int number) {
+  PeerGroup& AddHost(int number) {
     auto host = std::make_unique<Host>();
     host->settings.host = "h" + std::to_string(number);
     host->settings.failure_domain = "z";
@@ -67,12 +68,14 @@
             .random = random_,
             .regions = regions_,
             .on_placed =
-                [heard = host.get()](const peer_updates::PlacedObject& placed) {
-                  heard->placed.push_back(placed.object.Value());
+                [receiver =
+                     host.get()](const peer_updates::PlacedObject& placed) {
+                  receiver->placed.push_back(placed.object.Value());
                 },
             .on_load =
-                [heard = host.get()](const peer_updates::ReportedLoad& load) {
-                  heard->loads.push_back(load.requests);
+                [receiver =
+                     host.get()](const peer_updates::ReportedLoad& load) {
+                  receiver->loads.push_back(load.requests);
                 }});
     EXPECT_TRUE(host->group->Start());
     hosts_.push_back(std::move(host));
@@ -84,9 +87,11 @@
     loop_.Run();
   }
 
-  [[nodiscard]] int Writes() { return server_.calls["/medlarcroft/rows-tx"]; }
+  [[nodiscard]] int CountWrites() {
+    return server_.calls["/medlarcroft/rows-tx"];
+  }
 
-  static replication::RowsRequest Question() { return {.table = "t"}; }
+  static replication::RowsRequest MakeQuery() { return {.table = "t"}; }
 
   adapters::SystemClock clock_;
   adapters::EventLoop loop_{clock_};
@@ -103,63 +108,64 @@
   std::vector<std::unique_ptr<Host>> hosts_;
 };
 
-// Many hosts have a row, of this region and of another, and none of them was
-// heard. This host must read the store itself: nobody of them would answer.
-TEST_F(PeerGroupTest, AHostThatIsOnlyListedDoesNotRead) {
+// Many hosts of this region and of another one have a row, but sent no
+// datagram. This host must read the store itself, since none of them would
+// answer.
+TEST_F(PeerGroupTest, AListedHostThatSentNoDatagramIsNoReader) {
   for (int number = 10; number < 20; ++number) {
     const std::string name = "h" + std::to_string(number);
     const std::string address = AddressOf(number) + ":1";
-    server_.Put(name, RowOf(name, number % 2 == 0 ? "z" : "far", address));
+    server_.Put(name, EncodeRow(name, number % 2 == 0 ? "z" : "far", address));
   }
-  PeerGroup& group = Add(1);
+  PeerGroup& group = AddHost(1);
   RunFor(milliseconds(300));
 
   EXPECT_GE(group.KnownHosts(), 10U);
   EXPECT_FALSE(group.HasFoundReaders());
-  EXPECT_FALSE(group.Readers().AskReader(Question(), [](const auto&) {}));
+  EXPECT_FALSE(group.Readers().AskReader(MakeQuery(), [](const auto&) {}));
 }
 
-// Seven hosts hear each other: all but one have the same one read for them.
+// Seven hosts exchange datagrams: one of them reads the store for all others.
 TEST_F(PeerGroupTest, OneHostOfALargeRegionReadsForTheOthers) {
   constexpr int kHosts = 7;
   for (int number = 1; number <= kHosts; ++number) {
-    Add(number);
+    AddHost(number);
   }
   RunFor(milliseconds(2500));
 
   int readers = 0;
   for (const auto& host : hosts_) {
     EXPECT_TRUE(host->group->HasFoundReaders());
-    readers += host->group->Readers().AskReader(Question(), [](const auto&) {})
+    readers += host->group->Readers().AskReader(MakeQuery(), [](const auto&) {})
                    ? 0
                    : 1;
   }
   EXPECT_EQ(readers, 1);
 }
 
-// A caller's object is warm on the target that one host chose; the others must
-// send it there too. Each of them hears of every object once, also of more than
-// one datagram takes.
-TEST_F(PeerGroupTest, PlacedObjectsAreToldToAllOthersOnce) {
+// A caller's object is warm on the target that one host chose, so the others
+// must send it there, too. Each of them receives every object once, also when
+// there are more objects than fit into one datagram.
+TEST_F(PeerGroupTest, PlacedObjectsReachAllOthersOnce) {
   constexpr std::size_t kObjects = 60;
   for (int number = 1; number <= 3; ++number) {
-    Add(number);
+    AddHost(number);
   }
   std::vector<std::uint32_t> expected(kObjects);
   std::iota(expected.begin(), expected.end(), 1);
-  bool is_told = false;
+  bool is_sent = false;
   loop_.Every(milliseconds(10), [&] {
-    if (!is_told && hosts_[0]->group->HostsInRegion() == 3) {
-      is_told = true;
+    if (!is_sent && hosts_[0]->group->HostsInRegion() == 3) {
+      is_sent = true;
       for (const std::uint32_t object : expected) {
-        hosts_[0]->group->BroadcastPlacement(
+        hosts_[0]->group->PublishPlacement(
             {.target = kTarget,
              .object = request_path::ObjectKey::FromValue(object)});
       }
     }
-    const bool is_heard = hosts_[1]->placed.size() >= kObjects &&
-                          hosts_[2]->placed.size() >= kObjects;
-    if (is_heard) {
+    const bool is_received = hosts_[1]->placed.size() >= kObjects &&
+                             hosts_[2]->placed.size() >= kObjects;
+    if (is_received) {
       loop_.Finish(0);
     }
   });
@@ -170,37 +176,39 @@
   EXPECT_EQ(hosts_[2]->placed, expected);
 }
 
-// A host starts again at its old address. Its row stands there already; writing
-// it anew would wake all hosts that follow the table.
-TEST_F(PeerGroupTest, AHostThatStartsAgainLeavesItsRow) {
-  server_.Put("h1", RowOf("h1", "z", AddressOf(1) + ":18790"));
-  Add(1);
+// A host restarts at its previous address. Its row exists already, and writing
+// it again would end the pending calls of all hosts that follow the table.
+TEST_F(PeerGroupTest, ARestartedHostKeepsItsRow) {
+  server_.Put("h1", EncodeRow("h1", "z", AddressOf(1) + ":18790"));
+  AddHost(1);
   RunFor(milliseconds(300));
-  EXPECT_EQ(Writes(), 0);
+  EXPECT_EQ(CountWrites(), 0);
 }
 
-// Another host took this one's row away, since it was not heard for long: it
-// writes it again, so that it counts among those that share the bounds.
-TEST_F(PeerGroupTest, AHostWhoseRowIsTakenAwayWritesItAgain) {
-  server_.Put("h1", RowOf("h1", "z", AddressOf(1) + ":18790"));
-  Add(1);
+// Another host removed the row of this one, since it had received nothing from
+// it for a long time. This host writes it again, so that it counts when global
+// limits are divided.
+TEST_F(PeerGroupTest, AHostRewritesItsRemovedRow) {
+  server_.Put("h1", EncodeRow("h1", "z", AddressOf(1) + ":18790"));
+  AddHost(1);
   loop_.After(milliseconds(200), [this] { server_.Remove("h1"); });
   RunFor(milliseconds(1800));
-  EXPECT_EQ(Writes(), 1);
+  EXPECT_EQ(CountWrites(), 1);
 }
 
-// A target's load is heard again and again within a moment. Others must place
-// by the latest, and a datagram for each would cost more than it brings.
-TEST_F(PeerGroupTest, TheLatestLoadOfATargetIsToldOnce) {
+// A target reports its load several times in quick succession. The other hosts
+// must use the latest report, and a datagram per report would cost more than it
+// gains.
+TEST_F(PeerGroupTest, OnlyTheLatestLoadOfATargetIsSent) {
   for (int number = 1; number <= 3; ++number) {
-    Add(number);
+    AddHost(number);
   }
-  bool is_told = false;
+  bool is_sent = false;
   loop_.Every(milliseconds(10), [&] {
-    if (!is_told && hosts_[0]->group->HostsInRegion() == 3) {
-      is_told = true;
+    if (!is_sent && hosts_[0]->group->HostsInRegion() == 3) {
+      is_sent = true;
       for (const std::uint32_t requests : {3U, 5U, 9U}) {
-        hosts_[0]->group->BroadcastLoad(
+        hosts_[0]->group->PublishLoad(
             {.target = kTarget, .requests = requests});
       }
     }
@@ -215,36 +223,36 @@
   EXPECT_EQ(hosts_[2]->loads, std::vector{9U});
 }
 
-// A region that is too large for each to tell each: by relays every host hears
-// of a target's load and of an object all the same.
-TEST_F(PeerGroupTest, HostsOfALargeRegionHearByRelays) {
+// In a region that is too large for each host to send to all others, relays
+// deliver a target's load and a placed object to every host.
+TEST_F(PeerGroupTest, RelaysReachAllHostsOfALargeRegion) {
   constexpr std::size_t kHosts = peer_updates::kMaxDirectPeers + 2;
   for (std::size_t number = 1; number <= kHosts; ++number) {
-    Add(static_cast<int>(number));
+    AddHost(static_cast<int>(number));
   }
-  bool is_told = false;
+  bool is_sent = false;
   loop_.Every(milliseconds(10), [&] {
-    if (!is_told && hosts_[0]->group->HostsInRegion() == kHosts) {
-      is_told = true;
-      hosts_[0]->group->BroadcastLoad({.target = kTarget, .requests = 3});
-      hosts_[0]->group->BroadcastPlacement(
+    if (!is_sent && hosts_[0]->group->HostsInRegion() == kHosts) {
+      is_sent = true;
+      hosts_[0]->group->PublishLoad({.target = kTarget, .requests = 3});
+      hosts_[0]->group->PublishPlacement(
           {.target = kTarget, .object = kObject});
     }
-    const bool is_heard =
+    const bool is_received =
         std::all_of(hosts_.begin() + 1, hosts_.end(), [](const auto& host) {
           return !host->placed.empty() && !host->loads.empty();
         });
-    if (is_heard) {
+    if (is_received) {
       loop_.Finish(0);
     }
   });
   RunFor(seconds(20));
 
-  for (std::size_t place = 1; place < kHosts; ++place) {
-    ASSERT_FALSE(hosts_[place]->placed.empty()) << place;
-    EXPECT_EQ(hosts_[place]->placed.front(), kObject.Value());
-    ASSERT_FALSE(hosts_[place]->loads.empty()) << place;
-    EXPECT_EQ(hosts_[place]->loads.front(), 3U);
+  for (std::size_t index = 1; index < kHosts; ++index) {
+    ASSERT_FALSE(hosts_[index]->placed.empty()) << index;
+    EXPECT_EQ(hosts_[index]->placed.front(), kObject.Value());
+    ASSERT_FALSE(hosts_[index]->loads.empty()) << index;
+    EXPECT_EQ(hosts_[index]->loads.front(), 3U);
   }
 }
 
--- a/tests/unit/node/routing_table_listeners_test.cc
+++ b/tests/unit/node/routing_table_listeners_test.cc
@@ -19,7 +19,7 @@
     R"({"address":"10.0.0.9:80","info":{"service":"desk","zone":"z","slots":3},)"
     R"("status":{"state":"in_service","sequence":4,"cold_remaining":"0ms"}})";
 
-/// @return the usual entry with one part of its text replaced.
+/// @return `kEntry` with one part of its text replaced.
 std::string EntryWith(std::string_view part, std::string_view replacement) {
   std::string entry(kEntry);
   return entry.replace(entry.find(part), part.size(), replacement);
@@ -29,7 +29,7 @@
 constexpr std::uint64_t kFirstStart = 1'760'000'000'000;
 constexpr std::uint64_t kSecondStart = 1'760'000'004'000;
 
-/// @param started 0: the target does not tell.
+/// @param started 0: the entry does not contain it.
 replication::Row Registered(const std::string& target,
                             std::uint64_t started = 0) {
   replication::Row row{
@@ -40,25 +40,26 @@
   return row;
 }
 
-replication::Row Leaving(const std::string& target, std::uint64_t started = 0) {
+replication::Row Draining(const std::string& target,
+                          std::uint64_t started = 0) {
   constexpr std::string_view kServing = "in_service";
   replication::Row row = Registered(target, started);
   row.value.replace(row.value.find(kServing), kServing.size(), "draining");
   return row;
 }
 
-replication::Row Gone(const std::string& target) {
+replication::Row Removed(const std::string& target) {
   return {.key = target, .version = 6, .is_removed = true};
 }
 
-class SilentObserver final : public request_path::TargetDirectoryObserver {
+class IgnoringObserver final : public request_path::TargetDirectoryObserver {
   void OnTargetChange(request_path::TargetChange /*change*/,
                       const request_path::TargetRecord& /*target*/) override {}
 };
 
-class TargetNewsTest : public testing::Test {
+class TargetTableListenerTest : public testing::Test {
  protected:
-  [[nodiscard]] std::size_t Usable() {
+  [[nodiscard]] std::size_t CountUsable() {
     book_.Advance(clock_.Now());
     std::size_t usable = 0;
     for (const auto& region : book_.Usable(ServiceName("desk"))) {
@@ -74,165 +75,172 @@
 
   fakes::ManualClock clock_;
   adapters::EventLoop loop_{clock_};
-  SilentObserver observer_;
+  IgnoringObserver observer_;
   request_path::TargetDirectory book_{
       {{FailureDomainName("z"), RegionName("r")}},
       observer_};
-  TargetTableListener news_{loop_, book_};
+  TargetTableListener listener_{loop_, book_};
 };
 
-// The store is away so long that all entries run out. Callers still get their
-// answers while it comes back, as the targets live; one that does not register
-// again within two seconds or so is gone and gets nothing more.
-TEST_F(TargetNewsTest, LapsedTargetsServeUntilTheyHadTimeToRegister) {
-  news_.OnTable(std::vector{Registered("a"), Registered("b")});
-  news_.OnCallFailed({.failure = replication::RowFailure::kUnreachable});
+// During a long outage of the store all entries expire. When it returns, the
+// targets are still alive and must stay usable; a target that does not register
+// again within about two seconds is dropped.
+TEST_F(TargetTableListenerTest,
+       LapsedTargetsStayUsableUntilTheyHadTimeToReregister) {
+  listener_.OnTable(std::vector{Registered("a"), Registered("b")});
+  listener_.OnCallFailed({.failure = replication::RowFailure::kUnreachable});
   clock_.Advance(seconds(9));
-  news_.OnStoreRecovered(seconds(9));
-  news_.OnRows(std::vector{Gone("a"), Gone("b")});
-  EXPECT_EQ(Usable(), 2U);
+  listener_.OnStoreRecovered(seconds(9));
+  listener_.OnRows(std::vector{Removed("a"), Removed("b")});
+  EXPECT_EQ(CountUsable(), 2U);
 
   clock_.Advance(milliseconds(1500));
-  news_.OnRows(std::vector{Registered("a")});
-  EXPECT_EQ(Usable(), 2U);
+  listener_.OnRows(std::vector{Registered("a")});
+  EXPECT_EQ(CountUsable(), 2U);
 
   clock_.Advance(milliseconds(800));
-  EXPECT_EQ(Usable(), 1U);
+  EXPECT_EQ(CountUsable(), 1U);
 }
 
-// The same, and the history is dropped meanwhile: the whole table is read, in
-// which nobody is registered yet.
-TEST_F(TargetNewsTest, AnEmptyTableAfterAnOutageLeavesTimeToRegister) {
-  news_.OnTable(std::vector{Registered("a")});
-  news_.OnCallFailed({.failure = replication::RowFailure::kHistoryUnavailable});
-  news_.OnStoreRecovered(seconds(5));
-  news_.OnTable(std::vector<replication::Row>{});
-  EXPECT_EQ(Usable(), 1U);
+// As above, but the store dropped its history: the whole table is read, in
+// which no target is registered yet.
+TEST_F(TargetTableListenerTest,
+       AnEmptyTableAfterAnOutageLeavesTimeToReregister) {
+  listener_.OnTable(std::vector{Registered("a")});
+  listener_.OnCallFailed(
+      {.failure = replication::RowFailure::kHistoryUnavailable});
+  listener_.OnStoreRecovered(seconds(5));
+  listener_.OnTable(std::vector<replication::Row>{});
+  EXPECT_EQ(CountUsable(), 1U);
 
   clock_.Advance(seconds(3));
-  EXPECT_EQ(Usable(), 0U);
+  EXPECT_EQ(CountUsable(), 0U);
 }
 
-// While the store answers, an entry that is gone is no lapse: the target gets
-// nothing from this moment.
-TEST_F(TargetNewsTest, ATargetThatIsGoneOnACalmDayIsGoneAtOnce) {
-  news_.OnTable(std::vector{Registered("a"), Registered("b")});
-  news_.OnRows(std::vector{Gone("a")});
-  EXPECT_EQ(Usable(), 1U);
+// While the store answers, a removed entry did not merely expire: the target
+// gets no further requests.
+TEST_F(TargetTableListenerTest, ARemovedTargetIsDroppedAtOnceWithoutAnOutage) {
+  listener_.OnTable(std::vector{Registered("a"), Registered("b")});
+  listener_.OnRows(std::vector{Removed("a")});
+  EXPECT_EQ(CountUsable(), 1U);
 }
 
-// Another writer spoils the entry of a target that serves. What the entry says
-// is not known: the target may be leaving, or gone. Callers are sent to the
-// others, and to this one again as soon as its next good entry is there.
-TEST_F(TargetNewsTest, ATargetWithABadEntryGetsNothingUntilAGoodOne) {
-  news_.OnTable(std::vector{Registered("a"), Registered("b")});
-  replication::Row broken = Registered("a");
-  broken.value = "{";
-  news_.OnRows(std::vector{broken});
-  EXPECT_EQ(Usable(), 1U);
-
-  news_.OnRows(std::vector{Registered("a")});
-  EXPECT_EQ(Usable(), 2U);
+// Another writer corrupts the entry of a serving target, which may be draining
+// or no longer running. Requests go to the other targets, and to this one again
+// as soon as its entry is readable.
+TEST_F(TargetTableListenerTest,
+       ATargetWithAnUnreadableEntryIsUnusableUntilAReadableOne) {
+  listener_.OnTable(std::vector{Registered("a"), Registered("b")});
+  replication::Row unreadable = Registered("a");
+  unreadable.value = "{";
+  listener_.OnRows(std::vector{unreadable});
+  EXPECT_EQ(CountUsable(), 1U);
+
+  listener_.OnRows(std::vector{Registered("a")});
+  EXPECT_EQ(CountUsable(), 2U);
 }
 
-// The same when the whole table is read: the bad entry hides no other one, and
-// takes away nothing of what is believed of its target.
-TEST_F(TargetNewsTest, ABadEntryInATableHidesNoOther) {
-  news_.OnTable(std::vector{Registered("a"), Registered("b")});
+// As above, but the whole table is read: the unreadable entry neither hides
+// other entries nor resets the state of its target.
+TEST_F(TargetTableListenerTest, AnUnreadableEntryInATableDoesNotAffectOthers) {
+  listener_.OnTable(std::vector{Registered("a"), Registered("b")});
   Find("a")->OnSent(request_path::ObjectKey("object"), clock_.Now());
-  replication::Row broken = Registered("a");
-  broken.value = "";
-  news_.OnTable(std::vector{broken, Registered("b"), Registered("c")});
-  EXPECT_EQ(Usable(), 2U);
+  replication::Row unreadable = Registered("a");
+  unreadable.value = "";
+  listener_.OnTable(std::vector{unreadable, Registered("b"), Registered("c")});
+  EXPECT_EQ(CountUsable(), 2U);
 
-  news_.OnTable(std::vector{Registered("a"), Registered("b")});
-  EXPECT_EQ(Usable(), 2U);
+  listener_.OnTable(std::vector{Registered("a"), Registered("b")});
+  EXPECT_EQ(CountUsable(), 2U);
   EXPECT_TRUE(Find("a")->HasHandled(request_path::ObjectKey("object")));
 }
 
-struct BadEntry {
+struct UnreadableEntry {
   std::string name;
   std::string value;
 };
 
-class BadEntryTable : public TargetNewsTest,
-                      public testing::WithParamInterface<BadEntry> {};
+class UnreadableEntryTest
+    : public TargetTableListenerTest,
+      public testing::WithParamInterface<UnreadableEntry> {};
 
-// Whatever another writer puts into the registry: it names no target, and
-// whoever is registered properly serves on.
-TEST_P(BadEntryTable, NamesNoTargetAndTheOthersHold) {
+// An unreadable entry in the registry adds no target, and all targets with a
+// readable entry stay usable.
+TEST_P(UnreadableEntryTest, AddsNoTargetAndKeepsTheOthers) {
   replication::Row bad = Registered("x");
   bad.value = GetParam().value;
-  news_.OnTable(std::vector{Registered("a"), bad});
-  EXPECT_EQ(Usable(), 1U);
+  listener_.OnTable(std::vector{Registered("a"), bad});
+  EXPECT_EQ(CountUsable(), 1U);
 
-  news_.OnRows(std::vector{bad, Registered("b")});
-  EXPECT_EQ(Usable(), 2U);
+  listener_.OnRows(std::vector{bad, Registered("b")});
+  EXPECT_EQ(CountUsable(), 2U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    BadEntryTable,
+    UnreadableEntryTest,
     testing::Values(
-        BadEntry{"Empty", ""},
-        BadEntry{"NoBytesOfText", std::string("\xff\x00\xfe", 3)},
-        BadEntry{"CutShort", R"({"address":"10.0.0.9:80","info":{"service)"},
-        BadEntry{"AList", "[]"},
-        BadEntry{"ANumber", "17"},
-        BadEntry{"Nested", std::string(2000, '[')},
-        BadEntry{"NoAddress", EntryWith("\"address\":\"10.0.0.9:80\",", "")},
-        BadEntry{"AddressOfAnotherKind", EntryWith("10.0.0.9:80", "here")},
-        BadEntry{"AddressIsANumber", EntryWith("\"10.0.0.9:80\"", "80")},
-        BadEntry{"NoService", EntryWith("\"service\":\"desk\",", "")},
-        BadEntry{"ServiceIsAList", EntryWith("\"desk\"", "[\"desk\"]")},
-        BadEntry{"ServiceNotKnown", EntryWith("\"desk\"", "\"other\"")},
-        BadEntry{"DomainNotKnown", EntryWith("\"z\"", "\"nowhere\"")},
-        BadEntry{"SlotsAreText", EntryWith(":3}", ":\"3\"}")},
-        BadEntry{"SlotsAreAPart", EntryWith(":3}", ":2.5}")},
-        BadEntry{"NoState", EntryWith("\"state\":\"in_service\",", "")},
-        BadEntry{"StateNotKnown", EntryWith("in_service", "retired")},
-        BadEntry{"StateIsAFlag", EntryWith("\"in_service\"", "true")},
-        BadEntry{"ColdTimeIsANumber", EntryWith("\"0ms\"", "0")},
-        BadEntry{"StartIsText",
-                 EntryWith("{\"address", "{\"born\":\"1\",\"address")},
-        BadEntry{"StartIsAPart",
-                 EntryWith("{\"address", "{\"born\":1.5,\"address")},
-        BadEntry{"StartIsNegative",
-                 EntryWith("{\"address", "{\"born\":-1,\"address")}),
+        UnreadableEntry{"Empty", ""},
+        UnreadableEntry{"InvalidUtf8", std::string("\xff\x00\xfe", 3)},
+        UnreadableEntry{"Truncated",
+                        R"({"address":"10.0.0.9:80","info":{"service)"},
+        UnreadableEntry{"AList", "[]"},
+        UnreadableEntry{"ANumber", "17"},
+        UnreadableEntry{"Nested", std::string(2000, '[')},
+        UnreadableEntry{"NoAddress",
+                        EntryWith("\"address\":\"10.0.0.9:80\",", "")},
+        UnreadableEntry{"AddressInvalid", EntryWith("10.0.0.9:80", "here")},
+        UnreadableEntry{"AddressIsANumber", EntryWith("\"10.0.0.9:80\"", "80")},
+        UnreadableEntry{"NoService", EntryWith("\"service\":\"desk\",", "")},
+        UnreadableEntry{"ServiceIsAList", EntryWith("\"desk\"", "[\"desk\"]")},
+        UnreadableEntry{"ServiceUnknown", EntryWith("\"desk\"", "\"other\"")},
+        UnreadableEntry{"DomainUnknown", EntryWith("\"z\"", "\"nowhere\"")},
+        UnreadableEntry{"SlotsAreAString", EntryWith(":3}", ":\"3\"}")},
+        UnreadableEntry{"SlotsAreFractional", EntryWith(":3}", ":2.5}")},
+        UnreadableEntry{"NoState", EntryWith("\"state\":\"in_service\",", "")},
+        UnreadableEntry{"StateUnknown", EntryWith("in_service", "retired")},
+        UnreadableEntry{"StateIsAFlag", EntryWith("\"in_service\"", "true")},
+        UnreadableEntry{"ColdTimeIsANumber", EntryWith("\"0ms\"", "0")},
+        UnreadableEntry{"StartIsAString",
+                        EntryWith("{\"address", "{\"born\":\"1\",\"address")},
+        UnreadableEntry{"StartIsFractional",
+                        EntryWith("{\"address", "{\"born\":1.5,\"address")},
+        UnreadableEntry{"StartIsNegative",
+                        EntryWith("{\"address", "{\"born\":-1,\"address")}),
     [](const auto& tested) { return tested.param.name; });
 
-// A target says that it leaves and is gone. It starts again under its id, as
-// another process: callers are sent to it within the time of the news, and
-// nothing of the earlier process is believed, however late news of that comes.
-TEST_F(TargetNewsTest, ADrainedTargetThatStartsAgainIsUsed) {
+// A target drains, is removed and starts again under its identifier as another
+// process. It is used as soon as its entry arrives, without the state of the
+// earlier process, also when an update of the earlier process arrives late.
+TEST_F(TargetTableListenerTest, ADrainedTargetIsUsedAgainAfterItsRestart) {
   book_.SetColdTime(ServiceName("desk"), seconds(3));
-  news_.OnTable(std::vector{Registered("a", kFirstStart), Registered("b")});
-  news_.OnRows(std::vector{Leaving("a", kFirstStart)});
-  news_.OnRows(std::vector{Gone("a")});
-  EXPECT_EQ(Usable(), 1U);
+  listener_.OnTable(std::vector{Registered("a", kFirstStart), Registered("b")});
+  listener_.OnRows(std::vector{Draining("a", kFirstStart)});
+  listener_.OnRows(std::vector{Removed("a")});
+  EXPECT_EQ(CountUsable(), 1U);
 
-  news_.OnRows(std::vector{Registered("a", kSecondStart)});
-  EXPECT_EQ(Usable(), 2U);
+  listener_.OnRows(std::vector{Registered("a", kSecondStart)});
+  EXPECT_EQ(CountUsable(), 2U);
   EXPECT_TRUE(Find("a", kSecondStart)->IsCold(clock_.Now()));
 
-  news_.OnRows(std::vector{Leaving("a", kFirstStart)});
-  EXPECT_EQ(Usable(), 2U);
+  listener_.OnRows(std::vector{Draining("a", kFirstStart)});
+  EXPECT_EQ(CountUsable(), 2U);
 }
 
-// It starts again so fast that its removal is never heard. What was believed
-// of the earlier process (objects, failures, another owner of its address) does
-// not hold for the new one, and it is cold.
-TEST_F(TargetNewsTest, AProcessThatFollowsUnheardStartsWithNoBelief) {
+// A target restarts so fast that its removal is never received. The state of
+// the earlier process (objects, failures, another owner of its address) does
+// not apply to the new one, which is cold.
+TEST_F(TargetTableListenerTest, ARestartWithoutARemovalResetsTheTargetState) {
   book_.SetColdTime(ServiceName("desk"), seconds(3));
-  news_.OnTable(std::vector{Registered("a", kFirstStart)});
+  listener_.OnTable(std::vector{Registered("a", kFirstStart)});
   Find("a", kFirstStart)
       ->OnSent(request_path::ObjectKey("object"), clock_.Now());
   Find("a", kFirstStart)->MarkReplaced();
-  EXPECT_EQ(Usable(), 0U);
+  EXPECT_EQ(CountUsable(), 0U);
 
-  news_.OnRows(std::vector{Registered("a", kSecondStart)});
+  listener_.OnRows(std::vector{Registered("a", kSecondStart)});
 
-  ASSERT_EQ(Usable(), 1U);
+  ASSERT_EQ(CountUsable(), 1U);
   EXPECT_EQ(Find("a", kFirstStart), nullptr);
   const request_path::TargetState* const started = Find("a", kSecondStart);
   EXPECT_FALSE(started->HasHandled(request_path::ObjectKey("object")));
@@ -240,65 +248,67 @@
   EXPECT_TRUE(started->IsCold(clock_.Now() + seconds(2)));
 }
 
-// Twice within one heartbeat: only the last process counts, and an entry of the
-// one between, heard later, changes nothing.
-TEST_F(TargetNewsTest, OfTwoStartsInAHeartbeatTheLastCounts) {
-  news_.OnTable(std::vector{Registered("a", kFirstStart)});
-  news_.OnRows(std::vector{Registered("a", kSecondStart + 5)});
-  news_.OnRows(std::vector{Leaving("a", kSecondStart)});
+// A target restarts twice within one heartbeat: only the last process counts,
+// and an entry of the process in between that arrives later changes nothing.
+TEST_F(TargetTableListenerTest, TheLatestOfTwoQuickRestartsWins) {
+  listener_.OnTable(std::vector{Registered("a", kFirstStart)});
+  listener_.OnRows(std::vector{Registered("a", kSecondStart + 5)});
+  listener_.OnRows(std::vector{Draining("a", kSecondStart)});
 
-  EXPECT_EQ(Usable(), 1U);
+  EXPECT_EQ(CountUsable(), 1U);
   EXPECT_NE(Find("a", kSecondStart + 5), nullptr);
 }
 
-// It crashed while the store was away, and its entry lapsed. When the store is
-// back, the new process has registered: it is used, without the old belief.
-TEST_F(TargetNewsTest, AStartWhileTheStoreIsAwayIsANewProcess) {
-  news_.OnTable(std::vector{Registered("a", kFirstStart)});
+// A target crashes during a store outage and its entry expires. When the store
+// is back, the new process has registered: it is used, without the state of the
+// earlier process.
+TEST_F(TargetTableListenerTest, ARestartDuringAStoreOutageIsANewProcess) {
+  listener_.OnTable(std::vector{Registered("a", kFirstStart)});
   Find("a", kFirstStart)
       ->OnSent(request_path::ObjectKey("object"), clock_.Now());
-  news_.OnCallFailed({.failure = replication::RowFailure::kUnreachable});
+  listener_.OnCallFailed({.failure = replication::RowFailure::kUnreachable});
   clock_.Advance(seconds(9));
-  news_.OnStoreRecovered(seconds(9));
-  news_.OnTable(std::vector<replication::Row>{});
-  EXPECT_EQ(Usable(), 1U);
+  listener_.OnStoreRecovered(seconds(9));
+  listener_.OnTable(std::vector<replication::Row>{});
+  EXPECT_EQ(CountUsable(), 1U);
 
-  news_.OnRows(std::vector{Registered("a", kSecondStart)});
+  listener_.OnRows(std::vector{Registered("a", kSecondStart)});
   clock_.Advance(seconds(3));
-  EXPECT_EQ(Usable(), 1U);
+  EXPECT_EQ(CountUsable(), 1U);
   EXPECT_FALSE(
       Find("a", kSecondStart)->HasHandled(request_path::ObjectKey("object")));
 }
 
-// An entry that does not tell its process, or tells the known one, is of the
-// known one: it neither drops belief nor brings back who leaves.
-TEST_F(TargetNewsTest, AnEqualOrAbsentStartIsTheKnownProcess) {
-  news_.OnTable(std::vector{Registered("a", kFirstStart)});
+// An entry without an incarnation, or with the known one, belongs to the known
+// process: it neither resets its state nor makes a draining target usable
+// again.
+TEST_F(TargetTableListenerTest, AnEqualOrAbsentIncarnationIsTheKnownProcess) {
+  listener_.OnTable(std::vector{Registered("a", kFirstStart)});
   Find("a", kFirstStart)
       ->OnSent(request_path::ObjectKey("object"), clock_.Now());
 
-  news_.OnRows(std::vector{Registered("a", kFirstStart), Registered("a")});
+  listener_.OnRows(std::vector{Registered("a", kFirstStart), Registered("a")});
   EXPECT_TRUE(
       Find("a", kFirstStart)->HasHandled(request_path::ObjectKey("object")));
 
-  news_.OnRows(std::vector{Leaving("a")});
-  EXPECT_EQ(Usable(), 0U);
-  news_.OnRows(std::vector{Registered("a", kFirstStart), Registered("a")});
-  EXPECT_EQ(Usable(), 0U);
-  news_.OnRows(std::vector{Gone("a"), Registered("a")});
-  EXPECT_EQ(Usable(), 0U);
+  listener_.OnRows(std::vector{Draining("a")});
+  EXPECT_EQ(CountUsable(), 0U);
+  listener_.OnRows(std::vector{Registered("a", kFirstStart), Registered("a")});
+  EXPECT_EQ(CountUsable(), 0U);
+  listener_.OnRows(std::vector{Removed("a"), Registered("a")});
+  EXPECT_EQ(CountUsable(), 0U);
 }
 
-// A target that vanished without a word is another process when it is back
-// under a later start, and an earlier one does not come back at all.
-TEST_F(TargetNewsTest, AnEarlierProcessDoesNotComeBackAfterALaterOne) {
-  news_.OnTable(std::vector{Registered("a", kSecondStart)});
-  news_.OnRows(std::vector{Gone("a")});
-  news_.OnRows(std::vector{Registered("a", kFirstStart)});
-  EXPECT_EQ(Usable(), 0U);
+// A target that was removed without draining may return under the same or a
+// later start, which is then another process, but never under an earlier one.
+TEST_F(TargetTableListenerTest, AnEarlierProcessIsIgnoredAfterALaterOne) {
+  listener_.OnTable(std::vector{Registered("a", kSecondStart)});
+  listener_.OnRows(std::vector{Removed("a")});
+  listener_.OnRows(std::vector{Registered("a", kFirstStart)});
+  EXPECT_EQ(CountUsable(), 0U);
 
-  news_.OnRows(std::vector{Registered("a", kSecondStart)});
-  EXPECT_EQ(Usable(), 1U);
+  listener_.OnRows(std::vector{Registered("a", kSecondStart)});
+  EXPECT_EQ(CountUsable(), 1U);
 }
 
 }  // namespace
--- a/tests/unit/platform/blocked_request_entry_test.cc
+++ b/tests/unit/platform/blocked_request_entry_test.cc
@@ -28,20 +28,20 @@
   std::string value;
 };
 
-class BadBlockedRequestTable : public testing::TestWithParam<BadEntry> {};
+class BadBlockedRequestEntryTest : public testing::TestWithParam<BadEntry> {};
 
 // An invalid row must neither block a request nor crash the host.
-TEST_P(BadBlockedRequestTable, IsRefused) {
+TEST_P(BadBlockedRequestEntryTest, IsRejected) {
   EXPECT_FALSE(IsOk(DecodeBlockedRequest(GetParam().key, GetParam().value)));
 }
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    BadBlockedRequestTable,
-    testing::Values(BadEntry{"a_host", "edge-1", "{\"until_ms\":1}"},
-                    BadEntry{"no_number", "blocked-request/xyz",
+    BadBlockedRequestEntryTest,
+    testing::Values(BadEntry{"host_key", "edge-1", "{\"until_ms\":1}"},
+                    BadEntry{"key_without_number", "blocked-request/xyz",
                              "{\"until_ms\":1}"},
-                    BadEntry{"no_end", "blocked-request/1f", "{}"},
+                    BadEntry{"no_expiry", "blocked-request/1f", "{}"},
                     BadEntry{"not_json", "blocked-request/1f", "?"}),
     [](const auto& info) { return info.param.name; });
 
--- a/tests/unit/platform/configuration_decoder_test.cc
+++ b/tests/unit/platform/configuration_decoder_test.cc
@@ -53,42 +53,45 @@
   DecodeErrorKind problem;
 };
 
-class BadConfigurationTable : public testing::TestWithParam<BadInput> {};
+class BadConfigurationTest : public testing::TestWithParam<BadInput> {};
 
-TEST_P(BadConfigurationTable, IsRefusedWithTheFieldAtFault) {
+TEST_P(BadConfigurationTest, IsRejectedWithTheField) {
   const auto decoded = DecodeConfiguration(GetParam().text);
   ASSERT_FALSE(IsOk(decoded));
   EXPECT_EQ(ErrorOf(decoded).problem, GetParam().problem);
 }
 
-std::string Replaced(std::string_view from, std::string_view to) {
+std::string ReplaceInConfiguration(std::string_view from, std::string_view to) {
   std::string text(kConfiguration);
   return text.replace(text.find(from), from.size(), to);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    BadConfigurationTable,
+    BadConfigurationTest,
     testing::Values(
-        BadInput{"Cut", std::string(kConfiguration.substr(0, 300)),
+        BadInput{"Truncated", std::string(kConfiguration.substr(0, 300)),
                  DecodeErrorKind::kNotJson},
-        BadInput{"NoObject", "[]", DecodeErrorKind::kWrongType},
+        BadInput{"NotAnObject", "[]", DecodeErrorKind::kWrongType},
         BadInput{"NoVersion", R"({"resources":[]})", DecodeErrorKind::kMissing},
         BadInput{"NegativeVersion", R"({"version":-1,"resources":[]})",
                  DecodeErrorKind::kOutOfRange},
         BadInput{"NoResources", R"({"version":1})", DecodeErrorKind::kMissing},
         BadInput{"ResourceIsNumber", R"({"version":1,"resources":[3]})",
                  DecodeErrorKind::kWrongType},
-        BadInput{"OddKind", Replaced("\"idempotent\"", "\"perhaps\""),
+        BadInput{"UnknownKind",
+                 ReplaceInConfiguration("\"idempotent\"", "\"perhaps\""),
                  DecodeErrorKind::kUnknownValue},
-        BadInput{"OddTime", Replaced("1200ms", "1200"),
+        BadInput{"InvalidDuration", ReplaceInConfiguration("1200ms", "1200"),
                  DecodeErrorKind::kOutOfRange},
-        BadInput{"NoService", Replaced(R"(,"service":"s3")", ""),
+        BadInput{"NoService", ReplaceInConfiguration(R"(,"service":"s3")", ""),
                  DecodeErrorKind::kMissing},
-        BadInput{"SplitOfNumbers",
-                 Replaced(R"({"service":"s1","weight":90})", "90"),
-                 DecodeErrorKind::kWrongType},
-        BadInput{"RegionIsNumber", Replaced(R"(["kigali"])", "[1]"),
+        BadInput{
+            "SplitOfNumbers",
+            ReplaceInConfiguration(R"({"service":"s1","weight":90})", "90"),
+            DecodeErrorKind::kWrongType},
+        BadInput{"RegionIsNumber",
+                 ReplaceInConfiguration(R"(["kigali"])", "[1]"),
                  DecodeErrorKind::kWrongType}),
     [](const auto& tested) { return tested.param.name; });
 
@@ -96,7 +99,7 @@
     R"({"address":"10.0.0.9:80","born":1760000000123,"info":{"service":"s1","version":"v1","zone":"z","slots":7},)"
     R"("status":{"state":"in_service","sequence":4,"cold_remaining":"1500ms"}})";
 
-TEST(TargetEntryTest, ReadsWhatATargetSaysOfItself) {
+TEST(TargetEntryTest, DecodesAllFields) {
   const auto decoded = DecodeTargetEntry("i-1", kTarget);
   ASSERT_TRUE(IsOk(decoded));
   const request_path::TargetRecord expected{
@@ -110,9 +113,9 @@
   EXPECT_EQ(ValueOf(decoded), expected);
 }
 
-class BadTargetTable : public testing::TestWithParam<BadInput> {};
+class BadTargetEntryTest : public testing::TestWithParam<BadInput> {};
 
-TEST_P(BadTargetTable, IsRefusedWithTheFieldAtFault) {
+TEST_P(BadTargetEntryTest, IsRejectedWithTheField) {
   const auto decoded = DecodeTargetEntry("i-1", GetParam().text);
   ASSERT_FALSE(IsOk(decoded));
   EXPECT_EQ(ErrorOf(decoded).problem, GetParam().problem);
@@ -121,24 +124,23 @@
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    BadTargetTable,
+    BadTargetEntryTest,
     testing::Values(
         BadInput{"NoAddress", R"({"info":{},"status":{}})",
                  DecodeErrorKind::kMissing},
         BadInput{"NoStatus",
                  R"({"address":"1.2.3.4:5","info":{"service":"s"}})",
                  DecodeErrorKind::kMissing},
-        BadInput{"StatusIsText",
+        BadInput{"StatusIsAString",
                  R"({"address":"1.2.3.4:5","info":{},"status":"x"})",
                  DecodeErrorKind::kWrongType},
-        BadInput{"AddressIsNoAddress",
-                 R"({"address":"a","info":{},"status":{}})",
+        BadInput{"AddressInvalid", R"({"address":"a","info":{},"status":{}})",
                  DecodeErrorKind::kOutOfRange},
         BadInput{
-            "StateNotKnown",
+            "StateUnknown",
             R"({"address":"1.2.3.4:5","info":{"service":"s","zone":"z"},"status":{"state":"retired"}})",
             DecodeErrorKind::kUnknownValue},
-        BadInput{"StartIsNoWholeNumber",
+        BadInput{"StartIsFractional",
                  R"({"address":"1.2.3.4:5","born":1.5,"info":{},"status":{}})",
                  DecodeErrorKind::kOutOfRange},
         BadInput{
--- a/tests/unit/platform/json_reader_test.cc
+++ b/tests/unit/platform/json_reader_test.cc
@@ -13,29 +13,29 @@
   std::string text;
 };
 
-class Base64Table : public testing::TestWithParam<Base64Case> {};
+class Base64RoundTripTest : public testing::TestWithParam<Base64Case> {};
 
-TEST_P(Base64Table, GoesBothWays) {
+TEST_P(Base64RoundTripTest, EncodesAndDecodes) {
   EXPECT_EQ(EncodeBase64(GetParam().bytes), GetParam().text);
   EXPECT_EQ(DecodeBase64(GetParam().text), GetParam().bytes);
 }
 
 INSTANTIATE_TEST_SUITE_P(All,
-                         Base64Table,
+                         Base64RoundTripTest,
                          testing::Values(Base64Case{"", ""},
                                          Base64Case{"n", "bg=="},
                                          Base64Case{"no", "bm8="},
                                          Base64Case{"nod", "bm9k"},
                                          Base64Case{"node-1", "bm9kZS0x"}));
 
-TEST(Base64Test, WhatIsNoneIsRefused) {
+TEST(Base64Test, RejectsInvalidText) {
   EXPECT_FALSE(DecodeBase64("bm9"));
   EXPECT_FALSE(DecodeBase64("b*9k"));
 }
 
-// A value that can't be read still tells whose entry changed; what names no row
-// at all is passed over.
-TEST(DecodeRowsTest, OneUnreadableRowDoesNotHideTheOthers) {
+// A row with an unreadable value still shows which entry changed; an item
+// without a key is skipped.
+TEST(DecodeRowsTest, SkipsOnlyUnreadableRows) {
   const auto rows = DecodeRows(
       R"({"rows":[{"key":"a","value":"bm9k","schema_version":3},{"key":"b","value":"*"},7,)"
       R"({"key":"c","removed":true,"schema_version":4}],"schema_version":9,"has_more":true})");
@@ -50,23 +50,23 @@
   EXPECT_TRUE(ValueOf(rows).has_more);
 }
 
-class BadRowsTable : public testing::TestWithParam<std::string> {};
+class BadRowsTest : public testing::TestWithParam<std::string> {};
 
-TEST_P(BadRowsTable, AreABadAnswer) {
+TEST_P(BadRowsTest, IsRejected) {
   const auto rows = DecodeRows(GetParam());
   ASSERT_FALSE(IsOk(rows));
   EXPECT_EQ(ErrorOf(rows), replication::RowFailure::kBadAnswer);
 }
 
 INSTANTIATE_TEST_SUITE_P(All,
-                         BadRowsTable,
+                         BadRowsTest,
                          testing::Values("",
                                          "{}",
                                          "[]",
                                          R"({"rows":[]})",
                                          R"({"rows":3,"schema_version":1})"));
 
-TEST(HostEntryTest, ReadsTheSameAsItWasWritten) {
+TEST(HostEntryTest, RoundTrips) {
   const HostEntry entry{.host = {.name = "h1",
                                  .failure_domain = FailureDomainName("z"),
                                  .address = "127.0.0.1:7000"},
--- a/tests/unit/platform/platform_codec_test.cc
+++ b/tests/unit/platform/platform_codec_test.cc
@@ -29,7 +29,7 @@
           .body = "dish"};
 }
 
-TEST(PlatformCodecTest, ReadsWhatACallerAsksFor) {
+TEST(PlatformCodecTest, DecodesTheRequest) {
   const auto decoded = PlatformCodec().Decode(MakeCall());
 
   EXPECT_EQ(decoded.id, "id-1");
@@ -45,19 +45,20 @@
   std::optional<double> limit;
 };
 
-class LimitHeaderTable : public testing::TestWithParam<LimitHeaderCase> {};
+class LimitHeaderTest : public testing::TestWithParam<LimitHeaderCase> {};
 
 // A malformed limit must not stop all requests to a target.
-TEST_P(LimitHeaderTable, AcceptsOnlyFiniteNonNegativeDecimals) {
-  EXPECT_EQ(PlatformCodec()
-                .Judge({.status = 200, .headers = GetParam().headers})
-                .rate_limit,
-            GetParam().limit);
+TEST_P(LimitHeaderTest, AcceptsOnlyFiniteNonNegativeDecimals) {
+  EXPECT_EQ(
+      PlatformCodec()
+          .ClassifyResponse({.status = 200, .headers = GetParam().headers})
+          .rate_limit,
+      GetParam().limit);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    LimitHeaderTable,
+    LimitHeaderTest,
     testing::Values(
         LimitHeaderCase{"absent", {}, std::nullopt},
         LimitHeaderCase{"long_name",
@@ -72,8 +73,8 @@
         LimitHeaderCase{"infinite", {{"Server-Limit", "inf"}}, std::nullopt}),
     [](const auto& info) { return info.param.name; });
 
-// A retry differs in its id and deadline only. A request with another caller or
-// body must not share its fingerprint.
+// A retry differs only in its identifier and deadline. A request with another
+// caller or body must have another fingerprint.
 TEST(PlatformCodecTest, RetryHasTheSameFingerprint) {
   const auto fingerprint_of = [](const HttpRequest& call) {
     return PlatformCodec().Decode(call).request.fingerprint;
@@ -90,14 +91,13 @@
   EXPECT_NE(fingerprint_of(with_body), fingerprint_of(MakeCall()));
 }
 
-TEST(PlatformCodecTest, ADeadlineThatIsNoNumberCountsAsMissing) {
+TEST(PlatformCodecTest, IgnoresAnInvalidDeadline) {
   HttpRequest call = MakeCall();
   call.headers.Set("X-Medlarcroft-Deadline-Ms", "-5");
   EXPECT_FALSE(PlatformCodec().Decode(call).request.time_left);
 }
 
-TEST(PlatformCodecTest,
-     ATargetGetsTheRequestUnchangedButForWhatConcernsOneConnection) {
+TEST(PlatformCodecTest, EncodesTheRequestWithoutHopByHopHeaders) {
   request_path::SendAttempt attempt;
   attempt.target = {TargetName("i-1")};
   attempt.time_left = milliseconds(900);
@@ -115,21 +115,22 @@
             "dish");
 }
 
-struct JudgeCase {
+struct ClassificationCase {
   std::string name;
   int status;
   HttpHeaders headers;
   AttemptEnd end;
 };
 
-class JudgeTable : public testing::TestWithParam<JudgeCase> {};
+class ResponseClassificationTest
+    : public testing::TestWithParam<ClassificationCase> {};
 
-TEST_P(JudgeTable, OnlyTheTargetsOwnProofMeansNotRun) {
-  EXPECT_EQ(
-      PlatformCodec()
-          .Judge({.status = GetParam().status, .headers = GetParam().headers})
-          .end,
-      GetParam().end);
+TEST_P(ResponseClassificationTest, NotRunNeedsTheTargetsHeader) {
+  EXPECT_EQ(PlatformCodec()
+                .ClassifyResponse({.status = GetParam().status,
+                                   .headers = GetParam().headers})
+                .end,
+            GetParam().end);
 }
 
 const HttpHeaders kSealed = {{"X-Medlarcroft-Server-Seal", "s"}};
@@ -137,100 +138,104 @@
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    JudgeTable,
+    ResponseClassificationTest,
     testing::Values(
-        JudgeCase{"Success", 200, kSealed, AttemptEnd::kAnswered},
-        JudgeCase{"SuccessWithoutSeal", 200, {}, AttemptEnd::kLost},
-        JudgeCase{"NoSuchObject", 404, kSealed, AttemptEnd::kAnswered},
-        JudgeCase{"Failure", 500, kSealed, AttemptEnd::kTargetFailed},
-        JudgeCase{"Deadline", 504, kSealed, AttemptEnd::kTargetFailed},
-        JudgeCase{"Full", 503, kNotRun, AttemptEnd::kNotRun},
-        JudgeCase{"FullWithoutProof", 503, kSealed, AttemptEnd::kLost},
-        JudgeCase{"TooManyWithoutProof", 429, {}, AttemptEnd::kLost},
-        JudgeCase{"OtherTarget", 421, {}, AttemptEnd::kWrongTarget},
-        JudgeCase{"NoId", 400, kNotRun, AttemptEnd::kAnswered}),
+        ClassificationCase{"Success", 200, kSealed, AttemptEnd::kAnswered},
+        ClassificationCase{"SuccessWithoutSeal", 200, {}, AttemptEnd::kLost},
+        ClassificationCase{"NoSuchObject", 404, kSealed, AttemptEnd::kAnswered},
+        ClassificationCase{"Failure", 500, kSealed, AttemptEnd::kTargetFailed},
+        ClassificationCase{"Deadline", 504, kSealed, AttemptEnd::kTargetFailed},
+        ClassificationCase{"Full", 503, kNotRun, AttemptEnd::kNotRun},
+        ClassificationCase{"FullWithoutProof", 503, kSealed, AttemptEnd::kLost},
+        ClassificationCase{"TooManyWithoutProof", 429, {}, AttemptEnd::kLost},
+        ClassificationCase{"OtherTarget", 421, {}, AttemptEnd::kWrongTarget},
+        ClassificationCase{"NoId", 400, kNotRun, AttemptEnd::kAnswered}),
     [](const auto& tested) { return tested.param.name; });
 
-TEST(PlatformCodecTest, AnAnswerBelongsToTheRequestWhoseIdItBears) {
+TEST(PlatformCodecTest, MatchesResponsesByRequestId) {
   const PlatformCodec codec;
   const HttpHeaders own = {{"X-Medlarcroft-Attempt-Id", "id-1"}};
 
-  EXPECT_TRUE(codec.IsOwnAnswer({.status = 200, .headers = own}, "id-1"));
-  EXPECT_FALSE(codec.IsOwnAnswer({.status = 200, .headers = own}, "id-2"));
-  EXPECT_FALSE(codec.IsOwnAnswer({.status = 503, .headers = own}, "id-2"));
-  EXPECT_FALSE(codec.IsOwnAnswer({.status = 200}, "id-1"));
-  EXPECT_TRUE(codec.IsOwnAnswer({.status = 503}, "id-1"));
+  EXPECT_TRUE(codec.IsResponseTo({.status = 200, .headers = own}, "id-1"));
+  EXPECT_FALSE(codec.IsResponseTo({.status = 200, .headers = own}, "id-2"));
+  EXPECT_FALSE(codec.IsResponseTo({.status = 503, .headers = own}, "id-2"));
+  EXPECT_FALSE(codec.IsResponseTo({.status = 200}, "id-1"));
+  EXPECT_TRUE(codec.IsResponseTo({.status = 503}, "id-1"));
 }
 
-struct LoadCase {
+struct LoadHeaderCase {
   std::string text;
-  bool is_read;
+  bool is_valid;
 };
 
-class LoadTable : public testing::TestWithParam<LoadCase> {};
+class LoadHeaderTest : public testing::TestWithParam<LoadHeaderCase> {};
 
-TEST_P(LoadTable, ThreeNumbersOrNothing) {
-  const auto judged = PlatformCodec().Judge(
+TEST_P(LoadHeaderTest, AcceptsExactlyThreeNumbers) {
+  const auto classified = PlatformCodec().ClassifyResponse(
       {.status = 200,
        .headers = {{"X-Medlarcroft-Server-Load", GetParam().text}}});
-  EXPECT_EQ(judged.load.has_value(), GetParam().is_read);
+  EXPECT_EQ(classified.load.has_value(), GetParam().is_valid);
 }
 
 INSTANTIATE_TEST_SUITE_P(All,
-                         LoadTable,
-                         testing::Values(LoadCase{"3,0,8", true},
-                                         LoadCase{"3,0", false},
-                                         LoadCase{"3,0,8,1", false},
-                                         LoadCase{"a,0,8", false},
-                                         LoadCase{"-1,0,8", false},
-                                         LoadCase{"", false}));
-
-struct EndingCase {
+                         LoadHeaderTest,
+                         testing::Values(LoadHeaderCase{"3,0,8", true},
+                                         LoadHeaderCase{"3,0", false},
+                                         LoadHeaderCase{"3,0,8,1", false},
+                                         LoadHeaderCase{"a,0,8", false},
+                                         LoadHeaderCase{"-1,0,8", false},
+                                         LoadHeaderCase{"", false}));
+
+struct LocalResponseCase {
   std::string name;
   request_path::RequestFailure ending;
   int status;
-  bool says_when;
+  bool has_retry_after;
 };
 
-class EndingTable : public testing::TestWithParam<EndingCase> {};
+class LocalResponseTest : public testing::TestWithParam<LocalResponseCase> {};
 
-TEST_P(EndingTable, AStatusPromisesNotRunOnlyWhenThatIsProved) {
+TEST_P(LocalResponseTest, StatusMeansNotRunOnlyIfProved) {
   const HttpResponse response =
-      PlatformCodec().EncodeEnding(GetParam().ending, "id-1");
+      PlatformCodec().EncodeLocalResponse(GetParam().ending, "id-1");
 
   EXPECT_EQ(response.status, GetParam().status);
   EXPECT_EQ(response.headers.Find("Retry-After").has_value(),
-            GetParam().says_when);
+            GetParam().has_retry_after);
   EXPECT_EQ(response.headers.Find("X-Medlarcroft-Attempt-Id"), "id-1");
 }
 
-constexpr Duration kSoon = milliseconds(250);
+constexpr Duration kRetryAfter = milliseconds(250);
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    EndingTable,
+    LocalResponseTest,
     testing::Values(
-        EndingCase{"NoRoom",
-                   {FailureReason::kOverloaded, true, kSoon},
-                   503,
-                   true},
-        EndingCase{"NoRoute", {FailureReason::kNoRoute, true, {}}, 404, false},
-        EndingCase{"SpentNotRun",
-                   {FailureReason::kRetriesExhausted, true, kSoon},
-                   503,
-                   true},
-        EndingCase{"SpentMaybeRun",
-                   {FailureReason::kRetriesExhausted, false, kSoon},
-                   502,
-                   false},
-        EndingCase{"MayHaveRun",
-                   {FailureReason::kMayHaveRun, false, {}},
-                   502,
-                   false},
-        EndingCase{"TimedOut",
-                   {FailureReason::kTimedOut, false, {}},
-                   504,
-                   false}),
+        LocalResponseCase{"NoRoom",
+                          {FailureReason::kOverloaded, true, kRetryAfter},
+                          503,
+                          true},
+        LocalResponseCase{"NoRoute",
+                          {FailureReason::kNoRoute, true, {}},
+                          404,
+                          false},
+        LocalResponseCase{"RetriesSpentNotRun",
+                          {FailureReason::kRetriesExhausted, true, kRetryAfter},
+                          503,
+                          true},
+        LocalResponseCase{
+            "RetriesSpentMayHaveRun",
+            {FailureReason::kRetriesExhausted, false, kRetryAfter},
+            502,
+            false},
+        LocalResponseCase{"MayHaveRun",
+                          {FailureReason::kMayHaveRun, false, {}},
+                          502,
+                          false},
+        LocalResponseCase{"TimedOut",
+                          {FailureReason::kTimedOut, false, {}},
+                          504,
+                          false}),
     [](const auto& tested) { return tested.param.name; });
 
 TEST(FindParameterTest, FindsWholeNamesOnly) {
--- a/tests/unit/platform/table_follower_fixture.h
+++ b/tests/unit/platform/table_follower_fixture.h
@@ -17,15 +17,16 @@
 #include "platform/store_client.h"
 
 /// @file
-/// @brief Followers of a table on a small store of our own, over loopback.
+/// @brief Fixture for followers of a table in a fake store, over loopback.
 
 namespace medlarcroft::replication {
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @brief What a table holds, as heard.
-class HeardTable final : public TableListener {
+/// @brief Records the content of a table and the events that a follower
+/// reports.
+class RecordingTableListener final : public TableListener {
  public:
   void OnTable(std::span<const Row> table) override {
     ++tables;
@@ -42,46 +43,47 @@
     }
   }
   void OnCallFailed(const FailedCall& call) override {
-    lost = call.is_first ? call.failure : lost;
+    first_failure = call.is_first ? call.failure : first_failure;
     longest_call = std::max(longest_call, call.call_time);
   }
-  void OnStoreRecovered(Duration) override { ++returns; }
+  void OnStoreRecovered(Duration) override { ++store_returns; }
   void OnReaderLost(RowFailure, std::uint64_t) override { ++readers_lost; }
 
   std::map<std::string, std::string> rows;
   int tables = 0;
-  std::optional<RowFailure> lost;
+  std::optional<RowFailure> first_failure;
   Duration longest_call{0};
-  int returns = 0;
+  int store_returns = 0;
   int readers_lost = 0;
 };
 
 using Rows = std::map<std::string, std::string>;
 
-inline constexpr FollowTiming kTestPace{
+inline constexpr FollowTiming kTestTiming{
     .wait = milliseconds(200),
     .pause_after_change = milliseconds(120)};
 
 class TableFollowerTest : public testing::Test {
  protected:
-  /// Runs the loop until `is_done`, or fails after a generous while.
-  void RunUntil(const std::function<bool()>& is_done) {
+  /// Adds a step: the loop runs until all steps are done, in order. Fails after
+  /// 20 seconds.
+  void AddStep(const std::function<bool()>& is_done) {
     adapters::TimerId limit = loop_.After(seconds(20), [this] {
-      ADD_FAILURE() << "it did not come about";
+      ADD_FAILURE() << "the condition was not met within 20 seconds";
       loop_.Finish(1);
     });
     steps_.push_back(is_done);
     if (steps_.size() == 1) {
-      loop_.Every(milliseconds(2), [this] { Step(); });
+      loop_.Every(milliseconds(2), [this] { RunSteps(); });
     }
-    limits_.push_back(limit);
+    step_timeouts_.push_back(limit);
   }
-  void Step() {
-    while (at_ < steps_.size() && steps_[at_]()) {
-      loop_.Cancel(limits_[at_]);
-      ++at_;
+  void RunSteps() {
+    while (next_step_ < steps_.size() && steps_[next_step_]()) {
+      loop_.Cancel(step_timeouts_[next_step_]);
+      ++next_step_;
     }
-    if (at_ == steps_.size()) {
+    if (next_step_ == steps_.size()) {
       loop_.Finish(0);
     }
   }
@@ -95,13 +97,15 @@
       loop_,
       {.address = server_.Address(), .call_timeout = milliseconds(100)},
       metrics_};
-  HeardTable heard_;
-  TableFollower watch_{
-      {.timers = loop_, .store = store_, .random = random_, .listener = heard_},
-      {.table = "t", .timing = kTestPace}};
+  RecordingTableListener recorded_;
+  TableFollower follower_{{.timers = loop_,
+                           .store = store_,
+                           .random = random_,
+                           .listener = recorded_},
+                          {.table = "t", .timing = kTestTiming}};
   std::vector<std::function<bool()>> steps_;
-  std::vector<adapters::TimerId> limits_;
-  std::size_t at_ = 0;
+  std::vector<adapters::TimerId> step_timeouts_;
+  std::size_t next_step_ = 0;
 };
 
 }  // namespace medlarcroft::replication
--- a/tests/unit/platform/table_follower_peer_test.cc
+++ b/tests/unit/platform/table_follower_peer_test.cc
@@ -12,50 +12,51 @@
 namespace medlarcroft::replication {
 namespace {
 
-/// @brief Another host, which hears from the store and tells what it heard.
-class FollowerBesideAnother : public TableFollowerTest {
+/// @brief A second host that reads the store and serves its rows.
+class TableFollowerPeerTest : public TableFollowerTest {
  protected:
-  /// @return options of a follower that may ask the other host.
+  /// @return options of a follower that only reads the store.
   [[nodiscard]] TableFollower::Options Options() const {
-    return {.table = "t", .timing = kTestPace};
+    return {.table = "t", .timing = kTestTiming};
   }
-  void AskOther(const RowsRequest& question, RowsCallback callback) {
-    ++asked_;
-    platform::AskPeer(caller_, "127.0.0.1:" + std::to_string(listener_->Port()),
-                      question, std::move(callback));
+  void QueryReader(const RowsRequest& question, RowsCallback callback) {
+    ++queries_;
+    platform::FetchRowsFromPeer(
+        caller_, "127.0.0.1:" + std::to_string(listener_->Port()), question,
+        std::move(callback));
   }
-  [[nodiscard]] TableFollower::Options OptionsOfReaders() {
+  [[nodiscard]] TableFollower::Options OptionsWithReader() {
     TableFollower::Options options = Options();
     options.ask_reader = [this](const RowsRequest& question,
                                 RowsCallback callback) {
-      AskOther(question, std::move(callback));
+      QueryReader(question, std::move(callback));
       return true;
     };
     return options;
   }
 
-  HeardTable other_heard_;
-  TableFollower other_{{.timers = loop_,
-                        .store = store_,
-                        .random = random_,
-                        .listener = other_heard_},
-                       Options()};
-  bool is_other_fresh_ = true;
-  TableServer teller_{loop_, [this](std::string_view) {
-                        return is_other_fresh_ ? other_.ServeFollowers()
-                                               : FreshTable{};
-                      }};
-  platform::MirrorHandler page_{teller_};
-  std::unique_ptr<adapters::HttpListener> listener_ =
-      TakeValue(adapters::HttpListener::Open(loop_, "127.0.0.1:0", page_));
+  RecordingTableListener reader_recorded_;
+  TableFollower reader_{{.timers = loop_,
+                         .store = store_,
+                         .random = random_,
+                         .listener = reader_recorded_},
+                        Options()};
+  bool is_reader_fresh_ = true;
+  TableServer row_server_{loop_, [this](std::string_view) {
+                            return is_reader_fresh_ ? reader_.ServeFollowers()
+                                                    : FreshTable{};
+                          }};
+  platform::MirrorHandler mirror_handler_{row_server_};
+  std::unique_ptr<adapters::HttpListener> listener_ = TakeValue(
+      adapters::HttpListener::Open(loop_, "127.0.0.1:0", mirror_handler_));
   adapters::EventHttpClient caller_{loop_, {}};
-  int asked_ = 0;
+  int queries_ = 0;
 };
 
-// The store turns this host away and serves another one, to which a domain's
-// evacuation was told. This host hears of it from there, well before the store
-// takes it back.
-TEST_F(FollowerBesideAnother, AHostThatIsTurnedAwayHearsFromIt) {
+// The store refuses this host and serves another one, which knows that a
+// failure domain is evacuated. This host gets the rows from the other one, well
+// before the store serves it again.
+TEST_F(TableFollowerPeerTest, ARefusedHostGetsRowsFromAPeer) {
   fakes::FakeStoreServer refusing(loop_);
   refusing.forced_status = 503;
   platform::StoreClient refused_store(loop_, {.address = refusing.Address()},
@@ -63,124 +64,129 @@
   TableFollower::Options options = Options();
   options.ask_peer = [this](const RowsRequest& question,
                             RowsCallback callback) {
-    AskOther(question, std::move(callback));
+    QueryReader(question, std::move(callback));
   };
-  TableFollower turned_away({.timers = loop_,
-                             .store = refused_store,
-                             .random = random_,
-                             .listener = heard_},
-                            options);
+  TableFollower refused_follower({.timers = loop_,
+                                  .store = refused_store,
+                                  .random = random_,
+                                  .listener = recorded_},
+                                 options);
   server_.Put("evacuate/a", "{}");
-  other_.Start();
-  turned_away.Start();
-  RunUntil([this] {
-    if (heard_.rows != Rows{{"evacuate/a", "{}"}}) {
+  reader_.Start();
+  refused_follower.Start();
+  AddStep([this] {
+    if (recorded_.rows != Rows{{"evacuate/a", "{}"}}) {
       return false;
     }
     server_.Remove("evacuate/a");
     server_.Put("evacuate/b", "{}");
     return true;
   });
-  RunUntil([this] { return heard_.rows == Rows{{"evacuate/b", "{}"}}; });
+  AddStep([this] { return recorded_.rows == Rows{{"evacuate/b", "{}"}}; });
   loop_.Run();
 
-  EXPECT_TRUE(turned_away.IsDisconnected());
-  EXPECT_EQ(heard_.returns, 0);
+  EXPECT_TRUE(refused_follower.IsDisconnected());
+  EXPECT_EQ(recorded_.store_returns, 0);
 }
 
-// In a large region one host reads the store for all. It can't tell: it is
-// itself turned away. Those that follow it must hear the news all the same,
-// from the store.
-TEST_F(FollowerBesideAnother, AHostWhoseReaderIsLostReadsForItself) {
-  other_.Mirror().OnChange([this] { teller_.OnChange("t"); });
-  TableFollower follower(
-      {.timers = loop_, .store = store_, .random = random_, .listener = heard_},
-      OptionsOfReaders());
+// In a large region one host reads the store for all others. When it loses the
+// store, the hosts that follow it must read the changes from the store
+// themselves.
+TEST_F(TableFollowerPeerTest, AHostThatLostItsReaderReadsTheStore) {
+  reader_.Mirror().OnChange([this] { row_server_.OnChange("t"); });
+  TableFollower follower({.timers = loop_,
+                          .store = store_,
+                          .random = random_,
+                          .listener = recorded_},
+                         OptionsWithReader());
   server_.Put("a", "1");
-  other_.Start();
+  reader_.Start();
   follower.Start();
-  RunUntil([this] {
-    if (heard_.rows != Rows{{"a", "1"}} || asked_ == 0) {
+  AddStep([this] {
+    if (recorded_.rows != Rows{{"a", "1"}} || queries_ == 0) {
       return false;
     }
     server_.Put("b", "2");
     return true;
   });
-  RunUntil([this] {
-    if (heard_.rows.size() != 2) {
+  AddStep([this] {
+    if (recorded_.rows.size() != 2) {
       return false;
     }
-    is_other_fresh_ = false;
+    is_reader_fresh_ = false;
     server_.Put("c", "3");
     return true;
   });
-  RunUntil([this] { return heard_.rows.size() == 3; });
+  AddStep([this] { return recorded_.rows.size() == 3; });
   loop_.Run();
 
-  EXPECT_GE(heard_.readers_lost, 1);
+  EXPECT_GE(recorded_.readers_lost, 1);
 }
 
-// Hosts of a large region start together. Each of them asks the one that reads
-// for all, which has nothing yet either; it hears the table all the same, and
-// the store is asked for it once.
-TEST_F(FollowerBesideAnother, AHostThatStartsHearsTheTableFromItsReader) {
+// The hosts of a large region start together. Each queries the reader, which
+// has no rows yet either. They must get the table from it all the same, and the
+// store lists the table only once.
+TEST_F(TableFollowerPeerTest, AStartingHostGetsTheTableFromItsReader) {
   server_.Put("a", "1");
-  other_.Mirror().OnChange([this] { teller_.OnChange("t"); });
-  TableFollower follower(
-      {.timers = loop_, .store = store_, .random = random_, .listener = heard_},
-      OptionsOfReaders());
+  reader_.Mirror().OnChange([this] { row_server_.OnChange("t"); });
+  TableFollower follower({.timers = loop_,
+                          .store = store_,
+                          .random = random_,
+                          .listener = recorded_},
+                         OptionsWithReader());
   follower.Start();
-  loop_.After(milliseconds(50), [this] { other_.Start(); });
-  RunUntil([this] { return heard_.rows == Rows{{"a", "1"}}; });
+  loop_.After(milliseconds(50), [this] { reader_.Start(); });
+  AddStep([this] { return recorded_.rows == Rows{{"a", "1"}}; });
   loop_.Run();
 
   EXPECT_EQ(server_.calls["/medlarcroft/rows-get"], 1);
 }
 
-// Many hosts ask for the same at once, and one text is made for all of them.
-// Who asks after a change, or knows less, must not get what others got before.
-TEST_F(FollowerBesideAnother, EachHostGetsWhatItLacks) {
+// Many hosts request the same rows at once and get the same cached response. A
+// host that asks after a change, or knows fewer rows, must not get that
+// response.
+TEST_F(TableFollowerPeerTest, EachHostGetsTheRowsItLacks) {
   server_.Put("a", "1");
-  other_.Start();
+  reader_.Start();
   std::vector<std::vector<std::string>> answers;
   std::uint64_t known = 0;
   const auto ask = [&](std::uint64_t version) {
-    AskOther({.table = "t", .known_version = version},
-             [&](const Result<RowBatch, RowFailure>& answer) {
-               std::vector<std::string> keys;
-               if (IsOk(answer)) {
-                 known = ValueOf(answer).newest_version;
-                 for (const Row& row : ValueOf(answer).rows) {
-                   keys.push_back(row.key);
-                 }
-               }
-               answers.push_back(keys);
-             });
+    QueryReader({.table = "t", .known_version = version},
+                [&](const Result<RowBatch, RowFailure>& answer) {
+                  std::vector<std::string> keys;
+                  if (IsOk(answer)) {
+                    known = ValueOf(answer).newest_version;
+                    for (const Row& row : ValueOf(answer).rows) {
+                      keys.push_back(row.key);
+                    }
+                  }
+                  answers.push_back(keys);
+                });
   };
-  RunUntil([&] {
-    if (!other_.HasTable()) {
+  AddStep([&] {
+    if (!reader_.HasTable()) {
       return false;
     }
     ask(0);
     ask(0);
     return true;
   });
-  RunUntil([&] {
+  AddStep([&] {
     if (answers.size() < 2) {
       return false;
     }
     server_.Put("b", "2");
     return true;
   });
-  RunUntil([&] {
-    if (other_heard_.rows.size() < 2) {
+  AddStep([&] {
+    if (reader_recorded_.rows.size() < 2) {
       return false;
     }
     ask(known);
     ask(0);
     return true;
   });
-  RunUntil([&] { return answers.size() == 4; });
+  AddStep([&] { return answers.size() == 4; });
   loop_.Run();
 
   std::ranges::sort(answers);
--- a/tests/unit/platform/table_follower_test.cc
+++ b/tests/unit/platform/table_follower_test.cc
@@ -10,21 +10,21 @@
 namespace medlarcroft::replication {
 namespace {
 
-TEST_F(TableFollowerTest, HearsTheTableAndThenWhatChanges) {
+TEST_F(TableFollowerTest, ReceivesTheTableAndThenItsChanges) {
   server_.Put("a", "1");
-  watch_.Start();
-  RunUntil([this] {
-    if (heard_.rows != Rows{{"a", "1"}}) {
+  follower_.Start();
+  AddStep([this] {
+    if (recorded_.rows != Rows{{"a", "1"}}) {
       return false;
     }
     server_.Put("b", "2");
     server_.Remove("a");
     return true;
   });
-  RunUntil([this] { return heard_.rows == Rows{{"b", "2"}}; });
+  AddStep([this] { return recorded_.rows == Rows{{"b", "2"}}; });
   loop_.Run();
 
-  EXPECT_EQ(heard_.tables, 1);
+  EXPECT_EQ(recorded_.tables, 1);
 }
 
 TEST_F(TableFollowerTest, ReadsATableOfSeveralPages) {
@@ -32,52 +32,55 @@
   for (int i = 0; i < 10; ++i) {
     server_.Put("k" + std::to_string(i), "v");
   }
-  watch_.Start();
-  RunUntil([this] { return heard_.rows.size() == 10; });
+  follower_.Start();
+  AddStep([this] { return recorded_.rows.size() == 10; });
   loop_.Run();
 
-  EXPECT_EQ(heard_.tables, 1);
+  EXPECT_EQ(recorded_.tables, 1);
 }
 
-// The store turns this host away and then serves it again, while nothing in the
-// table changes. The host must know that at once: what is taken away later is
-// no lapse of the absence, and callers must not be sent to a target that left.
-// A call that is held until the next change tells of both together.
-TEST_F(TableFollowerTest, HearsOfTheReturnBeforeTheNextChange) {
-  TableFollower patient(
-      {.timers = loop_, .store = store_, .random = random_, .listener = heard_},
-      {.table = "t", .timing = {.wait = seconds(60)}});
+// The store refuses this host and then serves it again, while nothing in the
+// table changes. The host must notice the return at once: rows that are removed
+// later did not expire during the outage, and their targets must get no more
+// requests. A call that is held until the next change would report the return
+// and the change together.
+TEST_F(TableFollowerTest, ReportsTheStoreBackBeforeTheNextChange) {
+  TableFollower patient({.timers = loop_,
+                         .store = store_,
+                         .random = random_,
+                         .listener = recorded_},
+                        {.table = "t", .timing = {.wait = seconds(60)}});
   server_.Put("a", "1");
   patient.Start();
-  RunUntil([this] {
-    if (heard_.rows != Rows{{"a", "1"}}) {
+  AddStep([this] {
+    if (recorded_.rows != Rows{{"a", "1"}}) {
       return false;
     }
     server_.Put("b", "2");
     server_.forced_status = 503;
     return true;
   });
-  RunUntil([this] {
-    if (!heard_.lost) {
+  AddStep([this] {
+    if (!recorded_.first_failure) {
       return false;
     }
     server_.forced_status.reset();
     return true;
   });
-  RunUntil([this] { return heard_.returns == 1; });
+  AddStep([this] { return recorded_.store_returns == 1; });
   loop_.Run();
 
-  EXPECT_EQ(heard_.rows, (Rows{{"a", "1"}, {"b", "2"}}));
+  EXPECT_EQ(recorded_.rows, (Rows{{"a", "1"}, {"b", "2"}}));
 }
 
 // The store drops its history while this host waits for changes, and a row is
-// removed in the gap. The host must not go on believing in it.
-TEST_F(TableFollowerTest, ReadsTheTableAnewWhenTheHistoryIsGone) {
+// removed in the gap. The host must not keep the removed row.
+TEST_F(TableFollowerTest, RereadsTheTableWhenTheHistoryIsGone) {
   server_.Put("a", "1");
   server_.Put("b", "2");
-  watch_.Start();
-  RunUntil([this] {
-    if (heard_.rows.size() != 2) {
+  follower_.Start();
+  AddStep([this] {
+    if (recorded_.rows.size() != 2) {
       return false;
     }
     server_.is_unresponsive = true;
@@ -86,10 +89,10 @@
     server_.is_unresponsive = false;
     return true;
   });
-  RunUntil([this] { return heard_.rows == Rows{{"b", "2"}}; });
+  AddStep([this] { return recorded_.rows == Rows{{"b", "2"}}; });
   loop_.Run();
 
-  EXPECT_EQ(heard_.tables, 2);
+  EXPECT_EQ(recorded_.tables, 2);
 }
 
 enum class Outage { kRefusing, kSilent, kSlow, kStopped };
@@ -110,7 +113,7 @@
       server.is_unresponsive = true;
       break;
     case Outage::kSlow:
-      // Past what the client waits for a call that is held for 200 ms.
+      // Longer than the client's timeout for a call that is held for 200 ms.
       server.processing_delay = seconds(3);
       break;
     case Outage::kStopped:
@@ -128,45 +131,46 @@
   }
 }
 
-class OutageTable : public TableFollowerTest,
-                    public testing::WithParamInterface<OutageCase> {};
+class TableFollowerOutageTest : public TableFollowerTest,
+                                public testing::WithParamInterface<OutageCase> {
+};
 
-// The store is away for a while; what changed meanwhile is heard afterwards,
-// and what was known stays known.
-TEST_P(OutageTable, KeepsWhatItKnowsAndCatchesUp) {
+// The store fails for a while: known rows are kept, and changes that were made
+// meanwhile arrive afterwards.
+TEST_P(TableFollowerOutageTest, KeepsItsRowsAndCatchesUp) {
   server_.Put("a", "1");
-  watch_.Start();
-  RunUntil([this] {
-    if (heard_.rows.empty()) {
+  follower_.Start();
+  AddStep([this] {
+    if (recorded_.rows.empty()) {
       return false;
     }
     Begin(GetParam(), server_);
     return true;
   });
-  RunUntil([this] {
-    if (!heard_.lost) {
+  AddStep([this] {
+    if (!recorded_.first_failure) {
       return false;
     }
-    EXPECT_EQ(heard_.rows, (Rows{{"a", "1"}}));
-    EXPECT_TRUE(watch_.IsDisconnected());
+    EXPECT_EQ(recorded_.rows, (Rows{{"a", "1"}}));
+    EXPECT_TRUE(follower_.IsDisconnected());
     End(GetParam(), server_);
     server_.Put("b", "2");
     return true;
   });
-  RunUntil([this] { return heard_.rows.size() == 2; });
+  AddStep([this] { return recorded_.rows.size() == 2; });
   loop_.Run();
 
-  EXPECT_EQ(*heard_.lost, GetParam().failure);
-  EXPECT_EQ(heard_.returns, 1);
-  // Who looks for the cause is told how long the host waited for nothing.
+  EXPECT_EQ(*recorded_.first_failure, GetParam().failure);
+  EXPECT_EQ(recorded_.store_returns, 1);
+  // The reported duration of the failed call helps to find the cause.
   if (GetParam().failure == RowFailure::kTimedOut) {
-    EXPECT_GE(heard_.longest_call, kTestPace.wait);
+    EXPECT_GE(recorded_.longest_call, kTestTiming.wait);
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    OutageTable,
+    TableFollowerOutageTest,
     testing::Values(
         OutageCase{"Busy", Outage::kRefusing, RowFailure::kRefused, 503},
         OutageCase{"Many", Outage::kRefusing, RowFailure::kRefused, 429},
@@ -176,13 +180,13 @@
         OutageCase{"Reset", Outage::kStopped, RowFailure::kUnreachable}),
     [](const auto& tested) { return tested.param.name; });
 
-// A list comes from before what this host knows. Taking it would bring back
-// targets that left.
-TEST_F(TableFollowerTest, AnOlderListIsNotTaken) {
+// A list is older than the rows that this host knows. Accepting it would
+// restore targets that have left.
+TEST_F(TableFollowerTest, AnOlderListIsRejected) {
   server_.Put("a", "1");
-  watch_.Start();
-  RunUntil([this] {
-    if (heard_.rows.empty()) {
+  follower_.Start();
+  AddStep([this] {
+    if (recorded_.rows.empty()) {
       return false;
     }
     server_.is_unresponsive = true;
@@ -193,19 +197,19 @@
     server_.is_unresponsive = false;
     return true;
   });
-  RunUntil([this] {
-    if (!heard_.lost) {
+  AddStep([this] {
+    if (!recorded_.first_failure) {
       return false;
     }
-    EXPECT_EQ(heard_.tables, 1);
+    EXPECT_EQ(recorded_.tables, 1);
     server_.reported_version_lag = 0;
     return true;
   });
-  RunUntil([this] { return heard_.rows == Rows{{"b", "2"}}; });
+  AddStep([this] { return recorded_.rows == Rows{{"b", "2"}}; });
   loop_.Run();
 }
 
-TEST_F(TableFollowerTest, AWriteUnderAConditionIsRefusedWhenTheRowMoved) {
+TEST_F(TableFollowerTest, AConditionalWriteFailsWhenTheRowChanged) {
   server_.Put("a", "1");
   std::vector<Result<Success, RowFailure>> results;
   const auto keep = [&](const Result<Success, RowFailure>& result) {
@@ -227,9 +231,9 @@
   EXPECT_EQ(server_.version, 2U);
 }
 
-// The write is done and its answer lost: whoever wrote must not take it for
+// A write is applied but its response is lost: the writer must not treat it as
 // refused.
-TEST_F(TableFollowerTest, ALostAnswerIsNotARefusal) {
+TEST_F(TableFollowerTest, AWriteWithoutAResponseTimesOut) {
   server_.drops_write_responses = true;
   std::optional<RowFailure> failure;
   store_.Write({.table = "t", .key = "c", .value = "3"},
@@ -243,48 +247,51 @@
   EXPECT_EQ(server_.version, 1U);
 }
 
-// A write gets no answer and is done afterwards. Whoever wrote may take it
-// neither for done nor for refused: its condition may still come to hold.
-TEST_F(TableFollowerTest, AWriteThatIsDoneLateIsNotARefusal) {
+// A write gets no response and is applied afterwards. The writer may treat it
+// neither as done nor as refused, since its condition may still become true.
+TEST_F(TableFollowerTest, AWriteAppliedAfterTheTimeoutTimesOut) {
   server_.write_delay = milliseconds(300);
   std::optional<RowFailure> failure;
   store_.Write({.table = "t", .key = "c", .value = "3", .expected_version = 0},
                [&](const Result<Success, RowFailure>& result) {
                  failure = ErrorOf(result);
                });
-  RunUntil([&] { return failure.has_value(); });
-  RunUntil([this] { return server_.version == 1; });
+  AddStep([&] { return failure.has_value(); });
+  AddStep([this] { return server_.version == 1; });
   loop_.Run();
 
   EXPECT_EQ(failure, RowFailure::kTimedOut);
 }
 
-// Hosts come and go, and another host takes this one for the reader while it
-// still waits on the reader before. It must not be refused, nor wait until that
-// call has ended: this host asks the store at once.
-TEST_F(TableFollowerTest, AHostThatIsTakenForTheReaderReadsAtOnce) {
+// As hosts join and leave, another host queries this one as the reader while
+// this one still waits for the previous reader. The query must neither be
+// refused nor wait for the end of that call: this host reads the store at once.
+TEST_F(TableFollowerTest, AHostQueriedAsReaderReadsTheStoreAtOnce) {
   server_.Put("a", "1");
-  int asked = 0;
-  RowsCallback held;
-  HeardTable heard;
-  TableFollower watch(
-      {.timers = loop_, .store = store_, .random = random_, .listener = heard},
+  int queries = 0;
+  RowsCallback held_callback;
+  RecordingTableListener recorded;
+  TableFollower second_follower(
+      {.timers = loop_,
+       .store = store_,
+       .random = random_,
+       .listener = recorded},
       {.table = "t",
-       .timing = kTestPace,
+       .timing = kTestTiming,
        .ask_reader = [&](const RowsRequest&, RowsCallback callback) {
-         held = std::move(callback);
-         return ++asked > 0;
+         held_callback = std::move(callback);
+         return ++queries > 0;
        }});
-  watch.Start();
-  EXPECT_EQ(asked, 1);
-  EXPECT_TRUE(watch.ServeFollowers().is_loading);
-  RunUntil([&] { return watch.ServeFollowers().mirror != nullptr; });
+  second_follower.Start();
+  EXPECT_EQ(queries, 1);
+  EXPECT_TRUE(second_follower.ServeFollowers().is_loading);
+  AddStep([&] { return second_follower.ServeFollowers().mirror != nullptr; });
   loop_.Run();
-  EXPECT_EQ(heard.rows, (Rows{{"a", "1"}}));
+  EXPECT_EQ(recorded.rows, (Rows{{"a", "1"}}));
 
-  // What the reader before says now is old news.
-  held(RowBatch{.newest_version = 9, .is_full_table = true});
-  EXPECT_EQ(heard.rows, (Rows{{"a", "1"}}));
+  // A late response of the previous reader is ignored.
+  held_callback(RowBatch{.newest_version = 9, .is_full_table = true});
+  EXPECT_EQ(recorded.rows, (Rows{{"a", "1"}}));
 }
 
 }  // namespace
