--- a/lib/libmedlarcroft/include/medlarcroft/steering/block_map.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/block_map.h
@@ -15,18 +15,20 @@
 
 namespace medlarcroft::steering {
 
-/// @brief Index of a site in its map.
+/// @brief Index of a site in the site list of its `BlockMap`.
 enum class SiteId : std::uint16_t {};
 
-/// @brief A place that blocks of clients belong to.
+/// @brief A client location to which blocks of client addresses are assigned.
 struct Site {
   std::string name;
-  /// Failure domains that serve it, nearest first.
+  /// Failure domains that serve the site, nearest first.
   std::vector<FailureDomainName> failure_domains;
 };
 
-/// @brief Which site each block of client addresses belongs to, at one version;
-/// immutable, so that look-ups need no lock.
+/// @brief Maps blocks of client addresses (CIDR prefixes) to sites, at one
+/// version.
+///
+/// Immutable, so that look-ups need no lock.
 class BlockMap {
  public:
   BlockMap() = default;
@@ -40,20 +42,22 @@
   [[nodiscard]] const PrefixTable<std::uint32_t>& Ipv4() const { return ipv4_; }
   [[nodiscard]] const PrefixTable<std::uint64_t>& Ipv6() const { return ipv6_; }
 
-  /// @return the site of the longest block that holds the address.
+  /// @return the site of the longest matching block; nullopt if no block
+  /// contains the address.
   [[nodiscard]] std::optional<SiteId> FindSite(
       const ClientAddress& address) const;
-  /// @return the failure domains of the address's site, nearest first; empty
-  /// if no block holds it.
+  /// @return the failure domains of the address's site, nearest first; empty if
+  /// no block contains the address.
   [[nodiscard]] std::span<const FailureDomainName> FindDomains(
       const ClientAddress& address) const;
-  /// @return the nearest failure domain that the catalogue knows, drained or
-  /// not.
+  /// @return the nearest failure domain that the catalogue knows, whether
+  /// drained or not.
   ///
-  /// Map and catalogue change apart, so the map may name a domain that the
-  /// catalogue does not have yet or no longer has. A drained domain is not
-  /// skipped here: all of its callers would move within one TTL, while
-  /// `LookupPlanner` moves them as far as the shift plan has room for them.
+  /// The block map and the catalogue are updated independently, so the map may
+  /// name a domain that the catalogue does not have yet or no longer has.
+  /// Drained domains are not skipped here, because that would move all of their
+  /// callers within one TTL; `LookupPlanner` moves them only as far as the
+  /// shift plan has capacity for them.
   [[nodiscard]] std::optional<FailureDomainName> FindNearest(
       const ClientAddress& address,
       const catalogue::CatalogueView& catalogue) const;
--- a/lib/libmedlarcroft/include/medlarcroft/steering/block_map_codec.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/block_map_codec.h
@@ -13,39 +13,40 @@
 
 namespace medlarcroft::steering {
 
-/// @brief Why an object is not a block map, or not one that may follow.
+/// @brief Why an object was rejected: it is not a valid block map, or not a
+/// valid successor of the current one.
 enum class BlockMapError {
-  kTruncated,        ///< It ends too early.
-  kTooLarge,         ///< Larger than any map that fits the memory budget.
-  kWrongMagic,       ///< Not a block map, or one of an unknown format.
-  kWrongChecksum,    ///< Damaged on the way or in the store.
-  kMalformedHeader,  ///< The header is not JSON of the expected form.
+  kTruncated,        ///< The object ends before its contents do.
+  kTooLarge,         ///< Larger than any map that the memory budget allows.
+  kWrongMagic,       ///< Not a block map, or an unknown format.
+  kWrongChecksum,    ///< Corrupted in transit or in storage.
+  kMalformedHeader,  ///< The header is not JSON of the expected structure.
   kTooManySites,
   kTooManyBlocks,
-  kUnknownDomain,   ///< A site names a failure domain that is not listed.
-  kUnknownSite,     ///< A block names a site that is not listed.
-  kMalformedBlock,  ///< Length out of range, host bits set, or out of order.
+  kUnknownDomain,   ///< A site refers to a failure domain that is not listed.
+  kUnknownSite,     ///< A block refers to a site that is not listed.
+  kMalformedBlock,  ///< Length out of range, host bits set, or not sorted.
   kTrailingBytes,
-  kNotFull,       ///< A delta where a full map is needed.
-  kNotDelta,      ///< The other way round.
-  kWrongBase,     ///< A delta of another version than the one held.
-  kNotNewer,      ///< Not above the version held.
-  kUnknownBlock,  ///< A delta removes a block that the base does not have.
+  kNotFull,    ///< A delta where a full map is required.
+  kNotDelta,   ///< A full map where a delta is required.
+  kWrongBase,  ///< The delta applies to another version than the current one.
+  kNotNewer,   ///< The version is not above the current one.
+  kUnknownBlock,  ///< The delta removes a block that the base lacks.
 };
 
 [[nodiscard]] std::string_view ToString(BlockMapError error);
 
-/// @brief Bounds of an object: above the planned size with room, below what
-/// would take the memory of other control.
+/// @brief Limits on an object: above the planned size with room for growth,
+/// below a size that would take memory from the rest of the control plane.
 inline constexpr std::size_t kMaxBlocks = 4'000'000;
 inline constexpr std::size_t kMaxSites = 4096;
 inline constexpr std::size_t kMaxBlockMapBytes = 48 * 1024 * 1024;
 
-/// In a delta: the block is removed.
+/// Value of a block that a delta removes.
 inline constexpr std::uint16_t kRemovedBlock = 0xFFFF;
 
-/// @brief What is written into an object; blocks ordered by start, then length,
-/// values are indices into `sites`.
+/// @brief Contents of an object to encode. Blocks are sorted by start, then by
+/// length; their values are indices into `sites`.
 struct BlockMapContent {
   std::uint64_t version = 0;
   std::vector<Site> sites;
@@ -53,22 +54,23 @@
   std::vector<Prefix<std::uint64_t>> ipv6;
 };
 
-/// @return an object with every block.
+/// @return an encoded full map, with every block.
 [[nodiscard]] std::string EncodeBlockMap(const BlockMapContent& content);
 
-/// @return an object with the blocks that change from `base_version` on, where
-/// `kRemovedBlock` as value removes one. The list of sites is whole again, and
-/// its indices hold for unchanged blocks too: sites are only appended.
+/// @return an encoded delta: the blocks that changed since `base_version`,
+/// where the value `kRemovedBlock` removes a block. The list of sites is
+/// complete, and its indices also apply to unchanged blocks, so sites may only
+/// be appended.
 [[nodiscard]] std::string EncodeBlockMapDelta(const BlockMapContent& changes,
                                               std::uint64_t base_version);
 
-/// @brief Reads a full map. Nothing is allocated by a count that the size of
-/// the object does not bear out.
+/// @brief Decodes a full map. No memory is allocated for a count that the size
+/// of the object does not confirm.
 [[nodiscard]] Result<BlockMap, BlockMapError> DecodeBlockMap(
     std::string_view object);
 
-/// @brief Makes the next version from `base` and a delta; `base` stays as it is
-/// for its readers.
+/// @brief Creates the next version from `base` and a delta. `base` is not
+/// modified, because readers may still use it.
 [[nodiscard]] Result<BlockMap, BlockMapError> ApplyBlockMapDelta(
     const BlockMap& base,
     std::string_view object);
--- a/lib/libmedlarcroft/include/medlarcroft/steering/block_map_holder.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/block_map_holder.h
@@ -12,21 +12,23 @@
 
 namespace medlarcroft::steering {
 
-/// @brief The block map in use, swapped whole.
+/// @brief The block map in use; replaced as a whole.
 ///
-/// The head row in the platform's table tells the newest version; its reads may
-/// be stale, and two objects may be fetched at once. Whatever order they arrive
-/// in, an older map never follows a newer one. Safe to share between threads.
+/// The head row in the platform's table names the newest version, but reads of
+/// it may be stale, and two objects may be fetched concurrently. Whatever order
+/// they arrive in, an older map never replaces a newer one. Thread-safe.
 class BlockMapHolder {
  public:
   using Shared = std::shared_ptr<const BlockMap>;
 
   BlockMapHolder() : current_(std::make_shared<const BlockMap>()) {}
 
-  /// @return the map in use; version 0 and empty before the first one.
+  /// @return the map in use; before the first one, an empty map of version 0.
   [[nodiscard]] Shared Current() const { return current_.load(); }
 
-  /// @brief Takes a full map into use.
+  /// @brief Puts a full map into use.
+  /// @return `BlockMapError::kNotNewer` if its version is not above the current
+  /// one.
   [[nodiscard]] Result<Success, BlockMapError> Adopt(BlockMap map) {
     const std::scoped_lock lock(writer_);
     if (map.Version() <= Current()->Version()) {
@@ -38,7 +40,7 @@
   }
 
  private:
-  std::mutex writer_;  // Between comparing versions and storing.
+  std::mutex writer_;  // Held from the version check to the store.
   std::atomic<Shared> current_;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/steering/client_address.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/client_address.h
@@ -11,8 +11,9 @@
 
 enum class AddressFamily { kIpv4, kIpv6 };
 
-/// @brief A client's address as far as blocks tell addresses apart: all 32 bits
-/// of IPv4, the upper 64 of IPv6, where the lower ones name an interface.
+/// @brief The part of a client's address that blocks are matched on: all 32
+/// bits of IPv4, or the upper 64 bits of IPv6, whose lower 64 bits identify an
+/// interface.
 struct ClientAddress {
   AddressFamily family = AddressFamily::kIpv4;
   std::uint64_t bits = 0;  ///< In host byte order.
@@ -22,8 +23,9 @@
     return {AddressFamily::kIpv4, ReadBigEndian(bytes)};
   }
 
-  /// @param bytes in network byte order. A mapped IPv4 address (::ffff:0:0/96)
-  /// is taken as IPv4: a dual-stack listener reports those callers so.
+  /// @param bytes in network byte order. An IPv4-mapped address (::ffff:0:0/96)
+  /// is converted to IPv4, because a dual-stack listener reports IPv4 callers
+  /// that way.
   static ClientAddress FromIpv6(std::span<const std::uint8_t, 16> bytes) {
     constexpr std::array<std::uint8_t, 12> kMapped = {0, 0, 0, 0, 0,    0,
                                                       0, 0, 0, 0, 0xFF, 0xFF};
--- a/lib/libmedlarcroft/include/medlarcroft/steering/domain_load.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/domain_load.h
@@ -9,30 +9,31 @@
 
 namespace medlarcroft::steering {
 
-/// @brief What one failure domain, or one host of it, measured for one service.
+/// @brief Measured load of one service in one failure domain or on one host.
 struct ServiceLoad {
   ServiceName service;
-  /// Requests a second that callers bring to this domain: those that it refuses
-  /// or forwards elsewhere included, those shifted in from elsewhere not.
+  /// Requests per second that callers send to this domain, including those that
+  /// it refuses or forwards elsewhere, excluding those that other domains
+  /// forward to it.
   double demand_per_second = 0.0;
-  double outstanding = 0.0;   ///< Requests at targets now.
-  double queued = 0.0;        ///< Requests that wait for a slot now.
-  double usable_slots = 0.0;  ///< Slots of targets that take new work.
+  double outstanding = 0.0;   ///< Requests being processed by targets.
+  double queued = 0.0;        ///< Requests waiting for a slot.
+  double usable_slots = 0.0;  ///< Slots of targets that accept new work.
   double refused_per_second = 0.0;
   double shifted_in_per_second = 0.0;
 };
 
-/// @brief Sum of one failure domain as it was last heard.
+/// @brief Total load of one failure domain, as last reported.
 struct DomainLoad {
   FailureDomainName failure_domain;
   std::uint32_t live_hosts = 0;
-  /// Since the domain itself measured it, as the reader counts.
+  /// Time since the domain measured it, by the reader's clock.
   Duration age = Duration::zero();
   std::vector<ServiceLoad> loads;
 };
 
-/// @brief Demand that answers to look-ups have already sent to a domain and
-/// that its measurements may not show yet.
+/// @brief Demand that look-up answers have already sent to a domain but that
+/// its measurements may not show yet.
 struct PendingDemand {
   ServiceName service;
   FailureDomainName failure_domain;
--- a/lib/libmedlarcroft/include/medlarcroft/steering/entry_host.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/entry_host.h
@@ -9,20 +9,21 @@
 
 namespace medlarcroft::steering {
 
-/// @brief What a host says about itself.
+/// @brief Lifecycle phase that a host reports about itself.
 enum class EntryHostPhase { kStarting, kReady, kLeaving };
 
-/// @brief What the failure detector says about a host.
+/// @brief Liveness of a host according to the failure detector.
 enum class EntryHostLiveness { kAlive, kSuspect, kDead, kUnknown };
 
-/// @brief One known entry host, as the look-up planner sees it.
+/// @brief A known entry host, which accepts callers' requests, as the look-up
+/// planner sees it.
 struct EntryHost {
   HostName host;
-  std::string address;  ///< IP:port where it takes callers' requests.
+  std::string address;  ///< IP:port where it accepts callers' requests.
   FailureDomainName failure_domain;
   EntryHostPhase phase = EntryHostPhase::kStarting;
   EntryHostLiveness liveness = EntryHostLiveness::kUnknown;
-  std::vector<ServiceLoad> loads;  ///< Its own part of the domain's load.
+  std::vector<ServiceLoad> loads;  ///< Its share of the domain's load.
 };
 
 }  // namespace medlarcroft::steering
--- a/lib/libmedlarcroft/include/medlarcroft/steering/growth_limit.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/growth_limit.h
@@ -5,24 +5,25 @@
 
 namespace medlarcroft::steering {
 
-/// @brief Keeps a rate from growing by more than one step in any window of
-/// time.
+/// @brief Limits the growth of a rate to one step in any window of time.
 ///
-/// Aligned windows would let a rate grow a step just before a boundary and
-/// another just after it, which a cold receiver sees as a jump of two. So the
-/// base moves up only after a whole window without growth, and down at once
-/// with the rate: no two moments within a window differ by more than the step.
+/// With aligned windows, a rate could grow by one step just before a boundary
+/// and by another just after it, which a receiver with cold caches would see as
+/// a jump of two steps. Therefore the base rises only after a whole window
+/// without growth, and falls immediately with the rate: within any window the
+/// rate never rises by more than one step.
 class GrowthLimit {
  public:
   /// @return the highest rate allowed at `now`.
   [[nodiscard]] double Ceiling(MonotonicTime now,
                                double step,
                                Duration window) const;
-  /// @brief Sets the rate, which must not be above the ceiling.
+  /// @brief Sets the rate, which must not exceed the ceiling.
   void Set(MonotonicTime now, double rate, Duration window);
 
   [[nodiscard]] double Rate() const { return rate_; }
-  /// @return whether nothing is in force and nothing is remembered.
+  /// @return whether the rate is 0 and no growth within the last window has to
+  /// be remembered.
   [[nodiscard]] bool IsIdle(MonotonicTime now, Duration window) const;
 
  private:
--- a/lib/libmedlarcroft/include/medlarcroft/steering/lookup_answer.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/lookup_answer.h
@@ -12,33 +12,34 @@
 
 namespace medlarcroft::steering {
 
-/// @brief What a caller asks for.
+/// @brief A caller's look-up request.
 struct LookupRequest {
   ServiceName service;
   BrandName brand;
-  /// The domain nearest to the caller by the client block map; without it the
-  /// answering host's own.
+  /// The domain nearest to the caller according to the block map; if absent,
+  /// the domain of the host that answers is used.
   std::optional<FailureDomainName> nearest;
 };
 
-/// @brief Why an answer begins with the domain that it begins with.
+/// @brief Why an answer lists its first domain first.
 enum class LookupRule {
-  kHome,           ///< The nearest domain serves.
-  kMovedByDrain,   ///< The nearest domain is drained; the shift plan's part.
+  kHome,           ///< The nearest domain has serving hosts.
+  kMovedByDrain,   ///< It is drained; the shift plan moves this caller.
   kHomeLost,       ///< The nearest domain has no host that is alive.
-  kHomeReturning,  ///< It has one again; this caller is not yet sent back.
-  kLastResort,     ///< No host anywhere is known to be alive.
+  kHomeReturning,  ///< It has one again, but this caller does not return yet.
+  kLastResort,     ///< No host in any domain is known to be alive.
 };
 
 [[nodiscard]] std::string_view ToString(LookupRule rule);
 
-/// @brief One host of an answer.
+/// @brief One entry host in an answer.
 struct LookupHost {
   HostName host;
   std::string address;
   FailureDomainName failure_domain;
-  /// Relative weight among the hosts of the answer's first domain. 0: only
-  /// after all hosts of a weight above 0 have failed.
+  /// Relative weight among the hosts of the answer's first domain. A host with
+  /// weight 0 is to be tried only after all hosts with a higher weight have
+  /// failed.
   double weight = 0.0;
 };
 
@@ -53,8 +54,8 @@
 
 enum class LookupError {
   kUnknownService,  ///< The catalogue has no such service.
-  kUnknownBrand,    ///< The service names its brands and this is none of them.
-  kNoEntryHost,     ///< No host that is not leaving or dead is known at all.
+  kUnknownBrand,    ///< The service lists its brands and this is not one.
+  kNoEntryHost,     ///< Every known host is leaving or dead, or none is known.
 };
 
 [[nodiscard]] std::string_view ToString(LookupError error);
--- a/lib/libmedlarcroft/include/medlarcroft/steering/lookup_planner.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/lookup_planner.h
@@ -21,7 +21,7 @@
 
 namespace medlarcroft::steering {
 
-/// @brief What the answers are made from, from one moment on.
+/// @brief Inputs from which answers are computed until the next update.
 struct LookupInputs {
   catalogue::SharedCatalogueView catalogue;
   std::vector<EntryHost> hosts;
@@ -30,31 +30,32 @@
   FailureDomainName own_domain;
 };
 
-/// @brief Bounds of an answer.
+/// @brief Limits on answers, and how callers return to a domain that was lost.
 struct LookupOptions {
   std::size_t max_home_hosts = 4;   ///< Hosts of the first domain.
-  std::size_t max_other_hosts = 2;  ///< Hosts of other domains, after them.
+  std::size_t max_other_hosts = 2;  ///< Hosts of other domains.
   /// A TTL is drawn from [ttl * (1 - jitter), ttl], so that callers who asked
-  /// together don't come back together.
+  /// at the same time do not ask again at the same time.
   double ttl_jitter = 0.25;
-  /// Part of the TTL when an answer is not the usual one: callers ask again
-  /// soon, but no more than twice as often.
+  /// Factor on the TTL of an answer whose rule is not `LookupRule::kHome`:
+  /// callers ask again soon, but at most twice as often.
   double degraded_ttl_fraction = 0.5;
-  /// Over this time the callers of a domain that was lost go back to it, in
-  /// even steps. Its hosts are diskless and its targets' caches empty: all of
-  /// its callers within one TTL would be a shift of a whole domain at once.
+  /// Time over which the callers of a domain that was lost return to it,
+  /// evenly. Its hosts are diskless and the caches of its targets are empty, so
+  /// the return of all callers within one TTL would shift the load of a whole
+  /// domain at once.
   Duration return_ramp = std::chrono::seconds(60);
 };
 
 /// @brief Chooses the entry hosts of an answer, their order, weights and TTL.
 ///
-/// Made for 900 look-ups a second on a host while 190 hosts a day restart.
-/// `Update` sorts the hosts by domain, a few times a second; `Plan` touches
-/// only the domains of its answer. Hosts are drawn at random without
-/// replacement, by slots and free capacity. The free part moves a host's weight
-/// by at most four to one: a fresh host that looks idle would otherwise take
-/// nearly all callers of the next seconds, who would all wait at it. Not safe
-/// to share between threads.
+/// Designed for 900 look-ups per second on one host while 190 hosts restart per
+/// day. `Update` groups the hosts by domain, a few times per second; `Plan`
+/// reads only the domains of its answer. Hosts are sampled randomly without
+/// replacement, weighted by slots and free capacity. Free capacity changes a
+/// host's weight by a factor of at most four: otherwise a restarted host that
+/// looks idle would receive nearly all callers of the next seconds, and they
+/// would all queue there. Not thread-safe.
 class LookupPlanner {
  public:
   LookupPlanner(const ports::Clock& clock,
@@ -70,18 +71,19 @@
 
  private:
   struct DomainHosts {
-    std::vector<const EntryHost*> serving;   // Alive and ready.
-    std::vector<const EntryHost*> doubtful;  // Suspect, unknown or starting.
+    std::vector<const EntryHost*> serving;      // Alive and ready.
+    std::vector<const EntryHost*> unconfirmed;  // Suspect, unknown or starting.
     bool is_drained = false;
-    /// For each service asked for, running sums of the serving hosts' weights.
-    std::map<ServiceName, std::vector<double>> running_weights;
+    /// Cumulative weights of the serving hosts, for each service looked up.
+    std::map<ServiceName, std::vector<double>> cumulative_weights;
   };
-  /// When a domain that had serving hosts lost and regained them.
+  /// Whether a domain that had serving hosts has lost them, and when it
+  /// regained them.
   struct Recovery {
     bool is_lost = false;
     std::optional<MonotonicTime> returned_at;
   };
-  struct Choice {
+  struct DomainChoice {
     FailureDomainName domain;
     LookupRule rule;
   };
@@ -93,40 +95,40 @@
   [[nodiscard]] const DomainHosts* FindDomain(
       const FailureDomainName& domain) const;
   void TrackRecovery();
-  [[nodiscard]] bool IsHeldBack(const FailureDomainName& home);
-  [[nodiscard]] bool HasServing(const FailureDomainName& domain) const;
-  [[nodiscard]] Choice ChooseFirst(const ServiceName& service,
-                                   const FailureDomainName& home);
-  [[nodiscard]] std::optional<FailureDomainName> DrawByPlan(
+  [[nodiscard]] bool IsReturnDeferred(const FailureDomainName& home);
+  [[nodiscard]] bool HasServingHosts(const FailureDomainName& domain) const;
+  [[nodiscard]] DomainChoice ChooseFirstDomain(const ServiceName& service,
+                                               const FailureDomainName& home);
+  [[nodiscard]] std::optional<FailureDomainName> ChooseByPlan(
       const ServiceName& service,
       const FailureDomainName& home);
-  [[nodiscard]] std::optional<FailureDomainName> DrawBySpare(
+  [[nodiscard]] std::optional<FailureDomainName> ChooseBySpareRate(
       const ServiceName& service,
       const FailureDomainName& home);
-  [[nodiscard]] double SpareOf(const ServiceName& service,
-                               const FailureDomainName& domain) const;
+  [[nodiscard]] double SpareRate(const ServiceName& service,
+                                 const FailureDomainName& domain) const;
   [[nodiscard]] const Alternatives& AlternativesTo(
       const FailureDomainName& home);
   void AppendServing(const FailureDomainName& domain,
                      const ServiceName& service,
-                     std::size_t most,
+                     std::size_t max_count,
                      bool has_weight,
                      LookupAnswer& answer);
-  void AppendDrawn(std::span<const EntryHost* const> hosts,
-                   std::span<const double> running_weights,
-                   std::size_t most,
-                   bool has_weight,
-                   LookupAnswer& answer);
-  void AppendOthers(const ServiceName& service, LookupAnswer& answer);
-  void AppendDoubtful(const ServiceName& service,
-                      const FailureDomainName& home,
-                      LookupAnswer& answer);
-  [[nodiscard]] Duration DrawTtl(const catalogue::ServiceEntry& service,
-                                 LookupRule rule);
+  void AppendSampled(std::span<const EntryHost* const> hosts,
+                     std::span<const double> cumulative_weights,
+                     std::size_t max_count,
+                     bool has_weight,
+                     LookupAnswer& answer);
+  void AppendOtherDomains(const ServiceName& service, LookupAnswer& answer);
+  void AppendUnconfirmed(const ServiceName& service,
+                         const FailureDomainName& home,
+                         LookupAnswer& answer);
+  [[nodiscard]] Duration JitterTtl(const catalogue::ServiceEntry& service,
+                                   LookupRule rule);
 
   const ports::Clock* clock_;
   ports::RandomSource* random_;
-  WeightedDraw draw_;
+  WeightedSampler sampler_;
   LookupOptions options_;
   LookupInputs inputs_;
   std::map<FailureDomainName, DomainHosts> domains_;
--- a/lib/libmedlarcroft/include/medlarcroft/steering/placement_cost.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/placement_cost.h
@@ -10,32 +10,32 @@
 struct ServerPool {
   double slots = 0.0;
   Duration service_time = Duration::zero();
-  double queued = 0.0;        ///< Requests that wait already.
-  double refused_part = 0.0;  ///< Of its callers' requests, 0 to 1.
+  double queued = 0.0;            ///< Requests waiting for a slot.
+  double refused_fraction = 0.0;  ///< Of its callers' requests, 0 to 1.
 
-  /// @return requests a second when every slot is busy.
+  /// @return requests per second when every slot is busy.
   [[nodiscard]] double Capacity() const;
 };
 
-/// @brief What it costs a request to be served at a place, in one number that
-/// the owner's weights shape.
+/// @brief Cost of serving a request at a given place, as one number that
+/// depends on the service owner's weights.
 ///
-/// Latency counts as delay over `delay_scale`, headroom as utilisation, both
-/// weighted and divided by the sum of the two weights. So with equal weights a
-/// delay of one `delay_scale` weighs as much as going from an idle pool to a
-/// full one. Demand near or above capacity, and refusals, carry a further
-/// penalty that no weight can take away: to be refused at home is worse than
-/// to be late.
+/// Latency counts as delay divided by `delay_scale`, headroom as utilisation;
+/// both are weighted and divided by the sum of the two weights. With equal
+/// weights, a delay of one `delay_scale` therefore costs as much as the
+/// difference between an idle pool and a full one. Demand near or above
+/// capacity, and refusals, add a penalty that does not depend on the weights:
+/// to be refused at home is worse than to be served late.
 class PlacementCost {
  public:
-  /// @param delay_scale the delay that counts as 1, above zero.
+  /// @param delay_scale the delay that costs 1, above zero.
   PlacementCost(const catalogue::ObjectiveWeights& weights,
                 Duration delay_scale);
 
-  /// @return the cost of being served by `pool` at `load` requests a second.
-  [[nodiscard]] double Of(const ServerPool& pool, double load) const;
-  /// @return the cost of a pure delay.
-  [[nodiscard]] double OfDelay(Duration delay) const;
+  /// @return the cost of being served by `pool` at `load` requests per second.
+  [[nodiscard]] double ServingCost(const ServerPool& pool, double load) const;
+  /// @return the cost of a delay alone.
+  [[nodiscard]] double DelayCost(Duration delay) const;
 
  private:
   double latency_weight_;
@@ -43,9 +43,10 @@
   double delay_scale_;  // Seconds.
 };
 
-/// @return the expected wait for a slot in seconds at a utilisation, by
-/// Sakasegawa's approximation for many servers (1977); above 0.98 it goes on
-/// along the tangent, because the formula has a pole at 1.
+/// @return the expected wait for a slot, in seconds, at a utilisation, by
+/// Sakasegawa's approximation for multi-server queues (1977). Above a
+/// utilisation of 0.98 it continues along the tangent, because the formula has
+/// a pole at 1.
 [[nodiscard]] double ExpectedWait(const ServerPool& pool, double utilisation);
 
 }  // namespace medlarcroft::steering
--- a/lib/libmedlarcroft/include/medlarcroft/steering/prefix_table.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/prefix_table.h
@@ -11,7 +11,7 @@
 
 namespace medlarcroft::steering {
 
-/// @brief A prefix and the number that it maps to.
+/// @brief An address prefix and the value that it maps to.
 template <typename Key>
 struct Prefix {
   Key start = 0;
@@ -20,7 +20,7 @@
 
   /// @return the last key that the prefix covers.
   [[nodiscard]] Key End() const { return start | HostMask(length); }
-  /// @return whether the length fits and no bit below it is set.
+  /// @return whether the length is in range and no host bit is set.
   [[nodiscard]] bool IsValid() const {
     return length <= kWidth && (start & HostMask(length)) == 0;
   }
@@ -37,12 +37,12 @@
 /// @brief Longest-prefix match over sorted arrays.
 ///
 /// An entry covers the keys from its start to the end of its prefix or to the
-/// next entry, whichever comes first. Where a prefix goes on behind one nested
-/// in it, a further entry takes it up again, so a look-up needs no walk to
-/// parents: it is one search for the last start that is not above the key.
-/// A trie of the same blocks takes several times the memory in pointers; a hash
-/// table for each length needs a probe for each length. Every 64th start stands
-/// once more in a small array that stays in the cache.
+/// next entry, whichever comes first. Where a prefix continues after a nested
+/// one, an additional entry resumes it, so a look-up is a single search for the
+/// last start that is not above the key, without a walk to parent prefixes. A
+/// trie of the same blocks needs several times the memory for its pointers; a
+/// hash table for each length needs a probe for each length. Every 64th start
+/// is also stored in a small array that stays in the CPU cache.
 template <typename Key>
 class PrefixTable {
  public:
@@ -62,8 +62,9 @@
     return values_[index];
   }
 
-  /// @return prefixes, those that others shadow included.
-  [[nodiscard]] std::size_t Size() const { return prefixes_; }
+  /// @return the number of prefixes, including those that others cover
+  /// completely.
+  [[nodiscard]] std::size_t Size() const { return prefix_count_; }
 
   [[nodiscard]] std::size_t MemoryBytes() const {
     return starts_.capacity() * sizeof(Key) + lengths_.capacity() +
@@ -71,7 +72,7 @@
            samples_.capacity() * sizeof(Key);
   }
 
-  /// @brief Calls `visit` with each prefix, ordered by start, then length.
+  /// @brief Calls `visit` with each prefix, sorted by start, then by length.
   template <typename Visit>
   void ForEach(Visit visit) const {
     for (std::size_t index = 0; index < starts_.size(); ++index) {
@@ -87,44 +88,46 @@
 
   static constexpr std::uint8_t kResumed = 0x80;
   static constexpr std::uint8_t kLengthMask = 0x7F;
-  static constexpr std::size_t kSampleEvery = 64;
+  static constexpr std::size_t kSampleInterval = 64;
 
-  /// @return the index behind the last entry whose start is not above `key`.
+  /// @return the index after the last entry whose start is not above `key`.
   [[nodiscard]] std::size_t IndexAfter(Key key) const {
-    const std::size_t group = CountUpTo(samples_.data(), samples_.size(), key);
-    const std::size_t first = group == 0 ? 0 : (group - 1) * kSampleEvery;
-    const std::size_t last = std::min(first + kSampleEvery, starts_.size());
-    return first + CountUpTo(starts_.data() + first, last - first, key);
+    const std::size_t group =
+        CountNotAbove(samples_.data(), samples_.size(), key);
+    const std::size_t first = group == 0 ? 0 : (group - 1) * kSampleInterval;
+    const std::size_t last = std::min(first + kSampleInterval, starts_.size());
+    return first + CountNotAbove(starts_.data() + first, last - first, key);
   }
 
   /// @return how many of the sorted keys are not above `key`. Callers'
-  /// addresses come in no order, so a branch at each step would be guessed
-  /// wrongly half of the time; this loop has none that depends on the keys.
-  [[nodiscard]] static std::size_t CountUpTo(const Key* keys,
-                                             std::size_t count,
-                                             Key key) {
+  /// addresses arrive in random order, so the CPU would mispredict half of the
+  /// branches of an ordinary binary search; this loop has no branch that
+  /// depends on the keys.
+  [[nodiscard]] static std::size_t CountNotAbove(const Key* keys,
+                                                 std::size_t count,
+                                                 Key key) {
     const Key* base = keys;
     while (count > 1) {
       const std::size_t half = count / 2;
       base += (base[half - 1] <= key) ? half : 0;
       count -= half;
     }
-    const std::size_t is_above = (count == 1 && *base <= key) ? 1 : 0;
-    return static_cast<std::size_t>(base - keys) + is_above;
+    const std::size_t last_key_count = (count == 1 && *base <= key) ? 1 : 0;
+    return static_cast<std::size_t>(base - keys) + last_key_count;
   }
 
   std::vector<Key> starts_;
-  std::vector<std::uint8_t> lengths_;  // kResumed marks a taken-up prefix.
+  std::vector<std::uint8_t> lengths_;  // kResumed marks a resumed prefix.
   std::vector<std::uint16_t> values_;
   std::vector<Key> samples_;
-  std::size_t prefixes_ = 0;
+  std::size_t prefix_count_ = 0;
 };
 
-/// @brief Makes a table from prefixes in order.
+/// @brief Builds a table from sorted prefixes.
 ///
-/// How many entries a table gets is known only when all prefixes were seen. A
-/// vector that doubles would hold three times the table at its peak, so a
-/// builder that only counts goes over the prefixes first.
+/// The number of entries is known only when all prefixes have been seen. A
+/// vector that grows by doubling would need three times the memory of the table
+/// at its peak, so a builder that only counts goes over the prefixes first.
 template <typename Key>
 class PrefixTableBuilder {
  public:
@@ -132,37 +135,38 @@
 
   explicit PrefixTableBuilder(Mode mode = Mode::kBuild) : mode_(mode) {}
 
-  /// @param entries as a counting builder has counted them.
+  /// @param entries number of entries, from a builder in `Mode::kCount`.
   void Reserve(std::size_t entries) {
     table_.starts_.reserve(entries);
     table_.lengths_.reserve(entries);
     table_.values_.reserve(entries);
   }
 
-  /// @return entries so far, prefixes that were taken up again included.
-  [[nodiscard]] std::size_t Entries() const { return entries_; }
+  /// @return the number of entries so far, including those that resume a
+  /// prefix.
+  [[nodiscard]] std::size_t Entries() const { return entry_count_; }
 
-  /// @return false, and nothing is added, unless the prefix is valid and comes
-  /// after the one before it by start, then length.
+  /// @return whether the prefix was added; false if it is invalid or does not
+  /// follow the previous one by start, then by length.
   [[nodiscard]] bool Add(const Prefix<Key>& prefix) {
     if (!prefix.IsValid() || !IsAfterLast(prefix)) {
       return false;
     }
 
-    CloseBefore(prefix.start);
+    CloseEndingBefore(prefix.start);
     Append(prefix, 0);
-    open_.push_back(prefix);
+    open_prefixes_.push_back(prefix);
     last_ = prefix;
-    ++table_.prefixes_;
+    ++table_.prefix_count_;
     return true;
   }
 
   [[nodiscard]] PrefixTable<Key> Finish() {
-    CloseBefore(std::nullopt);
-    constexpr std::size_t kEvery = PrefixTable<Key>::kSampleEvery;
-    table_.samples_.reserve(table_.starts_.size() / kEvery + 1);
+    CloseEndingBefore(std::nullopt);
+    constexpr std::size_t kInterval = PrefixTable<Key>::kSampleInterval;
+    table_.samples_.reserve(table_.starts_.size() / kInterval + 1);
     for (std::size_t index = 0; index < table_.starts_.size();
-         index += kEvery) {
+         index += kInterval) {
       table_.samples_.push_back(table_.starts_[index]);
     }
     return std::move(table_);
@@ -174,27 +178,29 @@
            (prefix.start == last_->start && prefix.length > last_->length);
   }
 
-  void Append(const Prefix<Key>& prefix, std::uint8_t mark) {
-    ++entries_;
+  void Append(const Prefix<Key>& prefix, std::uint8_t flag) {
+    ++entry_count_;
     if (mode_ == Mode::kCount) {
       return;
     }
 
     table_.starts_.push_back(prefix.start);
-    table_.lengths_.push_back(prefix.length | mark);
+    table_.lengths_.push_back(prefix.length | flag);
     table_.values_.push_back(prefix.value);
   }
 
-  /// Closes the prefixes that end before `next`, all of them without one, and
-  /// takes up again those that they were nested in.
-  void CloseBefore(std::optional<Key> next) {
-    while (!open_.empty() && (!next || open_.back().End() < *next)) {
-      const Key end = open_.back().End();
-      open_.pop_back();
-
-      const bool goes_on = !open_.empty() && open_.back().End() > end;
-      if (goes_on && (!next || end + 1 < *next)) {
-        Prefix<Key> resumed = open_.back();
+  /// Closes the prefixes that end before `next`, or all of them if there is
+  /// none, and resumes the prefixes that contain them.
+  void CloseEndingBefore(std::optional<Key> next) {
+    while (!open_prefixes_.empty() &&
+           (!next || open_prefixes_.back().End() < *next)) {
+      const Key end = open_prefixes_.back().End();
+      open_prefixes_.pop_back();
+
+      const bool continues =
+          !open_prefixes_.empty() && open_prefixes_.back().End() > end;
+      if (continues && (!next || end + 1 < *next)) {
+        Prefix<Key> resumed = open_prefixes_.back();
         resumed.start = end + 1;
         Append(resumed, PrefixTable<Key>::kResumed);
       }
@@ -202,9 +208,9 @@
   }
 
   Mode mode_;
-  std::size_t entries_ = 0;
+  std::size_t entry_count_ = 0;
   PrefixTable<Key> table_;
-  std::vector<Prefix<Key>> open_;  // Each nested in the one before it.
+  std::vector<Prefix<Key>> open_prefixes_;  // Each nested in the one before it.
   std::optional<Prefix<Key>> last_;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/steering/shift_limiter.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/shift_limiter.h
@@ -12,16 +12,16 @@
 
 namespace medlarcroft::steering {
 
-/// @brief A token bucket. It starts empty: a host that restarts again and again
-/// must not get a burst each time.
+/// @brief A token bucket. It starts empty, so that a host that restarts
+/// repeatedly does not get a burst each time.
 class TokenBucket {
  public:
-  /// @param burst tokens at most.
-  /// @param refill tokens a second.
+  /// @param burst maximum number of tokens.
+  /// @param refill tokens per second.
   void Set(double burst, double refill, MonotonicTime now);
   [[nodiscard]] bool HasToken(MonotonicTime now);
-  /// @brief Takes a token that `HasToken` has just reported.
-  void Take() { tokens_ -= 1.0; }
+  /// @brief Takes a token; `HasToken` must just have returned true.
+  void TakeToken() { tokens_ -= 1.0; }
 
  private:
   void Refill(MonotonicTime now);
@@ -32,63 +32,64 @@
   MonotonicTime refilled_at_;
 };
 
-/// @brief What this host may forward to one domain.
+/// @brief Limit on what this host may forward to one domain, over all services.
 struct LinkAllowance {
   FailureDomainName to;
-  /// This host's share of the link's capacity, requests a second over all
-  /// services. The shares of all hosts together must not pass the capacity.
+  /// This host's share of the link's capacity, in requests per second over all
+  /// services. The shares of all hosts together must not exceed the capacity.
   double capacity_share = 0.0;
 };
 
-/// @brief What this host is to forward of one service to one domain.
+/// @brief What this host should forward of one service to one domain.
 struct ShiftAllowance {
   ServiceName service;
   FailureDomainName to;
-  double rate = 0.0;  ///< This host's part of the planned rate.
+  double rate = 0.0;  ///< This host's share, requests per second.
 };
 
 /// @brief Why a request is not forwarded.
 enum class ShiftRefusal {
-  kNotPlanned,    ///< The plan sends none of this service there.
-  kPlannedRate,   ///< The planned rate is used up for the moment.
-  kLinkCapacity,  ///< The share of the link is used up for the moment.
-  kReceiverFull,  ///< The receiving side refused within the last moments.
+  kNotPlanned,    ///< The plan forwards none of this service there.
+  kPlannedRate,   ///< The planned rate is used up for now.
+  kLinkCapacity,  ///< This host's share of the link is used up for now.
+  kReceiverFull,  ///< Paused because the receiver has just refused.
 };
 
 [[nodiscard]] std::string_view ToString(ShiftRefusal refusal);
 
-/// @brief Holds the caps of links at the moment of each forward.
+/// @brief Enforces the limits of links for each forwarded request.
 ///
-/// A plan is seconds old when a burst arrives; a fraction of a burst passes any
-/// cap. So each forward needs a token of the link's share and one of the
-/// planned rate. Both are checked first and then taken, so that a refusal by
-/// one does not use up the other. The link's bucket bounds the count in every
-/// second, not the average: a burst B and a refill r let B + r through in one
-/// second, so the burst is taken out of the refill. The planned rate is a wish
-/// rather than a limit of the link; its bucket allows for the unevenness of
-/// arrivals, else a tenth of what was planned would stay at home. Not safe to
-/// share between threads.
+/// A plan is seconds old when a burst arrives, and a fixed fraction of a burst
+/// can exceed any limit. Therefore each forwarded request needs a token of the
+/// link's share and one of the planned rate. Both are checked before either is
+/// taken, so that a refusal by one does not use up the other. The link's bucket
+/// limits the count in every second rather than the average: a burst B and a
+/// refill r let B + r requests through in one second, so the burst is
+/// subtracted from the refill. The planned rate is a goal rather than a limit
+/// of the link; its bucket allows for uneven arrivals, because otherwise a
+/// tenth of the planned requests would not be forwarded. Not thread-safe.
 class ShiftLimiter {
  public:
   explicit ShiftLimiter(const ports::Clock& clock) : clock_(&clock) {}
 
-  /// @brief Sets all allowances; what is not named any more is 0 at once.
+  /// @brief Replaces all allowances; those that are not listed drop to 0
+  /// immediately.
   void Update(std::span<const LinkAllowance> links,
               std::span<const ShiftAllowance> shifts);
 
-  /// @brief Takes the tokens for one forward, to be sent now.
+  /// @brief Takes the tokens for one request, which must be forwarded now.
   [[nodiscard]] Result<Success, ShiftRefusal> TryForward(
       const ServiceName& service,
       const FailureDomainName& to);
 
-  /// @brief Tells whether the receiver took a forwarded request.
+  /// @brief Records whether the receiver accepted a forwarded request.
   ///
-  /// A refused one has spent a round trip of its caller's deadline. A single
-  /// refusal is chance, where a pool is small; so the pause after it is short
-  /// and doubles with each further one in a row.
+  /// A refused request has used up a round trip of its caller's deadline. In a
+  /// small pool a single refusal may be chance, so the pause after it is short
+  /// and doubles with each consecutive refusal.
   void OnAnswer(const ServiceName& service,
                 const FailureDomainName& to,
-                bool is_taken);
+                bool is_accepted);
 
  private:
   using Key = std::pair<ServiceName, FailureDomainName>;
--- a/lib/libmedlarcroft/include/medlarcroft/steering/shift_planner.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/shift_planner.h
@@ -12,28 +12,29 @@
 
 namespace medlarcroft::steering {
 
-/// @brief Constants of the shift planner.
+/// @brief Parameters of the shift planner.
 struct ShiftPlannerOptions {
-  /// A shift grows only if away is cheaper by more than this. Costs are
-  /// normalised: 0.05 is a twentieth of a pool's utilisation when headroom
-  /// alone counts. Smaller differences are noise of the measurements.
+  /// A shift grows only if forwarding is cheaper than staying home by more than
+  /// this. Costs are normalised: 0.05 is a twentieth of a pool's utilisation if
+  /// only headroom counts. Smaller differences are measurement noise.
   double growth_margin = 0.05;
-  /// Home must have been cheaper for so long before a shift is taken back.
-  /// Three heartbeats late plus the longest usual look-up TTL, twice over.
+  /// Home must have been cheaper for this long before a shift is returned:
+  /// twice the sum of three late heartbeats and the longest usual look-up TTL.
   Duration return_hold_time = std::chrono::seconds(30);
-  /// A summary is taken at its word up to this age (a few exchanges) …
+  /// Measurements count in full up to this age (a few exchanges).
   Duration fresh_age = std::chrono::seconds(3);
-  /// … and offers nothing from this age on; in between, in proportion.
+  /// A receiver offers nothing from this age on; in between, its offer falls
+  /// linearly.
   Duration stale_age = std::chrono::seconds(12);
-  /// A drain with a small weight for drain time takes this part of the link's
-  /// step in a window; with the largest weight it takes all of it.
-  double slowest_drain_pace = 0.25;
-  /// Over this time the callers of a domain go back after its drain.
-  Duration move_return_time = std::chrono::seconds(60);
+  /// Fraction of the link's step per window that a drain uses if drain time has
+  /// a small weight; with the largest weight it uses the whole step.
+  double min_drain_step_fraction = 0.25;
+  /// Time over which the callers of a domain return after its drain.
+  Duration caller_return_time = std::chrono::seconds(60);
   WarmUpOptions warm_up;
 };
 
-/// @brief What one planning step looks at.
+/// @brief Inputs of one planning step.
 struct ShiftInputs {
   const catalogue::CatalogueView* catalogue = nullptr;
   std::span<const DomainLoad> domains;
@@ -43,17 +44,17 @@
 /// @brief Decides how much of each failure domain's demand is forwarded to
 /// which other one, for all services.
 ///
-/// Made for a domain whose demand outgrows its slots, for drains and for
-/// returns, planned every half second from measurements that are seconds old.
-/// Two harms are prevented. A receiver taken over its capacity: what it offers
-/// to all senders together is its spare capacity less its reserved headroom,
-/// less demand that answers already handed out will bring, shrunk by the age
-/// of its measurements and while its caches are cold; a planner that counts
-/// only what it measures would give the same spare slots away again at each
-/// step. And swinging: a source's demand is taken before forwarding, so a
-/// shift does not change the figure that it was decided by; growth needs a
-/// margin, and a return needs home to be cheaper for a steady time, and comes
-/// in steps. Not safe to share between threads.
+/// Handles domains whose demand exceeds their slots, drains, and the return of
+/// shifted demand; runs every half second on measurements that are seconds old.
+/// It prevents two failures. The first is a receiver taken over its capacity:
+/// what a receiver offers to all senders together is its spare capacity, less
+/// its reserved headroom and the demand that look-up answers will still bring,
+/// reduced by the age of its measurements and while its caches are cold. A
+/// planner that counted only what it measures would give the same spare slots
+/// away again at each step. The second is oscillation: a source's demand is
+/// measured before forwarding, so a shift does not change the figure that it
+/// was decided by; growth needs a margin; and a return needs home to have been
+/// cheaper for a hold time, and proceeds in steps. Not thread-safe.
 class ShiftPlanner {
  public:
   explicit ShiftPlanner(const ports::Clock& clock,
@@ -62,10 +63,10 @@
   ShiftPlanner(const ShiftPlanner&) = delete;
   ShiftPlanner& operator=(const ShiftPlanner&) = delete;
 
-  /// @brief Takes one planning step.
+  /// @brief Computes one planning step.
   [[nodiscard]] ShiftPlan Plan(const ShiftInputs& inputs);
 
-  struct State;  ///< What is kept between steps; defined with the source.
+  struct State;  ///< Kept between steps; defined in the source files.
 
  private:
   const ports::Clock* clock_;
--- a/lib/libmedlarcroft/include/medlarcroft/steering/warm_up.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/warm_up.h
@@ -5,26 +5,25 @@
 
 namespace medlarcroft::steering {
 
-/// @brief Constants of the warm-up of a receiver that has had no shifted work
+/// @brief Parameters of the warm-up of a receiver that has had no shifted work
 /// for a while.
 struct WarmUpOptions {
-  /// Part of the spare capacity offered while cold. A cache that misses makes a
-  /// request several times as long: at a quarter, a fourfold cost still fits.
+  /// Fraction of the spare capacity offered while cold. A cache miss makes a
+  /// request several times as long: with a quarter, a fourfold cost still fits.
   double cold_fraction = 0.25;
-  Duration step_time = std::chrono::seconds(5);  ///< The part doubles then.
-  /// After so long without shifted work the caches have gone over to the
+  Duration step_time = std::chrono::seconds(5);  ///< To double the fraction.
+  /// After this time without shifted work, the caches hold only data of the
   /// domain's own callers.
   Duration cold_after = std::chrono::minutes(5);
 };
 
-/// @brief How far a receiver's caches are warmed for one service's shifted
-/// work.
+/// @brief How warm a receiver's caches are for one service's shifted work.
 class WarmUp {
  public:
-  /// @return the part of the spare capacity to offer, above 0, at most 1.
+  /// @return the fraction of the spare capacity to offer, above 0, at most 1.
   [[nodiscard]] double Fraction(MonotonicTime now,
                                 const WarmUpOptions& options) const;
-  /// @brief Tells the inflow that is in force from `now` on.
+  /// @brief Records the inflow that is in force from `now` on.
   /// @param is_used whether the inflow uses at least half of what is offered;
   /// only such work warms the caches that the next step relies on.
   void Observe(MonotonicTime now,
--- a/lib/libmedlarcroft/include/medlarcroft/steering/weighted_sampler.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/weighted_sampler.h
@@ -9,25 +9,26 @@
 
 namespace medlarcroft::steering {
 
-/// @brief Draws indices at random by weight, each at most once.
-class WeightedDraw {
+/// @brief Samples indices randomly by weight, without replacement.
+class WeightedSampler {
  public:
-  explicit WeightedDraw(ports::RandomSource& random) : random_(&random) {}
+  explicit WeightedSampler(ports::RandomSource& random) : random_(&random) {}
 
-  /// @param running_weights sums of the weights up to each index; not empty
+  /// @param cumulative_weights sums of the weights up to each index; not empty
   /// unless `count` is 0, every weight above 0.
-  /// @param count how many to draw, at most as many as there are weights.
-  /// @return the indices in the order drawn; valid until the next call.
-  [[nodiscard]] std::span<const std::size_t> Draw(
-      std::span<const double> running_weights,
+  /// @param count number of indices to sample, at most the number of weights.
+  /// @return the indices in the order sampled; valid until the next call.
+  [[nodiscard]] std::span<const std::size_t> Sample(
+      std::span<const double> cumulative_weights,
       std::size_t count);
 
  private:
-  [[nodiscard]] bool IsDrawn(std::size_t index) const;
-  [[nodiscard]] std::size_t DrawOne(std::span<const double> running_weights);
+  [[nodiscard]] bool IsSampled(std::size_t index) const;
+  [[nodiscard]] std::size_t SampleOne(
+      std::span<const double> cumulative_weights);
 
   ports::RandomSource* random_;
-  std::vector<std::size_t> drawn_;
+  std::vector<std::size_t> sampled_;
 };
 
 }  // namespace medlarcroft::steering
--- a/lib/libmedlarcroft/source/steering/block_map_codec.cc
+++ b/lib/libmedlarcroft/source/steering/block_map_codec.cc
@@ -9,26 +9,26 @@
 
 namespace {
 
-using block_map_object::Header;
-using block_map_object::kRecordBytes;
-using block_map_object::Parse;
-using block_map_object::Parsed;
-using block_map_object::ReadBlock;
-
-/// @param feed adds all prefixes to a builder, or says what is wrong.
-template <typename Key, typename Feed>
-Result<PrefixTable<Key>, BlockMapError> BuildTable(Feed feed) {
+using block_map_format::Header;
+using block_map_format::kRecordBytes;
+using block_map_format::ParsedObject;
+using block_map_format::ParseObject;
+using block_map_format::ReadBlock;
+
+/// @param add_prefixes adds all prefixes to a builder, or returns an error.
+template <typename Key, typename AddPrefixes>
+Result<PrefixTable<Key>, BlockMapError> BuildTable(AddPrefixes add_prefixes) {
   using Builder = PrefixTableBuilder<Key>;
   Builder counter(Builder::Mode::kCount);
-  if (const auto error = feed(counter)) {
+  if (const auto error = add_prefixes(counter)) {
     return *error;
   }
 
-  (void)counter.Finish();  // Counts what closing the last prefixes adds.
+  (void)counter.Finish();  // Counts the entries that closing prefixes adds.
 
   Builder builder;
   builder.Reserve(counter.Entries());
-  if (const auto error = feed(builder)) {
+  if (const auto error = add_prefixes(builder)) {
     return *error;
   }
   return builder.Finish();
@@ -71,7 +71,7 @@
          std::pair(right.start, right.length);
 }
 
-/// Merges a delta's records into a table, both in order.
+/// Merges the records of a delta into a table; both are sorted.
 template <typename Key>
 class DeltaMerge {
  public:
@@ -85,13 +85,13 @@
 
   std::optional<BlockMapError> Run(const PrefixTable<Key>& base) {
     base.ForEach([&](const Prefix<Key>& block) {
-      TakeBefore(block);
+      AddNewBlocksBefore(block);
 
-      if (!TakeSame(block)) {
+      if (!ApplyChange(block)) {
         Add(block);
       }
     });
-    TakeBefore(std::nullopt);
+    AddNewBlocksBefore(std::nullopt);
     return error_;
   }
 
@@ -106,8 +106,8 @@
     }
   }
 
-  /// Adds the delta's blocks that come before `block`; they are new.
-  void TakeBefore(const std::optional<Prefix<Key>>& block) {
+  /// Adds the delta's blocks that come before `block`; the base lacks them.
+  void AddNewBlocksBefore(const std::optional<Prefix<Key>>& block) {
     while (!error_ && next_ < count_ && (!block || IsBefore(Next(), *block))) {
       const Prefix<Key> change = Next();
       ++next_;
@@ -121,7 +121,7 @@
   }
 
   /// @return whether the delta changes or removes `block`.
-  bool TakeSame(const Prefix<Key>& block) {
+  bool ApplyChange(const Prefix<Key>& block) {
     if (error_ || next_ == count_ || IsBefore(block, Next())) {
       return false;
     }
@@ -151,8 +151,8 @@
   });
 }
 
-std::optional<BlockMapError> CheckSuccession(const BlockMap& base,
-                                             const Header& header) {
+std::optional<BlockMapError> CheckDeltaVersions(const BlockMap& base,
+                                                const Header& header) {
   if (!header.base_version) {
     return BlockMapError::kNotDelta;
   }
@@ -168,7 +168,7 @@
   return std::nullopt;
 }
 
-Result<BlockMap, BlockMapError> Assemble(
+Result<BlockMap, BlockMapError> MakeBlockMap(
     Header header,
     Result<PrefixTable<std::uint32_t>, BlockMapError> ipv4,
     Result<PrefixTable<std::uint64_t>, BlockMapError> ipv6) {
@@ -198,12 +198,12 @@
 }
 
 Result<BlockMap, BlockMapError> DecodeBlockMap(std::string_view object) {
-  auto parsed = Parse(object);
+  auto parsed = ParseObject(object);
   if (!IsOk(parsed)) {
     return ErrorOf(parsed);
   }
 
-  Parsed content = TakeValue(std::move(parsed));
+  ParsedObject content = TakeValue(std::move(parsed));
   if (content.header.base_version) {
     return BlockMapError::kNotFull;
   }
@@ -211,25 +211,27 @@
   const std::size_t sites = content.header.sites.size();
   auto ipv4 = ReadTable<std::uint32_t>(content.ipv4, sites);
   auto ipv6 = ReadTable<std::uint64_t>(content.ipv6, sites);
-  return Assemble(std::move(content.header), std::move(ipv4), std::move(ipv6));
+  return MakeBlockMap(std::move(content.header), std::move(ipv4),
+                      std::move(ipv6));
 }
 
 Result<BlockMap, BlockMapError> ApplyBlockMapDelta(const BlockMap& base,
                                                    std::string_view object) {
-  auto parsed = Parse(object);
+  auto parsed = ParseObject(object);
   if (!IsOk(parsed)) {
     return ErrorOf(parsed);
   }
 
-  Parsed content = TakeValue(std::move(parsed));
-  if (const auto error = CheckSuccession(base, content.header)) {
+  ParsedObject content = TakeValue(std::move(parsed));
+  if (const auto error = CheckDeltaVersions(base, content.header)) {
     return *error;
   }
 
   const std::size_t sites = content.header.sites.size();
   auto ipv4 = MergeTable(base.Ipv4(), content.ipv4, sites);
   auto ipv6 = MergeTable(base.Ipv6(), content.ipv6, sites);
-  return Assemble(std::move(content.header), std::move(ipv4), std::move(ipv6));
+  return MakeBlockMap(std::move(content.header), std::move(ipv4),
+                      std::move(ipv6));
 }
 
 }  // namespace medlarcroft::steering
--- a/lib/libmedlarcroft/source/steering/block_map_encoder.cc
+++ b/lib/libmedlarcroft/source/steering/block_map_encoder.cc
@@ -11,10 +11,10 @@
 
 namespace {
 
-using block_map_object::kChecksumBytes;
-using block_map_object::kLengthBytes;
-using block_map_object::kMagic;
-using block_map_object::kRecordBytes;
+using block_map_format::kChecksumBytes;
+using block_map_format::kLengthBytes;
+using block_map_format::kMagic;
+using block_map_format::kRecordBytes;
 
 template <typename Number>
 void AppendNumber(std::string& out, Number number) {
@@ -32,7 +32,7 @@
   }
 }
 
-nlohmann::json HeaderOf(const BlockMapContent& content) {
+nlohmann::json MakeHeader(const BlockMapContent& content) {
   std::vector<std::string> domains;
   std::map<FailureDomainName, std::size_t> indices;
   nlohmann::json sites = nlohmann::json::array();
@@ -78,12 +78,12 @@
 }  // namespace
 
 std::string EncodeBlockMap(const BlockMapContent& content) {
-  return Encode(HeaderOf(content), content);
+  return Encode(MakeHeader(content), content);
 }
 
 std::string EncodeBlockMapDelta(const BlockMapContent& changes,
                                 std::uint64_t base_version) {
-  nlohmann::json header = HeaderOf(changes);
+  nlohmann::json header = MakeHeader(changes);
   header["base_version"] = base_version;
   return Encode(header, changes);
 }
--- a/lib/libmedlarcroft/source/steering/block_map_format.cc
+++ b/lib/libmedlarcroft/source/steering/block_map_format.cc
@@ -6,12 +6,12 @@
 #include <string>
 #include <utility>
 
-namespace medlarcroft::steering::block_map_object {
+namespace medlarcroft::steering::block_map_format {
 
 namespace {
 
-std::optional<std::uint64_t> ReadCount(const nlohmann::json& object,
-                                       const char* key) {
+std::optional<std::uint64_t> ReadUnsigned(const nlohmann::json& object,
+                                          const char* key) {
   const auto found = object.find(key);
   if (found == object.end() || !found->is_number_unsigned()) {
     return std::nullopt;
@@ -29,7 +29,7 @@
   const bool has_name =
       item.is_object() && item.contains("name") && item.at("name").is_string();
   const nlohmann::json* order = has_name ? FindArray(item, "domains") : nullptr;
-  if (order == nullptr || order->size() > kMaxDomainsOfSite) {
+  if (order == nullptr || order->size() > kMaxDomainsPerSite) {
     return BlockMapError::kMalformedHeader;
   }
 
@@ -55,17 +55,17 @@
     return BlockMapError::kMalformedHeader;
   }
 
-  const auto version = ReadCount(json, "version");
-  const auto ipv4 = ReadCount(json, "ipv4");
-  const auto ipv6 = ReadCount(json, "ipv6");
+  const auto version = ReadUnsigned(json, "version");
+  const auto ipv4 = ReadUnsigned(json, "ipv4");
+  const auto ipv6 = ReadUnsigned(json, "ipv6");
   const nlohmann::json* domains = FindArray(json, "domains");
   const nlohmann::json* sites = FindArray(json, "sites");
   const bool has_base = json.contains("base_version");
-  const auto base_version = ReadCount(json, "base_version");
+  const auto base_version = ReadUnsigned(json, "base_version");
 
-  const bool is_whole = version && ipv4 && ipv6 && domains != nullptr &&
-                        sites != nullptr && (!has_base || base_version);
-  if (!is_whole) {
+  const bool is_complete = version && ipv4 && ipv6 && domains != nullptr &&
+                           sites != nullptr && (!has_base || base_version);
+  if (!is_complete) {
     return BlockMapError::kMalformedHeader;
   }
 
@@ -91,7 +91,7 @@
   return header;
 }
 
-std::optional<BlockMapError> CheckFrame(std::string_view object) {
+std::optional<BlockMapError> CheckEnvelope(std::string_view object) {
   if (object.size() > kMaxBlockMapBytes) {
     return BlockMapError::kTooLarge;
   }
@@ -116,8 +116,8 @@
 
 }  // namespace
 
-Result<Parsed, BlockMapError> Parse(std::string_view object) {
-  if (const auto error = CheckFrame(object)) {
+Result<ParsedObject, BlockMapError> ParseObject(std::string_view object) {
+  if (const auto error = CheckEnvelope(object)) {
     return *error;
   }
 
@@ -151,9 +151,9 @@
     return BlockMapError::kTrailingBytes;
   }
 
-  return Parsed{.header = TakeValue(std::move(header)),
-                .ipv4 = rest.substr(0, ipv4_bytes),
-                .ipv6 = rest.substr(ipv4_bytes)};
+  return ParsedObject{.header = TakeValue(std::move(header)),
+                      .ipv4 = rest.substr(0, ipv4_bytes),
+                      .ipv6 = rest.substr(ipv4_bytes)};
 }
 
-}  // namespace medlarcroft::steering::block_map_object
+}  // namespace medlarcroft::steering::block_map_format
--- a/lib/libmedlarcroft/source/steering/block_map_format.h
+++ b/lib/libmedlarcroft/source/steering/block_map_format.h
@@ -9,23 +9,24 @@
 
 #include "medlarcroft/steering/block_map_codec.h"
 
-namespace medlarcroft::steering::block_map_object {
+namespace medlarcroft::steering::block_map_format {
 
-// An object is: magic, header length (4 bytes), header (JSON: versions, sites,
-// counts), IPv4 blocks, IPv6 blocks, XXH3 of all before it (8 bytes). Numbers
-// are little-endian. Blocks are records of fixed size: a general format spends
-// more bytes on names and lengths than the 7 or 11 that a block needs.
+// An object consists of: magic, header length (4 bytes), header (JSON:
+// versions, sites, counts), IPv4 blocks, IPv6 blocks, XXH3 hash of everything
+// before it (8 bytes). Numbers are little-endian. Blocks are records of fixed
+// size: a general serialisation format needs more bytes for names and lengths
+// than the 7 or 11 bytes of a block.
 inline constexpr std::string_view kMagic = "MDLRBM01";
 inline constexpr std::size_t kLengthBytes = 4;
 inline constexpr std::size_t kChecksumBytes = 8;
 inline constexpr std::size_t kMaxHeaderBytes = 1024 * 1024;
-inline constexpr std::size_t kMaxDomainsOfSite = 64;
+inline constexpr std::size_t kMaxDomainsPerSite = 64;
 
 template <typename Key>
 inline constexpr std::size_t kRecordBytes = sizeof(Key) + sizeof(std::uint8_t) +
                                             sizeof(std::uint16_t);
 
-/// @brief What the header of an object says.
+/// @brief Contents of an object's header.
 struct Header {
   std::uint64_t version = 0;
   std::optional<std::uint64_t> base_version;  // Only in a delta.
@@ -34,10 +35,11 @@
   std::uint64_t ipv6 = 0;
 };
 
-/// @brief An object whose frame and header are sound; blocks are not yet read.
-struct Parsed {
+/// @brief An object whose envelope and header are valid; its blocks are not
+/// decoded yet.
+struct ParsedObject {
   Header header;
-  std::string_view ipv4;  // Records.
+  std::string_view ipv4;  // Encoded records.
   std::string_view ipv6;
 };
 
@@ -60,10 +62,11 @@
           .value = ReadNumber<std::uint16_t>(record.substr(sizeof(Key) + 1))};
 }
 
-/// @brief Checks size, magic, checksum, header and that the records fill the
-/// object exactly.
-[[nodiscard]] Result<Parsed, BlockMapError> Parse(std::string_view object);
+/// @brief Checks the size, magic, checksum and header, and that the records
+/// fill the object exactly.
+[[nodiscard]] Result<ParsedObject, BlockMapError> ParseObject(
+    std::string_view object);
 
-}  // namespace medlarcroft::steering::block_map_object
+}  // namespace medlarcroft::steering::block_map_format
 
 #endif  // MEDLARCROFT_STEERING_BLOCK_MAP_FORMAT_H_
--- a/lib/libmedlarcroft/source/steering/entry_host_weight.cc
+++ b/lib/libmedlarcroft/source/steering/entry_host_weight.cc
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Weight of a slot on a full host; a free one weighs 1, so at most 1:4.
+/// Weight of a slot on a full host; on an idle host it is 1, so the ratio is at
+/// most 1:4.
 constexpr double kFullHostWeight = 0.25;
 
 double WeightOf(const EntryHost& host, const ServiceName& service) {
@@ -33,8 +34,8 @@
   return nullptr;
 }
 
-std::vector<double> RunningWeights(std::span<const EntryHost* const> hosts,
-                                   const ServiceName& service) {
+std::vector<double> CumulativeWeights(std::span<const EntryHost* const> hosts,
+                                      const ServiceName& service) {
   std::vector<double> running;
   double sum = 0.0;
   for (const EntryHost* host : hosts) {
--- a/lib/libmedlarcroft/source/steering/entry_host_weight.h
+++ b/lib/libmedlarcroft/source/steering/entry_host_weight.h
@@ -8,17 +8,18 @@
 
 namespace medlarcroft::steering {
 
-/// @return the service's load, or nullptr.
+/// @return the load of the service, or nullptr if there is none.
 [[nodiscard]] const ServiceLoad* FindLoad(std::span<const ServiceLoad> loads,
                                           const ServiceName& service);
 
-/// @return sums of the hosts' weights up to each host, for `WeightedDraw`. A
-/// weight is the host's slots, of which a full host keeps a quarter.
-[[nodiscard]] std::vector<double> RunningWeights(
+/// @return the sums of the hosts' weights up to each host, for
+/// `WeightedSampler`. A host's weight is its number of slots, of which a full
+/// host keeps a quarter.
+[[nodiscard]] std::vector<double> CumulativeWeights(
     std::span<const EntryHost* const> hosts,
     const ServiceName& service);
 
-/// @return whether callers may be sent to it as a first choice.
+/// @return whether callers may be directed to the host as a first choice.
 [[nodiscard]] bool IsServing(const EntryHost& host);
 
 }  // namespace medlarcroft::steering
--- a/lib/libmedlarcroft/source/steering/growth_limit.cc
+++ b/lib/libmedlarcroft/source/steering/growth_limit.cc
@@ -5,8 +5,8 @@
 namespace medlarcroft::steering {
 
 double GrowthLimit::BaseAt(MonotonicTime now, Duration window) const {
-  const bool is_quiet = !has_grown_ || now - last_growth_ >= window;
-  return is_quiet ? rate_ : base_;
+  const bool is_window_over = !has_grown_ || now - last_growth_ >= window;
+  return is_window_over ? rate_ : base_;
 }
 
 double GrowthLimit::Ceiling(MonotonicTime now,
--- a/lib/libmedlarcroft/source/steering/lookup_demand_tracker.cc
+++ b/lib/libmedlarcroft/source/steering/lookup_demand_tracker.cc
@@ -4,20 +4,20 @@
 
 namespace medlarcroft::steering {
 
-LookupDemandTracker::LookupDemandTracker(HandedOutOptions options)
+LookupDemandTracker::LookupDemandTracker(LookupDemandOptions options)
     : options_(options),
-      bucket_width_(std::max(options.longest_ttl / kSpannedBuckets,
+      bucket_width_(std::max(options.max_ttl / kMaxTtlBuckets,
                              Duration(std::chrono::milliseconds(1)))) {}
 
-std::int64_t LookupDemandTracker::BucketOf(MonotonicTime time) const {
+std::int64_t LookupDemandTracker::BucketIndex(MonotonicTime time) const {
   return time.time_since_epoch() / bucket_width_;
 }
 
 double LookupDemandTracker::Sum(const Series& series, MonotonicTime now) const {
-  const std::int64_t current = BucketOf(now);
+  const std::int64_t current = BucketIndex(now);
   double sum = 0.0;
 
-  for (std::size_t index = 0; index < kBuckets; ++index) {
+  for (std::size_t index = 0; index < kBucketCount; ++index) {
     if (series.expiry[index] >= current) {
       sum += series.demand[index];
     }
@@ -55,13 +55,14 @@
                                  MonotonicTime now) {
   Series* series = FindOrAdd({service, domain}, now);
   if (series == nullptr) {
-    ++uncounted_;
+    ++dropped_count_;
     return;
   }
 
-  const Duration kept = std::clamp(ttl, Duration::zero(), options_.longest_ttl);
-  const std::int64_t bucket = BucketOf(now + kept);
-  const std::size_t index = static_cast<std::size_t>(bucket) % kBuckets;
+  const Duration capped_ttl =
+      std::clamp(ttl, Duration::zero(), options_.max_ttl);
+  const std::int64_t bucket = BucketIndex(now + capped_ttl);
+  const std::size_t index = static_cast<std::size_t>(bucket) % kBucketCount;
 
   if (series->expiry[index] != bucket) {
     series->expiry[index] = bucket;
--- a/lib/libmedlarcroft/source/steering/lookup_planner.cc
+++ b/lib/libmedlarcroft/source/steering/lookup_planner.cc
@@ -9,14 +9,16 @@
 
 namespace {
 
-/// Spare of a domain that has none, as a part of its capacity: when all
-/// are full, callers are spread by size and admission refuses.
-constexpr double kFullDomainWeight = 0.05;
-/// Spare of a domain whose load is not known, in requests a second: hardly
-/// anything, but something if no other is known either.
-constexpr double kUnknownSpare = 0.01;
-/// Domains that callers of a lost one are spread over, nearest first: enough
-/// for a region, few enough to keep the latency near.
+/// Spare capacity assumed for a full domain, as a fraction of its capacity:
+/// when all domains are full, callers are spread by size and admission refuses
+/// the excess.
+constexpr double kFullDomainSpareFraction = 0.05;
+/// Spare capacity assumed for a domain whose load is not known, in requests per
+/// second: close to nothing, but not zero, in case the load of no other domain
+/// is known either.
+constexpr double kUnknownSpareRate = 0.01;
+/// Maximum number of domains that callers of a lost domain are spread over,
+/// nearest first: enough for a region, few enough to keep the latency low.
 constexpr std::size_t kMaxAlternatives = 6;
 
 }  // namespace
@@ -26,7 +28,7 @@
                              LookupOptions options)
     : clock_(&clock),
       random_(&random),
-      draw_(random),
+      sampler_(random),
       options_(options),
       inputs_{.catalogue = std::make_shared<const catalogue::CatalogueView>()} {
 }
@@ -44,14 +46,14 @@
         host.phase == EntryHostPhase::kLeaving ||
         view.IsDrained(catalogue::DrainSubject::kHost, host.host.Value());
 
-    // A host that leaves is left out at the first sign: callers keep an answer
-    // for its TTL and would still come when it has gone.
+    // A leaving host is omitted as soon as it is known to leave: callers keep
+    // an answer for its TTL and would still connect after the host has stopped.
     if (is_leaving || host.liveness == EntryHostLiveness::kDead) {
       continue;
     }
 
     DomainHosts& domain = domains_[host.failure_domain];
-    (IsServing(host) ? domain.serving : domain.doubtful).push_back(&host);
+    (IsServing(host) ? domain.serving : domain.unconfirmed).push_back(&host);
   }
 
   for (auto& [name, domain] : domains_) {
@@ -70,7 +72,7 @@
   const MonotonicTime now = clock_->Now();
 
   for (auto& [name, recovery] : recoveries_) {
-    const bool is_serving = HasServing(name);
+    const bool is_serving = HasServingHosts(name);
 
     if (is_serving && recovery.is_lost) {
       recovery.returned_at = now;
@@ -79,8 +81,8 @@
     recovery.is_lost = !is_serving;
   }
 
-  // Only a domain that was seen serving can be lost: a host that has just
-  // started must not take its first sight of a domain for a return.
+  // Only a domain that has been seen serving can be lost. Otherwise a host that
+  // has just started would mistake the first sight of a domain for its return.
   for (const auto& [name, hosts] : domains_) {
     if (!hosts.serving.empty()) {
       recoveries_.try_emplace(name);
@@ -88,19 +90,20 @@
   }
 }
 
-bool LookupPlanner::IsHeldBack(const FailureDomainName& home) {
+bool LookupPlanner::IsReturnDeferred(const FailureDomainName& home) {
   const auto found = recoveries_.find(home);
   if (found == recoveries_.end() || !found->second.returned_at) {
     return false;
   }
 
-  const Duration since = clock_->Now() - *found->second.returned_at;
-  if (since >= options_.return_ramp) {
+  const Duration elapsed = clock_->Now() - *found->second.returned_at;
+  if (elapsed >= options_.return_ramp) {
     return false;
   }
 
-  const double returned = ToSeconds(since) / ToSeconds(options_.return_ramp);
-  return random_->NextUnit() >= returned;
+  const double returned_fraction =
+      ToSeconds(elapsed) / ToSeconds(options_.return_ramp);
+  return random_->NextUnit() >= returned_fraction;
 }
 
 std::optional<LookupError> LookupPlanner::Check(
@@ -128,7 +131,7 @@
   return found == domains_.end() ? nullptr : &found->second;
 }
 
-bool LookupPlanner::HasServing(const FailureDomainName& domain) const {
+bool LookupPlanner::HasServingHosts(const FailureDomainName& domain) const {
   const DomainHosts* hosts = FindDomain(domain);
   return hosts != nullptr && !hosts->serving.empty();
 }
@@ -163,8 +166,8 @@
   return alternatives;
 }
 
-double LookupPlanner::SpareOf(const ServiceName& service,
-                              const FailureDomainName& domain) const {
+double LookupPlanner::SpareRate(const ServiceName& service,
+                                const FailureDomainName& domain) const {
   const auto found = loads_.find(domain);
   const ServiceLoad* load =
       found == loads_.end() ? nullptr : FindLoad(found->second->loads, service);
@@ -174,32 +177,33 @@
                         load->usable_slots > 0.0 &&
                         entry->request_class.expected_service_time.count() > 0;
   if (!is_known) {
-    return kUnknownSpare;
+    return kUnknownSpareRate;
   }
 
-  // Rates rather than busy slots: of few slots, one sample strays by a third,
-  // and all callers of the next moments would go where it was low.
+  // Uses rates rather than busy slots: with few slots, one sample can be off by
+  // a third, and all callers of the next moments would go to the domain whose
+  // sample was low.
   const double capacity = load->usable_slots /
                           ToSeconds(entry->request_class.expected_service_time);
   const double spare =
       capacity - load->demand_per_second - load->shifted_in_per_second;
-  return std::max(spare, capacity * kFullDomainWeight);
+  return std::max(spare, capacity * kFullDomainSpareFraction);
 }
 
-std::optional<FailureDomainName> LookupPlanner::DrawBySpare(
+std::optional<FailureDomainName> LookupPlanner::ChooseBySpareRate(
     const ServiceName& service,
     const FailureDomainName& home) {
   const Alternatives& alternatives = AlternativesTo(home);
   double sum = 0.0;
   for (const FailureDomainName& domain : alternatives) {
-    sum += SpareOf(service, domain);
+    sum += SpareRate(service, domain);
   }
 
-  double point = random_->NextUnit() * sum;
+  double remaining_weight = random_->NextUnit() * sum;
   for (const FailureDomainName& domain : alternatives) {
-    point -= SpareOf(service, domain);
+    remaining_weight -= SpareRate(service, domain);
 
-    if (point < 0.0) {
+    if (remaining_weight < 0.0) {
       return domain;
     }
   }
@@ -210,20 +214,20 @@
   return alternatives.front();
 }
 
-std::optional<FailureDomainName> LookupPlanner::DrawByPlan(
+std::optional<FailureDomainName> LookupPlanner::ChooseByPlan(
     const ServiceName& service,
     const FailureDomainName& home) {
-  double point = random_->NextUnit();
+  double remaining_weight = random_->NextUnit();
 
   for (const CallerMove& move : inputs_.plan.moves) {
-    const bool is_meant = move.service == service && move.from == home;
-    if (!is_meant || !HasServing(move.to)) {
+    const bool is_match = move.service == service && move.from == home;
+    if (!is_match || !HasServingHosts(move.to)) {
       continue;
     }
 
-    point -= move.fraction;
+    remaining_weight -= move.fraction;
 
-    if (point < 0.0) {
+    if (remaining_weight < 0.0) {
       return move.to;
     }
   }
@@ -231,50 +235,51 @@
   return std::nullopt;
 }
 
-LookupPlanner::Choice LookupPlanner::ChooseFirst(
+LookupPlanner::DomainChoice LookupPlanner::ChooseFirstDomain(
     const ServiceName& service,
     const FailureDomainName& home) {
   const DomainHosts* hosts = FindDomain(home);
   const bool is_serving = hosts != nullptr && !hosts->serving.empty();
 
   if (!is_serving) {
-    const auto drawn = DrawBySpare(service, home);
-    return drawn ? Choice{*drawn, LookupRule::kHomeLost}
-                 : Choice{home, LookupRule::kLastResort};
+    const auto sampled = ChooseBySpareRate(service, home);
+    return sampled ? DomainChoice{*sampled, LookupRule::kHomeLost}
+                   : DomainChoice{home, LookupRule::kLastResort};
   }
 
-  if (IsHeldBack(home)) {
-    const auto drawn = DrawBySpare(service, home);
-    return drawn ? Choice{*drawn, LookupRule::kHomeReturning}
-                 : Choice{home, LookupRule::kHome};
+  if (IsReturnDeferred(home)) {
+    const auto sampled = ChooseBySpareRate(service, home);
+    return sampled ? DomainChoice{*sampled, LookupRule::kHomeReturning}
+                   : DomainChoice{home, LookupRule::kHome};
   }
 
-  // Load is shifted from entry host to entry host, where the caps are counted
-  // at the moment of forwarding; an answer to a look-up can't be called back.
-  // So answers name another domain only where the plan says that callers move.
-  const auto drawn = DrawByPlan(service, home);
-  return drawn ? Choice{*drawn, LookupRule::kMovedByDrain}
-               : Choice{home, LookupRule::kHome};
+  // Load is shifted between entry hosts, where the limits are enforced at the
+  // moment of forwarding; an answer to a look-up can't be revoked. So answers
+  // name another domain only where the plan says that callers move.
+  const auto sampled = ChooseByPlan(service, home);
+  return sampled ? DomainChoice{*sampled, LookupRule::kMovedByDrain}
+                 : DomainChoice{home, LookupRule::kHome};
 }
 
-void LookupPlanner::AppendDrawn(std::span<const EntryHost* const> hosts,
-                                std::span<const double> running_weights,
-                                std::size_t most,
-                                bool has_weight,
-                                LookupAnswer& answer) {
-  const std::size_t count = std::min(most, hosts.size());
+void LookupPlanner::AppendSampled(std::span<const EntryHost* const> hosts,
+                                  std::span<const double> cumulative_weights,
+                                  std::size_t max_count,
+                                  bool has_weight,
+                                  LookupAnswer& answer) {
+  const std::size_t count = std::min(max_count, hosts.size());
   const auto weight_of = [&](std::size_t index) {
-    const double before = index == 0 ? 0.0 : running_weights[index - 1];
-    return running_weights[index] - before;
+    const double before = index == 0 ? 0.0 : cumulative_weights[index - 1];
+    return cumulative_weights[index] - before;
   };
 
-  const std::span<const std::size_t> drawn = draw_.Draw(running_weights, count);
+  const std::span<const std::size_t> sampled =
+      sampler_.Sample(cumulative_weights, count);
   double sum = 0.0;
-  for (const std::size_t index : drawn) {
+  for (const std::size_t index : sampled) {
     sum += weight_of(index);
   }
 
-  for (const std::size_t index : drawn) {
+  for (const std::size_t index : sampled) {
     const EntryHost& host = *hosts[index];
     answer.entry_hosts.push_back(
         {.host = host.host,
@@ -286,7 +291,7 @@
 
 void LookupPlanner::AppendServing(const FailureDomainName& domain,
                                   const ServiceName& service,
-                                  std::size_t most,
+                                  std::size_t max_count,
                                   bool has_weight,
                                   LookupAnswer& answer) {
   const auto found = domains_.find(domain);
@@ -295,39 +300,40 @@
   }
 
   DomainHosts& hosts = found->second;
-  const auto [weights, is_new] = hosts.running_weights.try_emplace(service);
+  const auto [weights, is_new] = hosts.cumulative_weights.try_emplace(service);
   if (is_new) {
-    weights->second = RunningWeights(hosts.serving, service);
+    weights->second = CumulativeWeights(hosts.serving, service);
   }
-  AppendDrawn(hosts.serving, weights->second, most, has_weight, answer);
+  AppendSampled(hosts.serving, weights->second, max_count, has_weight, answer);
 }
 
-void LookupPlanner::AppendOthers(const ServiceName& service,
-                                 LookupAnswer& answer) {
-  std::size_t room = options_.max_other_hosts;
+void LookupPlanner::AppendOtherDomains(const ServiceName& service,
+                                       LookupAnswer& answer) {
+  std::size_t remaining = options_.max_other_hosts;
 
   for (const FailureDomainName& domain : AlternativesTo(answer.first_domain)) {
-    if (room == 0) {
+    if (remaining == 0) {
       return;
     }
 
     AppendServing(domain, service, 1, false, answer);
-    --room;
+    --remaining;
   }
 }
 
-void LookupPlanner::AppendDoubtful(const ServiceName& service,
-                                   const FailureDomainName& home,
-                                   LookupAnswer& answer) {
-  const std::size_t longest =
+void LookupPlanner::AppendUnconfirmed(const ServiceName& service,
+                                      const FailureDomainName& home,
+                                      LookupAnswer& answer) {
+  const std::size_t max_hosts =
       options_.max_home_hosts + options_.max_other_hosts;
   const bool is_last_resort = answer.rule == LookupRule::kLastResort;
 
   const auto append = [&](const FailureDomainName& domain) {
     const DomainHosts* hosts = FindDomain(domain);
-    if (hosts != nullptr && answer.entry_hosts.size() < longest) {
-      AppendDrawn(hosts->doubtful, RunningWeights(hosts->doubtful, service),
-                  longest - answer.entry_hosts.size(), is_last_resort, answer);
+    if (hosts != nullptr && answer.entry_hosts.size() < max_hosts) {
+      AppendSampled(
+          hosts->unconfirmed, CumulativeWeights(hosts->unconfirmed, service),
+          max_hosts - answer.entry_hosts.size(), is_last_resort, answer);
     }
   };
 
@@ -346,12 +352,13 @@
   }
 }
 
-Duration LookupPlanner::DrawTtl(const catalogue::ServiceEntry& service,
-                                LookupRule rule) {
-  const double jitter = 1.0 - options_.ttl_jitter * random_->NextUnit();
-  const double degraded =
+Duration LookupPlanner::JitterTtl(const catalogue::ServiceEntry& service,
+                                  LookupRule rule) {
+  const double jitter_factor = 1.0 - options_.ttl_jitter * random_->NextUnit();
+  const double ttl_factor =
       rule == LookupRule::kHome ? 1.0 : options_.degraded_ttl_fraction;
-  return FromSeconds(ToSeconds(service.lookup_ttl) * jitter * degraded);
+  return FromSeconds(ToSeconds(service.lookup_ttl) * jitter_factor *
+                     ttl_factor);
 }
 
 Result<LookupAnswer, LookupError> LookupPlanner::Plan(
@@ -364,10 +371,10 @@
 
   const FailureDomainName& home =
       request.nearest ? *request.nearest : inputs_.own_domain;
-  const Choice first = ChooseFirst(request.service, home);
+  const DomainChoice first = ChooseFirstDomain(request.service, home);
 
   LookupAnswer answer{.revision = inputs_.catalogue->Revision(),
-                      .ttl = DrawTtl(*service, first.rule),
+                      .ttl = JitterTtl(*service, first.rule),
                       .rule = first.rule,
                       .first_domain = first.domain};
   answer.entry_hosts.reserve(options_.max_home_hosts +
@@ -377,10 +384,10 @@
                 answer);
 
   if (first.rule != LookupRule::kLastResort) {
-    AppendOthers(request.service, answer);
+    AppendOtherDomains(request.service, answer);
   }
 
-  AppendDoubtful(request.service, home, answer);
+  AppendUnconfirmed(request.service, home, answer);
 
   if (answer.entry_hosts.empty()) {
     return LookupError::kNoEntryHost;
--- a/lib/libmedlarcroft/source/steering/placement_cost.cc
+++ b/lib/libmedlarcroft/source/steering/placement_cost.cc
@@ -7,11 +7,12 @@
 
 namespace {
 
-constexpr double kTangentFrom = 0.98;
-/// Above it, chance alone makes queues that reach the queue limit.
-constexpr double kOverloadFrom = 0.95;
-/// A pool that refuses a tenth of its work must cost more than any link whose
-/// answer still comes within its deadline.
+constexpr double kTangentUtilisation = 0.98;
+/// Above this utilisation, random variation alone builds queues that reach the
+/// queue limit.
+constexpr double kOverloadUtilisation = 0.95;
+/// A pool that refuses a tenth of its requests must cost more than any link
+/// whose answer still arrives within the deadline.
 constexpr double kOverloadPenalty = 10.0;
 /// Cost of a pool without slots; finite, so that differences stay defined.
 constexpr double kNoSlotsCost = 1e6;
@@ -34,13 +35,13 @@
     return 0.0;
   }
 
-  if (utilisation <= kTangentFrom) {
+  if (utilisation <= kTangentUtilisation) {
     return WaitBelowTangent(pool, utilisation);
   }
 
-  const double at_tangent = WaitBelowTangent(pool, kTangentFrom);
-  const double slope = at_tangent / (1.0 - kTangentFrom);
-  return at_tangent + (utilisation - kTangentFrom) * slope;
+  const double at_tangent = WaitBelowTangent(pool, kTangentUtilisation);
+  const double slope = at_tangent / (1.0 - kTangentUtilisation);
+  return at_tangent + (utilisation - kTangentUtilisation) * slope;
 }
 
 PlacementCost::PlacementCost(const catalogue::ObjectiveWeights& weights,
@@ -60,7 +61,7 @@
   headroom_weight_ /= sum;
 }
 
-double PlacementCost::Of(const ServerPool& pool, double load) const {
+double PlacementCost::ServingCost(const ServerPool& pool, double load) const {
   const double capacity = pool.Capacity();
   if (capacity <= 0.0) {
     return kNoSlotsCost;
@@ -70,12 +71,12 @@
   const double backlog = pool.queued / capacity;
   const double delay = ExpectedWait(pool, utilisation) + backlog;
   const double overload =
-      std::max(utilisation - kOverloadFrom, 0.0) + pool.refused_part;
+      std::max(utilisation - kOverloadUtilisation, 0.0) + pool.refused_fraction;
   return latency_weight_ * delay / delay_scale_ +
          headroom_weight_ * utilisation + kOverloadPenalty * overload;
 }
 
-double PlacementCost::OfDelay(Duration delay) const {
+double PlacementCost::DelayCost(Duration delay) const {
   return latency_weight_ * ToSeconds(delay) / delay_scale_;
 }
 
--- a/lib/libmedlarcroft/source/steering/shift_admission.cc
+++ b/lib/libmedlarcroft/source/steering/shift_admission.cc
@@ -15,8 +15,8 @@
   }
 
   const double headroom = std::clamp(state.reserved_headroom, 0.0, 1.0);
-  const double open_slots = state.usable_slots * (1.0 - headroom);
-  if (state.outstanding + 1.0 > open_slots) {
+  const double unreserved_slots = state.usable_slots * (1.0 - headroom);
+  if (state.outstanding + 1.0 > unreserved_slots) {
     return ShiftAdmissionRefusal::kHeadroom;
   }
 
--- a/lib/libmedlarcroft/source/steering/shift_limiter.cc
+++ b/lib/libmedlarcroft/source/steering/shift_limiter.cc
@@ -7,29 +7,31 @@
 
 namespace {
 
-/// Part of a link's limit that may pass at once; evens out arrivals.
-constexpr double kLinkBurstPart = 0.05;
-/// Below it a burst of one and a refill would not fit into one second.
-constexpr double kSmallestBurstLimit = 2.0;
-/// Part of a second's planned rate that may pass at once.
-constexpr double kPlanBurstPart = 0.25;
-/// Guards against a token lost to rounding, far below one request a second.
-constexpr double kTokenRounding = 1e-9;
-/// Pauses after refusals in a row: from about a service time, so that a slot
-/// may have come free, to a second, when the next plan tells better.
-constexpr Duration kShortestPause = std::chrono::milliseconds(5);
-constexpr Duration kLongestPause = std::chrono::seconds(1);
-
-/// Lets at most `limit` through in any half-open second; below 1 one request in
-/// 1/limit seconds.
-void SetSecondLimit(TokenBucket& bucket, double limit, MonotonicTime now) {
-  if (limit < kSmallestBurstLimit) {
+/// Fraction of a link's limit that may pass at once; smooths uneven arrivals.
+constexpr double kLinkBurstFraction = 0.05;
+/// Limit, in requests per second, below which a burst of one and a refill would
+/// not fit into one second.
+constexpr double kMinBurstLimit = 2.0;
+/// Fraction of one second's planned rate that may pass at once.
+constexpr double kPlanBurstFraction = 0.25;
+/// Tolerance, in tokens, against a token lost to rounding; far below one
+/// request per second.
+constexpr double kTokenTolerance = 1e-9;
+/// Pauses after consecutive refusals: from about a service time, so that a slot
+/// may have become free, to a second, by which time a newer plan is in force.
+constexpr Duration kMinPause = std::chrono::milliseconds(5);
+constexpr Duration kMaxPause = std::chrono::seconds(1);
+
+/// Lets at most `limit` requests through in any half-open second; below 1, one
+/// request in 1/limit seconds.
+void SetPerSecondLimit(TokenBucket& bucket, double limit, MonotonicTime now) {
+  if (limit < kMinBurstLimit) {
     const double burst = limit > 0.0 ? 1.0 : 0.0;
     bucket.Set(burst, std::clamp(limit, 0.0, 1.0), now);
     return;
   }
 
-  const double burst = std::max(1.0, limit * kLinkBurstPart);
+  const double burst = std::max(1.0, limit * kLinkBurstFraction);
   bucket.Set(burst, limit - burst, now);
 }
 
@@ -56,34 +58,34 @@
 
 bool TokenBucket::HasToken(MonotonicTime now) {
   Refill(now);
-  return tokens_ >= 1.0 - kTokenRounding;
+  return tokens_ >= 1.0 - kTokenTolerance;
 }
 
 void ShiftLimiter::Update(std::span<const LinkAllowance> links,
                           std::span<const ShiftAllowance> shifts) {
   const MonotonicTime now = clock_->Now();
-  std::set<FailureDomainName> named_links;
-  std::set<Key> named_shifts;
+  std::set<FailureDomainName> listed_links;
+  std::set<Key> listed_shifts;
 
   for (const LinkAllowance& link : links) {
-    SetSecondLimit(links_[link.to], link.capacity_share, now);
-    named_links.insert(link.to);
+    SetPerSecondLimit(links_[link.to], link.capacity_share, now);
+    listed_links.insert(link.to);
   }
 
   for (const ShiftAllowance& allowance : shifts) {
     const Key key{allowance.service, allowance.to};
     Shift& shift = shifts_[key];
     shift.rate = allowance.rate;
-    shift.bucket.Set(std::max(1.0, allowance.rate * kPlanBurstPart),
+    shift.bucket.Set(std::max(1.0, allowance.rate * kPlanBurstFraction),
                      allowance.rate, now);
-    named_shifts.insert(key);
+    listed_shifts.insert(key);
   }
 
   std::erase_if(links_, [&](const auto& item) {
-    return !named_links.contains(item.first);
+    return !listed_links.contains(item.first);
   });
   std::erase_if(shifts_, [&](const auto& item) {
-    return !named_shifts.contains(item.first);
+    return !listed_shifts.contains(item.first);
   });
 }
 
@@ -112,26 +114,26 @@
     return ShiftRefusal::kLinkCapacity;
   }
 
-  shift->second.bucket.Take();
-  link->second.Take();
+  shift->second.bucket.TakeToken();
+  link->second.TakeToken();
   return Success{};
 }
 
 void ShiftLimiter::OnAnswer(const ServiceName& service,
                             const FailureDomainName& to,
-                            bool is_taken) {
+                            bool is_accepted) {
   const auto found = shifts_.find({service, to});
   if (found == shifts_.end()) {
     return;
   }
 
   Shift& shift = found->second;
-  if (is_taken) {
+  if (is_accepted) {
     shift.pause = Duration::zero();
     return;
   }
 
-  shift.pause = std::clamp(2 * shift.pause, kShortestPause, kLongestPause);
+  shift.pause = std::clamp(2 * shift.pause, kMinPause, kMaxPause);
   shift.paused_until = clock_->Now() + shift.pause;
 }
 
--- a/lib/libmedlarcroft/source/steering/shift_measure.cc
+++ b/lib/libmedlarcroft/source/steering/shift_measure.cc
@@ -10,24 +10,26 @@
 
 namespace {
 
-/// Measured service times are believed up to so many times the catalogue's; a
-/// longer one is a fault of targets, which is not cured by sending nothing.
-constexpr double kLargestServiceTimeFactor = 4.0;
-/// Shorter ones are the noise of a measurement.
-constexpr double kLeastServiceTimeFactor = 1.25;
-/// Time constants. The first delays the answer to a surge by about as much as
-/// the exchange of measurements does.
-constexpr Duration kLoadMemory = std::chrono::seconds(3);
-constexpr Duration kServiceTimeMemory = std::chrono::seconds(20);
-/// Too little work says nothing about how long work takes.
-constexpr double kLeastOutstanding = 1.0;
-constexpr double kLeastServed = 1.0;
-/// A pool is pressed when its callers wait for this part of the queue limit or
-/// this part of them is refused.
-constexpr double kPressedWaitPart = 0.1;
-constexpr double kPressedRefusedPart = 0.01;
-/// Part of the mean capacity by which rates are changed.
-constexpr double kQuantumPart = 0.01;
+/// Measured service times are used up to this multiple of the catalogue's. A
+/// longer one is a fault of the targets, which sending nothing does not cure.
+constexpr double kMaxServiceTimeFactor = 4.0;
+/// Measured service times below this multiple of the catalogue's are
+/// measurement noise.
+constexpr double kMinServiceTimeFactor = 1.25;
+/// Time constants of the moving averages. The first delays the reaction to a
+/// surge by about as much as the exchange of measurements does.
+constexpr Duration kLoadTimeConstant = std::chrono::seconds(3);
+constexpr Duration kServiceTimeTimeConstant = std::chrono::seconds(20);
+/// Minimum work from which a service time is derived, in requests and in
+/// requests per second; less says nothing about how long requests take.
+constexpr double kMinOutstanding = 1.0;
+constexpr double kMinServedPerSecond = 1.0;
+/// A pool is congested when its callers wait for this fraction of the queue
+/// limit or this fraction of them is refused.
+constexpr double kCongestedWaitFraction = 0.1;
+constexpr double kCongestedRefusedFraction = 0.01;
+/// Step by which rates are changed, as a fraction of the mean capacity.
+constexpr double kRateStepFraction = 0.01;
 
 double ConfidenceOf(const DomainLoad* load,
                     const ShiftPlannerOptions& options) {
@@ -43,8 +45,8 @@
          ToSeconds(options.stale_age - options.fresh_age);
 }
 
-/// @param position where the load stands if the domain reports the services in
-/// the catalogue's order, as it does when it knows the same ones.
+/// @param position index of the load if the domain reports the services in the
+/// catalogue's order, as it does when it knows the same ones.
 const ServiceLoad* FindLoadAt(const DomainLoad* domain,
                               const ServiceName& service,
                               std::size_t position) {
@@ -70,15 +72,15 @@
   return nullptr;
 }
 
-void MoveTowards(double& smoothed, double sample, double part) {
-  smoothed += (sample - smoothed) * part;
+void UpdateAverage(double& smoothed, double sample, double weight) {
+  smoothed += (sample - smoothed) * weight;
 }
 
-void Smooth(SmoothedLoad& smoothed,
-            const ServiceLoad& sample,
-            double expected_seconds,
-            double outflow,
-            MonotonicTime now) {
+void UpdateSmoothedLoad(SmoothedLoad& smoothed,
+                        const ServiceLoad& sample,
+                        double expected_seconds,
+                        double outflow,
+                        MonotonicTime now) {
   const double served =
       std::max(sample.demand_per_second + sample.shifted_in_per_second -
                    sample.refused_per_second,
@@ -86,7 +88,7 @@
 
   if (!smoothed.updated_at) {
     smoothed = {.load = sample,
-                // One sample is noise: begin with the catalogue's time.
+                // A single sample is noise: start from the catalogue's time.
                 .slow_outstanding = served * expected_seconds,
                 .slow_served = served,
                 .updated_at = now};
@@ -94,68 +96,73 @@
   }
 
   const double elapsed = ToSeconds(now - *smoothed.updated_at);
-  const double part = 1.0 - std::exp(-elapsed / ToSeconds(kLoadMemory));
-  const double slow_part =
-      1.0 - std::exp(-elapsed / ToSeconds(kServiceTimeMemory));
+  const double weight = 1.0 - std::exp(-elapsed / ToSeconds(kLoadTimeConstant));
+  const double slow_weight =
+      1.0 - std::exp(-elapsed / ToSeconds(kServiceTimeTimeConstant));
   ServiceLoad& load = smoothed.load;
-  MoveTowards(load.demand_per_second, sample.demand_per_second, part);
-  MoveTowards(load.outstanding, sample.outstanding, part);
-  MoveTowards(load.queued, sample.queued, part);
-  MoveTowards(load.refused_per_second, sample.refused_per_second, part);
-  MoveTowards(load.shifted_in_per_second, sample.shifted_in_per_second, part);
-  // What was really forwarded is not measured, only planned: the planned figure
-  // would make a domain look slower the more it forwards.
+  UpdateAverage(load.demand_per_second, sample.demand_per_second, weight);
+  UpdateAverage(load.outstanding, sample.outstanding, weight);
+  UpdateAverage(load.queued, sample.queued, weight);
+  UpdateAverage(load.refused_per_second, sample.refused_per_second, weight);
+  UpdateAverage(load.shifted_in_per_second, sample.shifted_in_per_second,
+                weight);
+  // The outflow is a planned rate, not a measured one: counting it would make a
+  // domain look slower the more it forwards.
   if (outflow <= 0.0) {
-    MoveTowards(smoothed.slow_outstanding, sample.outstanding, slow_part);
-    MoveTowards(smoothed.slow_served, served, slow_part);
+    UpdateAverage(smoothed.slow_outstanding, sample.outstanding, slow_weight);
+    UpdateAverage(smoothed.slow_served, served, slow_weight);
   }
-  // Slots are counted, not sampled: those that are gone are gone at once.
+  // Slots are counted, not sampled, so a change takes effect at once.
   load.usable_slots = sample.usable_slots;
   smoothed.updated_at = now;
 }
 
-/// The catalogue's service time is a hint; by Little's law outstanding work
-/// over work served a second tells the real one. Only a longer time is
-/// believed: it shrinks the capacity that the planner counts on.
+/// The catalogue's service time is a hint; by Little's law, outstanding
+/// requests divided by requests served per second give the actual one. Only a
+/// longer time is used, because it reduces the capacity that the planner counts
+/// on.
 Duration ServiceTimeOf(const catalogue::RequestClass& request_class,
                        const SmoothedLoad& smoothed) {
   const double expected = ToSeconds(request_class.expected_service_time);
-  const bool is_telling = smoothed.slow_outstanding >= kLeastOutstanding &&
-                          smoothed.slow_served >= kLeastServed;
-  const double measured =
-      is_telling ? smoothed.slow_outstanding / smoothed.slow_served : expected;
+  const bool has_enough_work = smoothed.slow_outstanding >= kMinOutstanding &&
+                               smoothed.slow_served >= kMinServedPerSecond;
+  const double measured = has_enough_work
+                              ? smoothed.slow_outstanding / smoothed.slow_served
+                              : expected;
 
-  if (measured < expected * kLeastServiceTimeFactor) {
+  if (measured < expected * kMinServiceTimeFactor) {
     return request_class.expected_service_time;
   }
-  return FromSeconds(std::min(measured, expected * kLargestServiceTimeFactor));
+  return FromSeconds(std::min(measured, expected * kMaxServiceTimeFactor));
 }
 
-/// @return whether the domain's own callers wait or are refused noticeably.
-bool IsPressed(const ServerPool& pool,
-               const ServiceLoad& load,
-               const catalogue::RequestClass& request_class) {
+/// @return whether a noticeable part of the domain's own callers waits or is
+/// refused.
+bool IsCongested(const ServerPool& pool,
+                 const ServiceLoad& load,
+                 const catalogue::RequestClass& request_class) {
   const double capacity = pool.Capacity();
   const double wait = capacity > 0.0 ? load.queued / capacity : 0.0;
-  return wait > kPressedWaitPart * ToSeconds(request_class.queue_limit) ||
-         pool.refused_part > kPressedRefusedPart;
+  return wait > kCongestedWaitFraction * ToSeconds(request_class.queue_limit) ||
+         pool.refused_fraction > kCongestedRefusedFraction;
 }
 
-void MeasureOffer(PoolFacts& facts,
+void MeasureOffer(PoolModel& pool,
                   const catalogue::ServiceEntry& service,
                   double confidence,
                   const ShiftPlannerOptions& options,
                   MonotonicTime now) {
   const double headroom = std::clamp(service.reserved_headroom, 0.0, 1.0);
-  const double warm = facts.memory->warm_up.Fraction(now, options.warm_up);
+  const double warm_fraction =
+      pool.state->warm_up.Fraction(now, options.warm_up);
   const double free =
-      facts.pool.Capacity() * (1.0 - headroom) - facts.committed;
-  facts.spare = std::max(free, 0.0) * confidence * warm;
+      pool.servers.Capacity() * (1.0 - headroom) - pool.committed_demand;
+  pool.spare = std::max(free, 0.0) * confidence * warm_fraction;
 
   if (confidence < 1.0) {
-    facts.spare_bound = ShiftBound::kReceiverStale;
-  } else if (warm < 1.0) {
-    facts.spare_bound = ShiftBound::kReceiverCold;
+    pool.spare_bound = ShiftBound::kReceiverStale;
+  } else if (warm_fraction < 1.0) {
+    pool.spare_bound = ShiftBound::kReceiverCold;
   }
 }
 
@@ -165,50 +172,50 @@
                  const ShiftPlannerOptions& options,
                  MonotonicTime now) {
   const catalogue::ServiceEntry& service = model.Service();
-  const DomainFacts& place = model.Domain(domain);
-  PoolFacts& facts = model.Pool(domain);
+  const DomainModel& domain_model = model.Domain(domain);
+  PoolModel& pool = model.Pool(domain);
   const ServiceLoad* load =
-      FindLoadAt(place.load, service.service, model.Position());
-  facts.pool.service_time = service.request_class.expected_service_time;
+      FindLoadAt(domain_model.load, service.service, model.Position());
+  pool.servers.service_time = service.request_class.expected_service_time;
 
   if (load == nullptr) {
-    facts.spare_bound = ShiftBound::kReceiverStale;
+    pool.spare_bound = ShiftBound::kReceiverStale;
     return;
   }
 
-  Smooth(facts.memory->smoothed, *load,
-         ToSeconds(service.request_class.expected_service_time), facts.outflow,
-         now);
-  load = &facts.memory->smoothed.load;
-  facts.pool.service_time =
-      ServiceTimeOf(service.request_class, facts.memory->smoothed);
-  facts.pool.slots = load->usable_slots;
-  facts.pool.queued = load->queued;
-  facts.pool.refused_part =
+  UpdateSmoothedLoad(pool.state->smoothed, *load,
+                     ToSeconds(service.request_class.expected_service_time),
+                     pool.outflow, now);
+  load = &pool.state->smoothed.load;
+  pool.servers.service_time =
+      ServiceTimeOf(service.request_class, pool.state->smoothed);
+  pool.servers.slots = load->usable_slots;
+  pool.servers.queued = load->queued;
+  pool.servers.refused_fraction =
       load->demand_per_second > 0.0
           ? std::min(load->refused_per_second / load->demand_per_second, 1.0)
           : 0.0;
-  facts.is_measured = place.confidence > 0.0;
-  facts.is_pressed = IsPressed(facts.pool, *load, service.request_class);
-  facts.demand = load->demand_per_second;
-
-  const double unknown_inflow = std::max(
-      load->shifted_in_per_second - facts.memory->inflow_peak.value, 0.0);
-  facts.committed = std::max(facts.demand, pending) + unknown_inflow;
-  MeasureOffer(facts, service, place.confidence, options, now);
+  pool.is_measured = domain_model.confidence > 0.0;
+  pool.is_congested = IsCongested(pool.servers, *load, service.request_class);
+  pool.demand = load->demand_per_second;
+
+  const double unplanned_inflow = std::max(
+      load->shifted_in_per_second - pool.state->inflow_peak.value, 0.0);
+  pool.committed_demand = std::max(pool.demand, pending) + unplanned_inflow;
+  MeasureOffer(pool, service, domain_model.confidence, options, now);
 }
 
 void RestoreShifts(ServiceModel& model) {
   for (std::size_t from = 0; from < model.Size(); ++from) {
     for (std::size_t to = 0; to < model.Size(); ++to) {
-      ShiftMemory& memory = model.Memory().shifts[model.At(from, to)];
+      ShiftState& state = model.State().shifts[model.PairIndex(from, to)];
       if (model.Link(from, to).entry == nullptr) {
-        memory = {};  // A link that comes back begins at nothing.
+        state = {};  // A link that reappears starts at the rate 0.
         continue;
       }
 
-      model.Shift(from, to).memory = &memory;
-      model.Add(from, to, memory.growth.Rate());
+      model.Shift(from, to).state = &state;
+      model.ChangeRate(from, to, state.growth.Rate());
     }
   }
 }
@@ -221,7 +228,7 @@
                          MonotonicTime now) {
   Topology topology;
   const catalogue::CatalogueView& view = *inputs.catalogue;
-  state.Align(view);
+  state.SyncWithCatalogue(view);
   state.links.resize(state.domains.size() * state.domains.size());
 
   for (const catalogue::FailureDomainEntry* entry : view.FailureDomains()) {
@@ -248,17 +255,17 @@
       continue;
     }
 
-    const std::size_t at = topology.At(from->second, to->second);
-    GrowthLimit& growth = state.links[at];
-    topology.links[at] = {
+    const std::size_t pair_index = topology.PairIndex(from->second, to->second);
+    GrowthLimit& growth = state.links[pair_index];
+    topology.links[pair_index] = {
         .entry = link,
         .growth = &growth,
         .ceiling = growth.Ceiling(now, link->shift_step, link->shift_window)};
   }
 
-  for (std::size_t at = 0; at < pairs; ++at) {
-    if (topology.links[at].entry == nullptr) {
-      state.links[at] = {};
+  for (std::size_t pair_index = 0; pair_index < pairs; ++pair_index) {
+    if (topology.links[pair_index].entry == nullptr) {
+      state.links[pair_index] = {};
     }
   }
 
@@ -281,19 +288,19 @@
   double capacity = 0.0;
 
   for (std::size_t domain = 0; domain < model.Size(); ++domain) {
-    PoolFacts& pool = model.Pool(domain);
-    pool.memory = &model.Memory().pools[domain];
+    PoolModel& pool = model.Pool(domain);
+    pool.state = &model.State().pools[domain];
     const auto found = pending.find(
         {model.Service().service, model.Domain(domain).entry->failure_domain});
     MeasurePool(model, domain, found == pending.end() ? 0.0 : found->second,
                 options, now);
-    capacity += pool.pool.Capacity();
+    capacity += pool.servers.Capacity();
   }
 
   const double domains =
       static_cast<double>(std::max<std::size_t>(model.Size(), 1));
-  model.SetQuantum(
-      std::max(capacity / domains * kQuantumPart, 10.0 * kSmallestRate));
+  model.SetRateStep(
+      std::max(capacity / domains * kRateStepFraction, 10.0 * kNegligibleRate));
 }
 
 }  // namespace medlarcroft::steering
--- a/lib/libmedlarcroft/source/steering/shift_measure.h
+++ b/lib/libmedlarcroft/source/steering/shift_measure.h
@@ -9,21 +9,21 @@
 
 namespace medlarcroft::steering {
 
-/// @brief Makes the domains and links of one planning step out of the inputs.
+/// @brief Builds the domains and links of one planning step from the inputs.
 [[nodiscard]] Topology MeasureTopology(const ShiftInputs& inputs,
                                        const ShiftPlannerOptions& options,
                                        ShiftPlanner::State& state,
                                        MonotonicTime now);
 
-/// Demand of answers already handed out.
+/// Demand of look-up answers still in use, in requests per second.
 using PendingByPool =
     std::map<std::pair<ServiceName, FailureDomainName>, double>;
 
 [[nodiscard]] PendingByPool IndexPending(
     std::span<const PendingDemand> pending);
 
-/// @brief Fills a model's shifts with the rates in force and its pools with
-/// what was measured, what is committed and what may be offered.
+/// @brief Fills a model's shifts with the rates in force, and its pools with
+/// the measured load, the committed demand and the capacity to offer.
 void MeasureService(ServiceModel& model,
                     const PendingByPool& pending,
                     const ShiftPlannerOptions& options,
--- a/lib/libmedlarcroft/source/steering/shift_moves.h
+++ b/lib/libmedlarcroft/source/steering/shift_moves.h
@@ -5,12 +5,12 @@
 
 namespace medlarcroft::steering {
 
-/// @brief Adds to the plan which callers of drained domains look-ups send
-/// elsewhere.
-void PlanMoves(ServiceModel& model,
-               const ShiftPlannerOptions& options,
-               MonotonicTime now,
-               ShiftPlan& plan);
+/// @brief Adds to the plan which callers of drained domains look-ups direct to
+/// other domains.
+void PlanCallerMoves(ServiceModel& model,
+                     const ShiftPlannerOptions& options,
+                     MonotonicTime now,
+                     ShiftPlan& plan);
 
 }  // namespace medlarcroft::steering
 
--- a/lib/libmedlarcroft/source/steering/shift_planner.cc
+++ b/lib/libmedlarcroft/source/steering/shift_planner.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Bounds the work of one step; what is left is moved by the next one.
-constexpr int kMaxMovesPerStep = 4000;
+/// Bounds the work of one planning step; the next step continues with the rest.
+constexpr int kMaxGrowthSteps = 4000;
 
 using Models = std::vector<ServiceModel>;
 
@@ -35,28 +35,28 @@
   }
 }
 
-void CutTo(ServiceModel& model,
-           std::size_t from,
-           std::size_t to,
-           double rate,
-           ShiftBound bound) {
-  ShiftFacts& shift = model.Shift(from, to);
+void CutShift(ServiceModel& model,
+              std::size_t from,
+              std::size_t to,
+              double rate,
+              ShiftBound bound) {
+  ShiftModel& shift = model.Shift(from, to);
   if (rate >= shift.rate) {
     return;
   }
 
-  model.Add(from, to, rate - shift.rate);
+  model.ChangeRate(from, to, rate - shift.rate);
   shift.rule = ShiftRule::kCut;
   shift.bound = bound;
 }
 
-/// Limits that fell below the rates in force cut at once, by the same part for
-/// all senders: each has the same claim.
+/// Cuts rates that exceed a limit at once, by the same factor for all senders,
+/// because all have the same claim.
 void CutToLimits(ServiceModel& model) {
   ForEachLink(model, [&](std::size_t from, std::size_t to) {
-    const ShiftBound obstacle = model.Obstacle(from, to);
-    if (obstacle != ShiftBound::kNone) {
-      CutTo(model, from, to, 0.0, obstacle);
+    const ShiftBound blocking_bound = model.FindBlockingBound(from, to);
+    if (blocking_bound != ShiftBound::kNone) {
+      CutShift(model, from, to, 0.0, blocking_bound);
     }
   });
 
@@ -68,50 +68,50 @@
     return values;
   }();
   ForEachLink(model, [&](std::size_t from, std::size_t to) {
-    const PoolFacts& receiver = model.Pool(to);
+    const PoolModel& receiver = model.Pool(to);
     if (inflows[to] > receiver.spare) {
-      const double part = receiver.spare / inflows[to];
-      CutTo(model, from, to, model.Shift(from, to).rate * part,
-            receiver.spare_bound);
+      const double fraction = receiver.spare / inflows[to];
+      CutShift(model, from, to, model.Shift(from, to).rate * fraction,
+               receiver.spare_bound);
     }
   });
 
   ForEachLink(model, [&](std::size_t from, std::size_t to) {
-    const PoolFacts& source = model.Pool(from);
+    const PoolModel& source = model.Pool(from);
     if (source.is_measured && source.outflow > source.demand) {
-      const double part = source.demand / source.outflow;
-      CutTo(model, from, to, model.Shift(from, to).rate * part,
-            ShiftBound::kSourceDemand);
+      const double fraction = source.demand / source.outflow;
+      CutShift(model, from, to, model.Shift(from, to).rate * fraction,
+               ShiftBound::kSourceDemand);
     }
   });
 }
 
-/// The link's capacity is one for all services.
+/// Cuts rates that exceed a link's capacity, which all services share.
 void CutToLinkCapacity(Models& models, const Topology& topology) {
-  const std::vector<LinkFacts> before = topology.links;
+  const std::vector<LinkModel> before = topology.links;
 
   for (ServiceModel& model : models) {
     ForEachLink(model, [&](std::size_t from, std::size_t to) {
-      const LinkFacts& link = before[topology.At(from, to)];
+      const LinkModel& link = before[topology.PairIndex(from, to)];
       if (link.rate > link.entry->capacity) {
-        const double part = std::max(link.entry->capacity, 0.0) / link.rate;
-        CutTo(model, from, to, model.Shift(from, to).rate * part,
-              ShiftBound::kLinkCapacity);
+        const double fraction = std::max(link.entry->capacity, 0.0) / link.rate;
+        CutShift(model, from, to, model.Shift(from, to).rate * fraction,
+                 ShiftBound::kLinkCapacity);
       }
     });
   }
 }
 
-/// Costs of all domains as a home and as a receiver of one quantum more.
+/// Costs of all domains, as a home and as a receiver of one more step of rate.
 struct Costs {
   explicit Costs(const ServiceModel& model) {
     for (std::size_t domain = 0; domain < model.Size(); ++domain) {
       home.push_back(model.HomeCost(domain, 0.0));
-      receiver.push_back(model.ReceiverCost(domain, model.Quantum()));
+      receiver.push_back(model.ReceiverCost(domain, model.RateStep()));
     }
   }
 
-  /// @return by how much a request is cheaper away than at home.
+  /// @return by how much a request is cheaper at the receiver than at home.
   [[nodiscard]] double GainOf(const ServiceModel& model,
                               std::size_t from,
                               std::size_t to) const {
@@ -122,7 +122,8 @@
   std::vector<double> receiver;
 };
 
-std::optional<Candidate> FindBest(const ServiceModel& model, double margin) {
+std::optional<Candidate> FindBestGrowth(const ServiceModel& model,
+                                        double margin) {
   const Costs costs(model);
   std::optional<Candidate> best;
 
@@ -132,20 +133,20 @@
       return;
     }
 
-    if (model.RoomFor(from, to).rate >= kSmallestRate) {
+    if (model.FindAllowedGrowth(from, to).rate >= kNegligibleRate) {
       best = Candidate{from, to, gain};
     }
   });
   return best;
 }
 
-void Grow(Models& models, double margin) {
+void GrowShifts(Models& models, double margin) {
   std::vector<std::optional<Candidate>> best;
   for (const ServiceModel& model : models) {
-    best.push_back(FindBest(model, margin));
+    best.push_back(FindBestGrowth(model, margin));
   }
 
-  for (int moves = 0; moves < kMaxMovesPerStep; ++moves) {
+  for (int steps = 0; steps < kMaxGrowthSteps; ++steps) {
     const auto winner = std::max_element(
         best.begin(), best.end(), [](const auto& left, const auto& right) {
           return (left ? left->gain : 0.0) < (right ? right->gain : 0.0);
@@ -156,63 +157,67 @@
 
     ServiceModel& model =
         models[static_cast<std::size_t>(winner - best.begin())];
-    const Candidate move = **winner;
+    const Candidate candidate = **winner;
     // Another service may have used the link since the candidate was found.
-    const double room = model.RoomFor(move.from, move.to).rate;
-
-    if (room >= kSmallestRate) {
-      model.Add(move.from, move.to, std::min(room, model.Quantum()));
-      model.Shift(move.from, move.to).rule = model.Domain(move.from).is_drained
-                                                 ? ShiftRule::kDrain
-                                                 : ShiftRule::kGrow;
+    const double allowed =
+        model.FindAllowedGrowth(candidate.from, candidate.to).rate;
+
+    if (allowed >= kNegligibleRate) {
+      model.ChangeRate(candidate.from, candidate.to,
+                       std::min(allowed, model.RateStep()));
+      model.Shift(candidate.from, candidate.to).rule =
+          model.Domain(candidate.from).is_drained ? ShiftRule::kDrain
+                                                  : ShiftRule::kGrow;
     }
 
-    *winner = FindBest(model, margin);
+    *winner = FindBestGrowth(model, margin);
   }
 }
 
-/// @return by how much a request would be cheaper at home, with one quantum
-/// more there, than where it is forwarded to.
+/// @return by how much a request would be cheaper at home, with one more step
+/// of rate there, than where it is forwarded to.
 double ReturnGain(const ServiceModel& model, std::size_t from, std::size_t to) {
   return model.ReceiverCost(to, 0.0) + model.LinkCost(from, to) -
-         model.HomeCost(from, model.Quantum());
+         model.HomeCost(from, model.RateStep());
 }
 
-/// @return whether home has been cheaper for the whole steady time.
-bool IsSteady(ServiceModel& model,
-              std::size_t from,
-              std::size_t to,
-              const ShiftPlannerOptions& options,
-              MonotonicTime now) {
-  ShiftFacts& shift = model.Shift(from, to);
-  std::optional<MonotonicTime>& since = shift.memory->home_cheaper_since;
+/// @return whether home has been cheaper for the whole hold time.
+bool HasReturnHoldPassed(ServiceModel& model,
+                         std::size_t from,
+                         std::size_t to,
+                         const ShiftPlannerOptions& options,
+                         MonotonicTime now) {
+  ShiftModel& shift = model.Shift(from, to);
+  std::optional<MonotonicTime>& cheaper_since = shift.state->home_cheaper_since;
   const bool is_returnable =
       shift.rate > 0.0 && model.Pool(from).is_measured &&
       !model.Domain(from).is_drained &&
       ReturnGain(model, from, to) > options.growth_margin;
 
   if (!is_returnable) {
-    since.reset();
+    cheaper_since.reset();
     return false;
   }
 
-  if (!since) {
-    since = now;
+  if (!cheaper_since) {
+    cheaper_since = now;
   }
-  return now - *since >= options.return_hold_time;
+  return now - *cheaper_since >= options.return_hold_time;
 }
 
-/// Takes back a step of the shift that gains most by it. One shift of a source
-/// at a time: its caches have forgotten these callers, and several links' steps
-/// together would bring it back to where the shifts began.
-void ReturnShifts(ServiceModel& model,
-                  std::size_t from,
-                  const ShiftPlannerOptions& options,
-                  MonotonicTime now) {
+/// Returns one step of the shift that gains most from it. Only one shift of a
+/// source returns at a time: the source's caches no longer hold the data of
+/// these callers, and the steps of several links together would restore the
+/// load at which the shifts began.
+void ReturnBestShift(ServiceModel& model,
+                     std::size_t from,
+                     const ShiftPlannerOptions& options,
+                     MonotonicTime now) {
   std::optional<std::size_t> best;
   for (std::size_t to = 0; to < model.Size(); ++to) {
-    const bool is_candidate = model.Link(from, to).entry != nullptr &&
-                              IsSteady(model, from, to, options, now);
+    const bool is_candidate =
+        model.Link(from, to).entry != nullptr &&
+        HasReturnHoldPassed(model, from, to, options, now);
     if (is_candidate && (!best || ReturnGain(model, from, to) >
                                       ReturnGain(model, from, *best))) {
       best = to;
@@ -224,60 +229,61 @@
   }
 
   const catalogue::LinkEntry& link = *model.Link(from, *best).entry;
-  PoolMemory& memory = *model.Pool(from).memory;
-  const bool is_due = now - memory.last_return >= link.shift_window;
-  if (!is_due || !model.HasReturnRoom(from, link.shift_step)) {
+  PoolState& state = *model.Pool(from).state;
+  const bool is_due = now - state.last_return >= link.shift_window;
+  if (!is_due || !model.HasCapacityToReturn(from, link.shift_step)) {
     return;
   }
 
-  ShiftFacts& shift = model.Shift(from, *best);
-  double left = link.shift_step;
-  while (left > 0.0 && shift.rate > 0.0 &&
+  ShiftModel& shift = model.Shift(from, *best);
+  double remaining = link.shift_step;
+  while (remaining > 0.0 && shift.rate > 0.0 &&
          ReturnGain(model, from, *best) > options.growth_margin) {
-    const double change = std::min({left, shift.rate, model.Quantum()});
-    model.Add(from, *best, -change);
-    left -= change;
+    const double change = std::min({remaining, shift.rate, model.RateStep()});
+    model.ChangeRate(from, *best, -change);
+    remaining -= change;
   }
 
   shift.rule = ShiftRule::kReturn;
-  memory.last_return = now;
+  state.last_return = now;
 }
 
-void Commit(ServiceModel& model,
-            const ShiftPlannerOptions& options,
-            MonotonicTime now) {
+void SaveState(ServiceModel& model,
+               const ShiftPlannerOptions& options,
+               MonotonicTime now) {
   ForEachLink(model, [&](std::size_t from, std::size_t to) {
-    ShiftFacts& shift = model.Shift(from, to);
-    const bool is_nothing = shift.rate < kSmallestRate;
-    if (is_nothing) {
-      model.Add(from, to, -shift.rate);
+    ShiftModel& shift = model.Shift(from, to);
+    const bool is_negligible = shift.rate < kNegligibleRate;
+    if (is_negligible) {
+      model.ChangeRate(from, to, -shift.rate);
     }
-    shift.memory->growth.Set(now, shift.rate,
-                             model.Link(from, to).entry->shift_window);
+    shift.state->growth.Set(now, shift.rate,
+                            model.Link(from, to).entry->shift_window);
   });
 
   for (std::size_t domain = 0; domain < model.Size(); ++domain) {
-    PoolFacts& pool = model.Pool(domain);
-    const bool has_inflow = pool.inflow >= kSmallestRate;
+    PoolModel& pool = model.Pool(domain);
+    const bool has_inflow = pool.inflow >= kNegligibleRate;
     const bool is_used = pool.inflow >= 0.5 * pool.spare;
-    pool.memory->warm_up.Observe(now, has_inflow, is_used, options.warm_up);
-    pool.memory->inflow_peak.Observe(pool.inflow, now, options.stale_age);
+    pool.state->warm_up.Observe(now, has_inflow, is_used, options.warm_up);
+    pool.state->inflow_peak.Observe(pool.inflow, now, options.stale_age);
   }
 }
 
-/// Growth that was worth it and did not happen names the limit that stood in
-/// its way.
-void Explain(ServiceModel& model, double margin, ShiftPlan& plan) {
+/// Adds the shifts to the plan. Where growth was worthwhile but did not happen,
+/// names the limit that prevented it.
+void AddShiftsToPlan(ServiceModel& model, double margin, ShiftPlan& plan) {
   const Costs costs(model);
   ForEachLink(model, [&](std::size_t from, std::size_t to) {
-    ShiftFacts& shift = model.Shift(from, to);
-    const PoolFacts& source = model.Pool(from);
-    const bool is_wanted = source.demand - source.outflow > kSmallestRate &&
+    ShiftModel& shift = model.Shift(from, to);
+    const PoolModel& source = model.Pool(from);
+    const bool is_wanted = source.demand - source.outflow > kNegligibleRate &&
                            costs.GainOf(model, from, to) > margin;
 
     if (is_wanted && shift.bound == ShiftBound::kNone) {
-      const Room room = model.RoomFor(from, to);
-      shift.bound = room.rate < kSmallestRate ? room.bound : ShiftBound::kNone;
+      const AllowedGrowth allowed = model.FindAllowedGrowth(from, to);
+      shift.bound =
+          allowed.rate < kNegligibleRate ? allowed.bound : ShiftBound::kNone;
     }
 
     if (shift.rate <= 0.0 && shift.bound == ShiftBound::kNone) {
@@ -296,7 +302,7 @@
          .why = {.rule = shift.rule,
                  .bound = shift.bound,
                  .source_demand = source.demand,
-                 .source_capacity = source.pool.Capacity(),
+                 .source_capacity = source.servers.Capacity(),
                  .source_cost = costs.home[from],
                  .receiver_spare = model.Pool(to).spare,
                  .receiver_cost = costs.receiver[to] + model.LinkCost(from, to),
@@ -332,20 +338,20 @@
 
   for (ServiceModel& model : models) {
     for (std::size_t from = 0; from < model.Size(); ++from) {
-      ReturnShifts(model, from, options_, now);
+      ReturnBestShift(model, from, options_, now);
     }
   }
 
-  Grow(models, options_.growth_margin);
+  GrowShifts(models, options_.growth_margin);
 
   ShiftPlan plan{.catalogue_revision = inputs.catalogue->Revision()};
   for (ServiceModel& model : models) {
-    Commit(model, options_, now);
-    Explain(model, options_.growth_margin, plan);
-    PlanMoves(model, options_, now, plan);
+    SaveState(model, options_, now);
+    AddShiftsToPlan(model, options_.growth_margin, plan);
+    PlanCallerMoves(model, options_, now, plan);
   }
 
-  for (LinkFacts& link : topology.links) {
+  for (LinkModel& link : topology.links) {
     if (link.entry != nullptr) {
       link.growth->Set(now, link.rate, link.entry->shift_window);
     }
--- a/lib/libmedlarcroft/source/steering/shift_state.cc
+++ b/lib/libmedlarcroft/source/steering/shift_state.cc
@@ -10,8 +10,9 @@
 
 constexpr std::size_t kNone = static_cast<std::size_t>(-1);
 
-/// @return for each new index the old one, or kNone.
-std::vector<std::size_t> OldIndices(const Names& before, const Names& after) {
+/// @return the old index for each new one, or kNone.
+std::vector<std::size_t> MapToOldIndices(const Names& before,
+                                         const Names& after) {
   std::vector<std::size_t> indices;
   for (const FailureDomainName& name : after) {
     const auto found = std::find(before.begin(), before.end(), name);
@@ -23,20 +24,21 @@
 }
 
 template <typename Item>
-void MoveItems(std::vector<Item>& items,
-               const std::vector<std::size_t>& old_indices) {
-  std::vector<Item> moved(old_indices.size());
-  for (std::size_t index = 0; index < moved.size(); ++index) {
+void RemapItems(std::vector<Item>& items,
+                const std::vector<std::size_t>& old_indices) {
+  std::vector<Item> remapped(old_indices.size());
+  for (std::size_t index = 0; index < remapped.size(); ++index) {
     if (old_indices[index] < items.size()) {
-      moved[index] = std::move(items[old_indices[index]]);
+      remapped[index] = std::move(items[old_indices[index]]);
     }
   }
-  items = std::move(moved);
+  items = std::move(remapped);
 }
 
-/// @return the same for pairs of domains.
-std::vector<std::size_t> PairIndices(const std::vector<std::size_t>& indices,
-                                     std::size_t old_size) {
+/// @return the old index for each new pair of domains, or kNone.
+std::vector<std::size_t> MapPairsToOldIndices(
+    const std::vector<std::size_t>& indices,
+    std::size_t old_size) {
   std::vector<std::size_t> pairs;
   for (const std::size_t from : indices) {
     for (const std::size_t to : indices) {
@@ -49,7 +51,8 @@
 
 }  // namespace
 
-void ShiftPlanner::State::Align(const catalogue::CatalogueView& catalogue) {
+void ShiftPlanner::State::SyncWithCatalogue(
+    const catalogue::CatalogueView& catalogue) {
   Names names;
   for (const catalogue::FailureDomainEntry* entry :
        catalogue.FailureDomains()) {
@@ -57,13 +60,13 @@
   }
 
   if (names != domains) {
-    const auto indices = OldIndices(domains, names);
-    const auto pairs = PairIndices(indices, domains.size());
-    MoveItems(links, pairs);
-    for (auto& [service, memory] : services) {
-      MoveItems(memory.shifts, pairs);
-      MoveItems(memory.pools, indices);
-      MoveItems(memory.moves, indices);
+    const auto indices = MapToOldIndices(domains, names);
+    const auto pairs = MapPairsToOldIndices(indices, domains.size());
+    RemapItems(links, pairs);
+    for (auto& [service, state] : services) {
+      RemapItems(state.shifts, pairs);
+      RemapItems(state.pools, indices);
+      RemapItems(state.moves, indices);
     }
     domains = std::move(names);
   }
@@ -73,10 +76,10 @@
   });
 
   for (const catalogue::ServiceEntry* service : catalogue.Services()) {
-    ServiceMemory& memory = services[service->service];
-    memory.shifts.resize(domains.size() * domains.size());
-    memory.pools.resize(domains.size());
-    memory.moves.resize(domains.size());
+    ServiceState& state = services[service->service];
+    state.shifts.resize(domains.size() * domains.size());
+    state.pools.resize(domains.size());
+    state.moves.resize(domains.size());
   }
 }
 
--- a/lib/libmedlarcroft/source/steering/weighted_sampler.cc
+++ b/lib/libmedlarcroft/source/steering/weighted_sampler.cc
@@ -6,46 +6,47 @@
 
 namespace {
 
-/// Draws until an index turns up that was not drawn yet.
-constexpr int kMaxTries = 16;
+/// Maximum number of attempts to find an index that has not been sampled yet.
+constexpr int kMaxAttempts = 16;
 
 }  // namespace
 
-bool WeightedDraw::IsDrawn(std::size_t index) const {
-  return std::find(drawn_.begin(), drawn_.end(), index) != drawn_.end();
+bool WeightedSampler::IsSampled(std::size_t index) const {
+  return std::find(sampled_.begin(), sampled_.end(), index) != sampled_.end();
 }
 
-std::size_t WeightedDraw::DrawOne(std::span<const double> running_weights) {
-  // To draw again when an index was drawn already is the same as a draw among
-  // the rest. The tries are bounded for the sake of a weight that leaves nearly
-  // nothing to the others.
-  for (int tries = 0; tries < kMaxTries; ++tries) {
-    const double point = random_->NextUnit() * running_weights.back();
-    const auto found =
-        std::upper_bound(running_weights.begin(), running_weights.end(), point);
+std::size_t WeightedSampler::SampleOne(
+    std::span<const double> cumulative_weights) {
+  // Sampling again after a duplicate is equivalent to sampling among the
+  // remaining indices. The attempts are bounded because one weight may leave
+  // almost nothing to the others.
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
+    const double point = random_->NextUnit() * cumulative_weights.back();
+    const auto found = std::upper_bound(cumulative_weights.begin(),
+                                        cumulative_weights.end(), point);
     const auto index =
-        std::min(static_cast<std::size_t>(found - running_weights.begin()),
-                 running_weights.size() - 1);
-    if (!IsDrawn(index)) {
+        std::min(static_cast<std::size_t>(found - cumulative_weights.begin()),
+                 cumulative_weights.size() - 1);
+    if (!IsSampled(index)) {
       return index;
     }
   }
 
   std::size_t index = 0;
-  while (IsDrawn(index)) {
+  while (IsSampled(index)) {
     ++index;
   }
   return index;
 }
 
-std::span<const std::size_t> WeightedDraw::Draw(
-    std::span<const double> running_weights,
+std::span<const std::size_t> WeightedSampler::Sample(
+    std::span<const double> cumulative_weights,
     std::size_t count) {
-  drawn_.clear();
-  while (drawn_.size() < count) {
-    drawn_.push_back(DrawOne(running_weights));
+  sampled_.clear();
+  while (sampled_.size() < count) {
+    sampled_.push_back(SampleOne(cumulative_weights));
   }
-  return drawn_;
+  return sampled_;
 }
 
 }  // namespace medlarcroft::steering
--- a/tests/unit/steering/block_map_codec_test.cc
+++ b/tests/unit/steering/block_map_codec_test.cc
@@ -38,8 +38,9 @@
   return {AddressFamily::kIpv4, bits};
 }
 
-/// Damage must get past the checksum to reach the check that is tested.
-void Reseal(std::string& object) {
+/// Recomputes the checksum, so that a damaged object reaches the check under
+/// test.
+void UpdateChecksum(std::string& object) {
   object.resize(object.size() - 8);
   const std::uint64_t checksum = XXH3_64bits(object.data(), object.size());
   for (unsigned byte = 0; byte < 8; ++byte) {
@@ -54,17 +55,17 @@
   const std::size_t at = object.find(old_text);
   ASSERT_NE(at, std::string::npos);
   object.replace(at, old_text.size(), new_text);
-  Reseal(object);
+  UpdateChecksum(object);
 }
 
-TEST(BlockMapCodec, FindsTheLongestBlockOfEachAddress) {
+TEST(BlockMapCodec, FindsLongestMatchingBlockOfAddress) {
   const BlockMap map = SmallMap();
 
   EXPECT_EQ(map.Version(), 5U);
   EXPECT_EQ(map.FindSite(Ipv4(0x0A000001)), SiteId{0});
   EXPECT_EQ(map.FindSite(Ipv4(0x0A0101FF)), SiteId{1});
   EXPECT_EQ(map.FindSite(Ipv4(0x0A010201)), SiteId{0});
-  EXPECT_EQ(map.FindSite(Ipv4(0x0A010300)), SiteId{1});  // Taken up again.
+  EXPECT_EQ(map.FindSite(Ipv4(0x0A010300)), SiteId{1});  // Resumed prefix.
   EXPECT_EQ(map.FindSite(Ipv4(0x0A020000)), SiteId{0});
   EXPECT_EQ(map.FindSite(Ipv4(0x0B000000)), std::nullopt);
   EXPECT_EQ(map.FindSite({AddressFamily::kIpv6, 0x2001'0DB8'1234'5678}),
@@ -72,23 +73,24 @@
   EXPECT_EQ(map.FindDomains(Ipv4(0x0A0101FF)).size(), 2U);
 }
 
-TEST(BlockMapCodec, AMappedIpv4AddressIsIpv4) {
+TEST(BlockMapCodec, TreatsMappedIpv4AddressAsIpv4) {
   const std::array<std::uint8_t, 16> mapped = {0, 0, 0,    0,    0,  0, 0, 0,
                                                0, 0, 0xFF, 0xFF, 10, 1, 2, 3};
   EXPECT_EQ(ClientAddress::FromIpv6(mapped), Ipv4(0x0A010203));
 }
 
-struct DamageCase {
+struct InvalidObjectCase {
   const char* name;
-  std::function<void(std::string&)> damage;
+  std::function<void(std::string&)> make_invalid;
   BlockMapError error;
 };
 
-class DamagedObject : public ::testing::TestWithParam<DamageCase> {};
+class InvalidBlockMapObject
+    : public ::testing::TestWithParam<InvalidObjectCase> {};
 
-TEST_P(DamagedObject, IsRefusedByType) {
+TEST_P(InvalidBlockMapObject, IsRejectedWithItsError) {
   std::string object = EncodeBlockMap(SmallContent());
-  GetParam().damage(object);
+  GetParam().make_invalid(object);
 
   const auto result = DecodeBlockMap(object);
 
@@ -106,98 +108,106 @@
 using enum BlockMapError;
 
 INSTANTIATE_TEST_SUITE_P(
-    Damages,
-    DamagedObject,
+    InvalidObjects,
+    InvalidBlockMapObject,
     ::testing::Values(
-        DamageCase{"Empty", [](auto& object) { object.clear(); }, kTruncated},
-        DamageCase{"Huge",
-                   [](auto& object) { object.resize(kMaxBlockMapBytes + 1); },
-                   kTooLarge},
-        DamageCase{"Magic", [](auto& object) { object[0] = 'X'; }, kWrongMagic},
-        DamageCase{"FlippedBit", [](auto& object) { object[40] ^= 1; },
-                   kWrongChecksum},
-        DamageCase{"CutShort",
-                   [](auto& object) {
-                     object.erase(object.size() - 20, 11);
-                     Reseal(object);
-                   },
-                   kTruncated},
-        DamageCase{"HeaderLength",
-                   [](auto& object) {
-                     object[10] = '\x7F';
-                     Reseal(object);
-                   },
-                   kMalformedHeader},
-        DamageCase{"HeaderBeyondEnd",
-                   [](auto& object) {
-                     object[9] = '\x70';
-                     Reseal(object);
-                   },
-                   kTruncated},
-        DamageCase{
+        InvalidObjectCase{"Empty", [](auto& object) { object.clear(); },
+                          kTruncated},
+        InvalidObjectCase{
+            "Huge", [](auto& object) { object.resize(kMaxBlockMapBytes + 1); },
+            kTooLarge},
+        InvalidObjectCase{"Magic", [](auto& object) { object[0] = 'X'; },
+                          kWrongMagic},
+        InvalidObjectCase{"FlippedBit", [](auto& object) { object[40] ^= 1; },
+                          kWrongChecksum},
+        InvalidObjectCase{"CutShort",
+                          [](auto& object) {
+                            object.erase(object.size() - 20, 11);
+                            UpdateChecksum(object);
+                          },
+                          kTruncated},
+        InvalidObjectCase{"HeaderLength",
+                          [](auto& object) {
+                            object[10] = '\x7F';
+                            UpdateChecksum(object);
+                          },
+                          kMalformedHeader},
+        InvalidObjectCase{"HeaderBeyondEnd",
+                          [](auto& object) {
+                            object[9] = '\x70';
+                            UpdateChecksum(object);
+                          },
+                          kTruncated},
+        InvalidObjectCase{
             "HeaderJson",
             [](auto& object) { ReplaceInHeader(object, "{\"d", "[\"d"); },
             kMalformedHeader},
-        DamageCase{"NoVersion",
-                   [](auto& object) {
-                     ReplaceInHeader(object, "\"version\"", "\"versiom\"");
-                   },
-                   kMalformedHeader},
-        DamageCase{"CountTooHigh",
-                   [](auto& object) {
-                     ReplaceInHeader(object, "\"ipv4\":3", "\"ipv4\":9");
-                   },
-                   kTruncated},
-        DamageCase{"CountTooLow",
-                   [](auto& object) {
-                     ReplaceInHeader(object, "\"ipv4\":3", "\"ipv4\":2");
-                   },
-                   kTrailingBytes},
-        DamageCase{
+        InvalidObjectCase{"NoVersion",
+                          [](auto& object) {
+                            ReplaceInHeader(object, "\"version\"",
+                                            "\"versiom\"");
+                          },
+                          kMalformedHeader},
+        InvalidObjectCase{"CountTooHigh",
+                          [](auto& object) {
+                            ReplaceInHeader(object, "\"ipv4\":3", "\"ipv4\":9");
+                          },
+                          kTruncated},
+        InvalidObjectCase{"CountTooLow",
+                          [](auto& object) {
+                            ReplaceInHeader(object, "\"ipv4\":3", "\"ipv4\":2");
+                          },
+                          kTrailingBytes},
+        InvalidObjectCase{
             "UnknownDomain",
             [](auto& object) { ReplaceInHeader(object, "[1,2]", "[1,9]"); },
             kUnknownDomain},
-        DamageCase{"UnknownSite",
-                   [](auto& object) {
-                     Encode(object, [](auto& map) { map.ipv4[0].value = 2; });
-                   },
-                   kUnknownSite},
-        DamageCase{"TooManySites",
-                   [](auto& object) {
-                     Encode(object,
-                            [](auto& map) { map.sites.resize(kMaxSites + 1); });
-                   },
-                   kTooManySites},
-        DamageCase{"HostBits",
-                   [](auto& object) {
-                     Encode(object, [](auto& map) { map.ipv4[0].start |= 1U; });
-                   },
-                   kMalformedBlock},
-        DamageCase{"LengthOutOfRange",
-                   [](auto& object) {
-                     Encode(object, [](auto& map) { map.ipv4[2].length = 33; });
-                   },
-                   kMalformedBlock},
-        DamageCase{"OutOfOrder",
-                   [](auto& object) {
-                     Encode(object, [](auto& map) {
-                       std::swap(map.ipv4[0], map.ipv4[2]);
-                     });
-                   },
-                   kMalformedBlock},
-        DamageCase{"Twice",
-                   [](auto& object) {
-                     Encode(object,
-                            [](auto& map) { map.ipv4[1] = map.ipv4[0]; });
-                   },
-                   kMalformedBlock},
-        DamageCase{
+        InvalidObjectCase{"UnknownSite",
+                          [](auto& object) {
+                            Encode(object,
+                                   [](auto& map) { map.ipv4[0].value = 2; });
+                          },
+                          kUnknownSite},
+        InvalidObjectCase{"TooManySites",
+                          [](auto& object) {
+                            Encode(object, [](auto& map) {
+                              map.sites.resize(kMaxSites + 1);
+                            });
+                          },
+                          kTooManySites},
+        InvalidObjectCase{"HostBits",
+                          [](auto& object) {
+                            Encode(object,
+                                   [](auto& map) { map.ipv4[0].start |= 1U; });
+                          },
+                          kMalformedBlock},
+        InvalidObjectCase{"LengthOutOfRange",
+                          [](auto& object) {
+                            Encode(object,
+                                   [](auto& map) { map.ipv4[2].length = 33; });
+                          },
+                          kMalformedBlock},
+        InvalidObjectCase{"OutOfOrder",
+                          [](auto& object) {
+                            Encode(object, [](auto& map) {
+                              std::swap(map.ipv4[0], map.ipv4[2]);
+                            });
+                          },
+                          kMalformedBlock},
+        InvalidObjectCase{"Duplicate",
+                          [](auto& object) {
+                            Encode(object, [](auto& map) {
+                              map.ipv4[1] = map.ipv4[0];
+                            });
+                          },
+                          kMalformedBlock},
+        InvalidObjectCase{
             "ADelta",
             [](auto& object) { object = EncodeBlockMapDelta(ChangesTo(6), 5); },
             kNotFull}),
     [](const auto& info) { return info.param.name; });
 
-TEST(BlockMapCodec, ADeltaAddsChangesAndRemoves) {
+TEST(BlockMapCodec, DeltaAddsChangesAndRemovesBlocks) {
   BlockMapContent changes = ChangesTo(6);
   changes.ipv4 = {
       {0x0A000000, 8, kRemovedBlock}, {0x0A010000, 16, 0}, {0x0B000000, 8, 1}};
@@ -215,7 +225,7 @@
   EXPECT_EQ(map.Ipv6().Size(), 1U);
 }
 
-struct SuccessionCase {
+struct RejectedDeltaCase {
   const char* name;
   std::uint64_t base;
   std::uint64_t version;
@@ -223,9 +233,9 @@
   BlockMapError error;
 };
 
-class RefusedDelta : public ::testing::TestWithParam<SuccessionCase> {};
+class RejectedDelta : public ::testing::TestWithParam<RejectedDeltaCase> {};
 
-TEST_P(RefusedDelta, LeavesTheBaseInUse) {
+TEST_P(RejectedDelta, ReturnsTheError) {
   BlockMapContent changes = ChangesTo(GetParam().version);
   changes.ipv4 = GetParam().ipv4;
 
@@ -238,27 +248,31 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Deltas,
-    RefusedDelta,
-    ::testing::Values(
-        SuccessionCase{"OtherBase", 4, 6, {}, kWrongBase},
-        SuccessionCase{"Backwards", 5, 5, {}, kNotNewer},
-        SuccessionCase{"RemovesNothing",
-                       5,
-                       6,
-                       {{0x0C000000, 8, kRemovedBlock}},
-                       kUnknownBlock},
-        SuccessionCase{"UnknownSite", 5, 6, {{0x0C000000, 8, 7}}, kUnknownSite},
-        SuccessionCase{"OutOfOrder",
-                       5,
-                       6,
-                       {{0x0C000000, 8, 1}, {0x0B000000, 8, 1}},
-                       kMalformedBlock}),
+    RejectedDelta,
+    ::testing::Values(RejectedDeltaCase{"OtherBase", 4, 6, {}, kWrongBase},
+                      RejectedDeltaCase{"SameVersion", 5, 5, {}, kNotNewer},
+                      RejectedDeltaCase{"RemovesUnknownBlock",
+                                        5,
+                                        6,
+                                        {{0x0C000000, 8, kRemovedBlock}},
+                                        kUnknownBlock},
+                      RejectedDeltaCase{"UnknownSite",
+                                        5,
+                                        6,
+                                        {{0x0C000000, 8, 7}},
+                                        kUnknownSite},
+                      RejectedDeltaCase{
+                          "OutOfOrder",
+                          5,
+                          6,
+                          {{0x0C000000, 8, 1}, {0x0B000000, 8, 1}},
+                          kMalformedBlock}),
     [](const auto& info) { return info.param.name; });
 
 // A stale read of the head row names version 5 while version 6 is in use, or
-// two fetches finish in the wrong order. Callers must not be steered by the old
-// map again.
-TEST(BlockMapHolder, NeverGoesBack) {
+// two fetches finish in the wrong order. Callers must not be steered by the
+// older map again.
+TEST(BlockMapHolder, NeverReplacesNewerMapByOlder) {
   BlockMapHolder holder;
   EXPECT_TRUE(IsOk(holder.Adopt(BlockMap(6, {}, {}, {}))));
 
@@ -269,9 +283,9 @@
   EXPECT_EQ(holder.Current()->Version(), 6U);
 }
 
-// A drain entry appears. If look-ups skipped the domain at once, all of its
-// callers would land on the next one within a TTL.
-TEST(BlockMap, NearestIsTheFirstThatTheCatalogueKnowsAlsoWhileDrained) {
+// If look-ups skipped a domain as soon as it is drained, all of its callers
+// would move to the next domain within one TTL.
+TEST(BlockMap, FindNearestReturnsFirstKnownDomainEvenIfDrained) {
   const BlockMap map = SmallMap();
   const auto nearest = [&](const fixture::CatalogueBuilder& builder) {
     return map.FindNearest(Ipv4(0x0A010001), *builder.Build());
--- a/tests/unit/steering/lookup_demand_tracker_test.cc
+++ b/tests/unit/steering/lookup_demand_tracker_test.cc
@@ -16,26 +16,26 @@
 struct ExpiryCase {
   const char* name;
   double ttl;
-  double asked_after;
+  double seconds_later;
   double pending;
 };
 
-class HandedOutExpiry : public ::testing::TestWithParam<ExpiryCase> {};
+class LookupDemandExpiry : public ::testing::TestWithParam<ExpiryCase> {};
 
-TEST_P(HandedOutExpiry, CountsUntilTheTtlEnds) {
+TEST_P(LookupDemandExpiry, CountsAnswerUntilTtlExpires) {
   const ExpiryCase& parameters = GetParam();
   LookupDemandTracker demand;
 
   demand.Record(kSlotboard, kOviedo, 2.5, FromSeconds(parameters.ttl), kStart);
 
-  EXPECT_EQ(demand.Pending(kSlotboard, kOviedo, At(parameters.asked_after)),
+  EXPECT_EQ(demand.Pending(kSlotboard, kOviedo, At(parameters.seconds_later)),
             parameters.pending);
 }
 
-// Answers drop at most one bucket, 2.2 s, late and never early.
+// Answers are dropped at most one bucket (2.2 s) late and never early.
 INSTANTIATE_TEST_SUITE_P(
     Times,
-    HandedOutExpiry,
+    LookupDemandExpiry,
     ::testing::Values(ExpiryCase{"AtOnce", 5, 0, 2.5},
                       ExpiryCase{"JustBefore", 5, 4.99, 2.5},
                       ExpiryCase{"OneBucketAfter", 5, 7.2, 0},
@@ -45,18 +45,18 @@
                       ExpiryCase{"NegativeIsZero", -5, 2.2, 0}),
     [](const auto& info) { return info.param.name; });
 
-TEST(LookupDemandTracker, MemoryIsBoundedAndWhatIsLeftOutIsCounted) {
+TEST(LookupDemandTracker, BoundsSeriesAndCountsDroppedAnswers) {
   LookupDemandTracker demand({.max_series = 2});
   for (const char* name : {"a", "b", "c"}) {
     demand.Record(ServiceName(name), kOviedo, 1.0, FromSeconds(5), kStart);
   }
 
-  EXPECT_EQ(demand.Uncounted(), 1U);
+  EXPECT_EQ(demand.DroppedCount(), 1U);
   EXPECT_EQ(demand.All(kStart).size(), 2U);
 
-  // Expired pairs make room.
+  // Expired pairs are dropped to make room.
   demand.Record(ServiceName("c"), kOviedo, 1.0, FromSeconds(5), At(60));
-  EXPECT_EQ(demand.Uncounted(), 1U);
+  EXPECT_EQ(demand.DroppedCount(), 1U);
   EXPECT_EQ(demand.Pending(ServiceName("c"), kOviedo, At(60)), 1.0);
 }
 
--- a/tests/unit/steering/lookup_planner_test.cc
+++ b/tests/unit/steering/lookup_planner_test.cc
@@ -58,7 +58,7 @@
     return TakeValue(std::move(result));
   }
 
-  /// @return how often each host came first in 1,000 answers.
+  /// @return how often each host is listed first in 1,000 answers.
   std::map<std::string, int> CountFirst() {
     std::map<std::string, int> counts;
     for (int round = 0; round < 1000; ++round) {
@@ -80,10 +80,10 @@
   bool is_last;
 };
 
-class HostStates : public LookupPlannerTest,
-                   public ::testing::WithParamInterface<HostCase> {};
+class EntryHostStateTest : public LookupPlannerTest,
+                           public ::testing::WithParamInterface<HostCase> {};
 
-TEST_P(HostStates, DecideWhetherAndWhereItIsListed) {
+TEST_P(EntryHostStateTest, DecidesWhetherAndWhereHostIsListed) {
   const HostCase& state = GetParam();
   Update({MakeHost("good", kNyarugenge),
           MakeHost("other", kNyarugenge, state.phase, state.liveness)});
@@ -105,28 +105,29 @@
 
 INSTANTIATE_TEST_SUITE_P(
     States,
-    HostStates,
+    EntryHostStateTest,
     ::testing::Values(HostCase{"Ready", kReady, kAlive, true, false},
                       HostCase{"Suspect", kReady, kSuspect, true, true},
                       HostCase{"Unknown", kReady, kUnknown, true, true},
                       HostCase{"Starting", kStarting, kAlive, true, true},
                       HostCase{"Leaving", kLeaving, kAlive, false, false},
-                      HostCase{"LeavingUnheard", kLeaving, kUnknown, false,
+                      HostCase{"LeavingUnknown", kLeaving, kUnknown, false,
                                false},
                       HostCase{"Dead", kReady, kDead, false, false}),
     [](const auto& info) { return info.param.name; });
 
-TEST_F(LookupPlannerTest, AnOperatorsDrainLeavesAHostOutAtOnce) {
+TEST_F(LookupPlannerTest, OmitsHostDrainedByOperator) {
   Update({MakeHost("a", kNyarugenge), MakeHost("b", kNyarugenge)},
          Deployment().AddDrain(DrainSubject::kHost, "b").Build());
 
   EXPECT_EQ(Answer().entry_hosts.size(), 1U);
 }
 
-// A caller in a domain that is cut off from everything asks the only host that
-// it reaches. That host has heard nobody yet. No answer would leave the caller
-// without service although the hosts may well be up, so all are listed.
-TEST_F(LookupPlannerTest, AnswersTheOwnDomainWhenEverythingIsUnknown) {
+// A caller in an isolated domain asks the only host that it can reach, which
+// has received no state of any other host yet. No answer would leave the caller
+// without service although the hosts may be up, so the hosts of the domain are
+// listed.
+TEST_F(LookupPlannerTest, ListsOwnDomainWhenAllHostsAreUnknown) {
   Update({MakeHost("a", kNyarugenge, kStarting, kUnknown),
           MakeHost("b", kKicukiro, kStarting, kUnknown)});
 
@@ -138,9 +139,9 @@
   EXPECT_GT(answer.entry_hosts[0].weight, 0.0);
 }
 
-// After a restart one host of four is idle while the others are full. If it
-// took all callers of the next seconds, they would queue at it together.
-TEST_F(LookupPlannerTest, AFreshHostGetsAtMostFourTimesAFullOne) {
+// After a restart, one host of four is idle while the others are full. If it
+// received all callers of the next seconds, they would queue there together.
+TEST_F(LookupPlannerTest, IdleHostGetsAtMostFourTimesTheCallersOfFullHost) {
   Update({MakeHost("idle", kNyarugenge),
           MakeHost("full-1", kNyarugenge, kReady, kAlive, 10.0),
           MakeHost("full-2", kNyarugenge, kReady, kAlive, 10.0),
@@ -152,7 +153,7 @@
   EXPECT_NEAR(counts["full-1"], 1000.0 / 7, 45);
 }
 
-TEST_F(LookupPlannerTest, TheListIsBoundedAndWeightsSumToOne) {
+TEST_F(LookupPlannerTest, BoundsHostListAndNormalisesWeights) {
   std::vector<EntryHost> hosts;
   for (int index = 0; index < 52; ++index) {
     hosts.push_back(MakeHost("home-" + std::to_string(index), kNyarugenge));
@@ -171,7 +172,7 @@
   EXPECT_EQ(answer.entry_hosts.back().failure_domain, kKicukiro);
 }
 
-TEST_F(LookupPlannerTest, TheTtlIsJitteredBelowTheServices) {
+TEST_F(LookupPlannerTest, JittersTtlBelowServiceTtl) {
   Update({MakeHost("a", kNyarugenge)});
   Duration least = Duration::max();
   Duration most = Duration::zero();
@@ -187,10 +188,10 @@
   EXPECT_GT(most - least, std::chrono::seconds(1));
 }
 
-// The whole home domain dies and comes back with empty caches. Callers go to
-// the sibling at once; when the domain is back, they return over a minute
-// rather than all within one TTL.
-TEST_F(LookupPlannerTest, CallersReturnToALostDomainInSteps) {
+// The home domain fails completely and returns with empty caches. Callers go to
+// the sibling domain immediately, and return over a minute rather than all
+// within one TTL.
+TEST_F(LookupPlannerTest, CallersReturnGraduallyToRecoveredDomain) {
   const EntryHost sibling = MakeHost("sibling", kKicukiro);
   Update({MakeHost("home", kNyarugenge), sibling});
   EXPECT_EQ(Answer().rule, LookupRule::kHome);
@@ -207,7 +208,7 @@
   EXPECT_EQ(CountFirst()["home"], 1000);
 }
 
-TEST_F(LookupPlannerTest, CallersOfADrainedDomainMoveByThePlansPart) {
+TEST_F(LookupPlannerTest, MovesPlannedFractionOfDrainedDomainsCallers) {
   ShiftPlan plan;
   plan.moves.push_back({kLookupDesk, kNyarugenge, kKicukiro, 0.3});
   Update({MakeHost("home", kNyarugenge), MakeHost("sibling", kKicukiro)},
@@ -216,7 +217,7 @@
   EXPECT_NEAR(CountFirst()["sibling"], 300, 45);
 }
 
-TEST_F(LookupPlannerTest, RefusesWhatItDoesNotKnowByType) {
+TEST_F(LookupPlannerTest, RejectsUnknownServiceAndBrandWithError) {
   auto builder = Deployment();
   builder.Add(
       catalogue::ServiceEntry{.service = ServiceName("private"),
--- a/tests/unit/steering/shift_admission_test.cc
+++ b/tests/unit/steering/shift_admission_test.cc
@@ -13,9 +13,9 @@
   std::optional<ShiftAdmissionRefusal> refusal;
 };
 
-class AdmitShiftedTest : public ::testing::TestWithParam<AdmissionCase> {};
+class AdmitForwardedTest : public ::testing::TestWithParam<AdmissionCase> {};
 
-TEST_P(AdmitShiftedTest, KeepsTheReserveForTheDomainsOwnCallers) {
+TEST_P(AdmitForwardedTest, KeepsReserveForDomainsOwnCallers) {
   const auto result = AdmitForwarded(GetParam().state);
 
   ASSERT_EQ(IsOk(result), !GetParam().refusal.has_value());
@@ -28,7 +28,7 @@
 
 INSTANTIATE_TEST_SUITE_P(
     States,
-    AdmitShiftedTest,
+    AdmitForwardedTest,
     ::testing::Values(
         AdmissionCase{"Free", {10, 0, 0, 0.2, false}, std::nullopt},
         AdmissionCase{"LastOpenSlot", {10, 7, 0, 0.2, false}, std::nullopt},
--- a/tests/unit/steering/shift_limiter_test.cc
+++ b/tests/unit/steering/shift_limiter_test.cc
@@ -14,13 +14,13 @@
 const ServiceName kLookupDesk("lookup-desk");
 const FailureDomainName kTumba("hy-tumba");
 
-class CapOfASecond : public ::testing::TestWithParam<double> {};
+class LinkLimitTest : public ::testing::TestWithParam<double> {};
 
-// A burst of callers arrives while the plan says "forward a tenth". Tokens
-// saved up while it was quiet would let the burst through on top of the refill,
-// and the link's second would carry more than its cap.
-TEST_P(CapOfASecond, IsNeverPassedInAnySecondWhateverTheBursts) {
-  const double cap = GetParam();
+// A burst of callers arrives while the plan forwards a tenth of them. If tokens
+// saved up in a quiet time let the burst through in addition to the refill, the
+// link would carry more than its limit within one second.
+TEST_P(LinkLimitTest, IsNotExceededInAnySecondDespiteBursts) {
+  const double limit = GetParam();
   fakes::ManualClock clock;
   fakes::SeededRandom random(11);
   ShiftLimiter limiter(clock);
@@ -30,7 +30,7 @@
 
   for (int round = 0; round < 60000; ++round) {
     if (round % 500 == 0) {
-      limiter.Update(std::vector<LinkAllowance>{{kTumba, cap}},
+      limiter.Update(std::vector<LinkAllowance>{{kTumba, limit}},
                      std::vector<ShiftAllowance>{{kLookupDesk, kTumba, 1e9}});
     }
 
@@ -52,16 +52,16 @@
     peak = std::max(peak, last_second.size());
   }
 
-  EXPECT_LE(static_cast<double>(peak), std::max(std::floor(cap), 1.0));
+  EXPECT_LE(static_cast<double>(peak), std::max(std::floor(limit), 1.0));
   EXPECT_GT(total, 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Caps,
-    CapOfASecond,
+    Limits,
+    LinkLimitTest,
     ::testing::Values(0.25, 1.0, 1.9, 2.0, 3.3, 10.0, 100.0, 1000.0));
 
-TEST(ShiftLimiter, NamesTheLimitThatRefused) {
+TEST(ShiftLimiter, ReportsLimitThatRefused) {
   fakes::ManualClock clock;
   ShiftLimiter limiter(clock);
   const auto refusal = [&] {
@@ -85,29 +85,30 @@
   EXPECT_EQ(refusal(), ShiftRefusal::kNotPlanned);
 }
 
-// The receiver has lost its targets but the plan does not know yet. Each
-// refusal in a row doubles the pause, so its callers stop paying round trips.
-TEST(ShiftLimiter, PausesLongerWithEachRefusalInARow) {
+// The receiver has lost its targets, but the plan does not know yet. Each
+// consecutive refusal doubles the pause, so that callers stop paying for round
+// trips.
+TEST(ShiftLimiter, PauseDoublesWithConsecutiveRefusals) {
   fakes::ManualClock clock;
   ShiftLimiter limiter(clock);
   limiter.Update(std::vector<LinkAllowance>{{kTumba, 1000.0}},
                  std::vector<ShiftAllowance>{{kLookupDesk, kTumba, 1000.0}});
-  const auto count_of_a_second = [&](bool is_taken) {
+  const auto count_forwarded_in_a_second = [&](bool is_accepted) {
     int count = 0;
     for (int step = 0; step < 1000; ++step) {
       clock.Advance(std::chrono::milliseconds(1));
       if (IsOk(limiter.TryForward(kLookupDesk, kTumba))) {
-        limiter.OnAnswer(kLookupDesk, kTumba, is_taken);
+        limiter.OnAnswer(kLookupDesk, kTumba, is_accepted);
         ++count;
       }
     }
     return count;
   };
 
-  EXPECT_EQ(count_of_a_second(false), 8);
-  EXPECT_EQ(count_of_a_second(false), 1);
-  count_of_a_second(true);
-  EXPECT_GE(count_of_a_second(true), 900);
+  EXPECT_EQ(count_forwarded_in_a_second(false), 8);
+  EXPECT_EQ(count_forwarded_in_a_second(false), 1);
+  count_forwarded_in_a_second(true);
+  EXPECT_GE(count_forwarded_in_a_second(true), 900);
 }
 
 }  // namespace
--- a/tests/unit/steering/shift_planner_test.cc
+++ b/tests/unit/steering/shift_planner_test.cc
@@ -15,8 +15,8 @@
 const FailureDomainName kSibling("kg-kicukiro");
 const FailureDomainName kRemote("hy-tumba");
 
-/// 20 slots of 20 ms: 1,000 requests a second in each of three domains, of
-/// which 800 may be filled by shifted work.
+/// Each of three domains has 20 slots of 20 ms, which serve 1,000 requests per
+/// second; shifted work may fill 800 of them.
 class ShiftPlannerTest : public ::testing::Test {
  protected:
   ShiftPlannerTest() {
@@ -118,20 +118,20 @@
   }
 };
 
-TEST_F(ShiftPlannerTest, PlansNothingWhileEveryDomainHasRoom) {
+TEST_F(ShiftPlannerTest, PlansNothingWhileAllDomainsHaveCapacity) {
   EXPECT_TRUE(Run(std::chrono::seconds(60)).shifts.empty());
 }
 
-TEST_F(ShiftPlannerTest, GrowsByOneStepAWindow) {
+TEST_F(ShiftPlannerTest, GrowsByOneStepPerWindow) {
   SetLoad(kHome, 1400.0);
-  SetLoad(kSibling, 0.0);  // Offers 200 a second while cold.
+  SetLoad(kSibling, 0.0);  // Offers 200 per second while cold.
 
   EXPECT_EQ(Rate(Step(), kHome, kSibling), 50.0);
   EXPECT_EQ(Rate(Run(std::chrono::milliseconds(4500)), kHome, kSibling), 50.0);
   EXPECT_EQ(Rate(Step(), kHome, kSibling), 100.0);
 }
 
-TEST_F(ShiftPlannerTest, NeverPassesTheLinksCapacity) {
+TEST_F(ShiftPlannerTest, NeverExceedsLinkCapacity) {
   SetLoad(kHome, 3000.0);
   capacity_ = 120.0;
 
@@ -140,7 +140,7 @@
   EXPECT_EQ(Rate(plan, kHome, kSibling), 120.0);
   EXPECT_EQ(BoundOf(plan, kSibling), ShiftBound::kLinkCapacity);
 
-  capacity_ = 60.0;  // The operator lowers it: cut at once.
+  capacity_ = 60.0;  // Lowered by the operator: cut at once.
   EXPECT_EQ(Rate(Step(), kHome, kSibling), 60.0);
 }
 
@@ -152,12 +152,14 @@
   bool goes_far;
 };
 
-class Weights : public ShiftPlannerTest,
-                public ::testing::WithParamInterface<WeightCase> {};
+class ObjectiveWeightsTest : public ShiftPlannerTest,
+                             public ::testing::WithParamInterface<WeightCase> {
+};
 
-// The same load under different owners. Latency keeps work at home until a
-// queue there costs more than the way; headroom levels the domains long before.
-TEST_P(Weights, DecideWhenWorkLeavesAndHowFar) {
+// The same load with different weights. Latency keeps work at home until a
+// queue there costs more than the link; headroom levels the domains long
+// before.
+TEST_P(ObjectiveWeightsTest, WeightsDecideWhenAndHowFarLoadIsShifted) {
   weights_ = GetParam().weights;
   SetLoad(kHome, GetParam().demand);
 
@@ -168,8 +170,8 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Owners,
-    Weights,
+    ObjectiveWeights,
+    ObjectiveWeightsTest,
     ::testing::Values(
         WeightCase{"LatencyBusy", {3, 1, 1}, 650, false, false},
         WeightCase{"LatencyFull", {3, 1, 1}, 960, true, false},
@@ -179,32 +181,34 @@
         WeightCase{"NoWeights", {0, 0, 0}, 1500, true, true}),
     [](const auto& info) { return info.param.name; });
 
-struct PaceCase {
+struct DrainStepCase {
   const char* name;
   catalogue::ObjectiveWeights weights;
   double rate;
 };
 
-class DrainPace : public ShiftPlannerTest,
-                  public ::testing::WithParamInterface<PaceCase> {};
+class DrainStepTest : public ShiftPlannerTest,
+                      public ::testing::WithParamInterface<DrainStepCase> {};
 
-TEST_P(DrainPace, FollowsTheWeightOfDrainTime) {
+TEST_P(DrainStepTest, FollowsWeightOfDrainTime) {
   weights_ = GetParam().weights;
   Drain(kHome);
 
   EXPECT_NEAR(Rate(Step(), kHome, kSibling), GetParam().rate, 1e-9);
 }
 
-INSTANTIATE_TEST_SUITE_P(Owners,
-                         DrainPace,
-                         ::testing::Values(PaceCase{"Largest", {1, 1, 3}, 50},
-                                           PaceCase{"Half", {2, 1, 1}, 25},
-                                           PaceCase{"Least", {9, 1, 0}, 12.5}),
-                         [](const auto& info) { return info.param.name; });
+INSTANTIATE_TEST_SUITE_P(
+    ObjectiveWeights,
+    DrainStepTest,
+    ::testing::Values(DrainStepCase{"Largest", {1, 1, 3}, 50},
+                      DrainStepCase{"Half", {2, 1, 1}, 25},
+                      DrainStepCase{"Least", {9, 1, 0}, 12.5}),
+    [](const auto& info) { return info.param.name; });
 
-// An operator drains a domain. Callers move only once forwards carry all of its
-// demand; then the forwards fade with the demand and the callers stay moved.
-TEST_F(ShiftPlannerTest, CallersOfADrainedDomainMoveWhenForwardsCarryThem) {
+// An operator drains a domain. Callers move only once forwarding carries all of
+// its demand; then the forwarded rate falls with the demand and the callers
+// stay moved.
+TEST_F(ShiftPlannerTest, CallersMoveOnceForwardingCarriesDrainedDomain) {
   SetLoad(kHome, 200.0);
   Drain(kHome);
   EXPECT_TRUE(Step().moves.empty());
@@ -229,9 +233,9 @@
   EXPECT_TRUE(Run(std::chrono::seconds(60)).moves.empty());
 }
 
-// Measurements of the receiver stop. What it offers must shrink with their age,
-// whatever the source needs, and end before anybody can believe in them still.
-TEST_F(ShiftPlannerTest, AnAgeingReceiverOffersLessAndThenNothing) {
+// Measurements of the receiver stop arriving. Its offer must shrink with their
+// age, whatever the source needs, and end before they are too old to rely on.
+TEST_F(ShiftPlannerTest, ReceiverOffersLessAsItsMeasurementsAge) {
   SetLoad(kHome, 1400.0);
   double before = Rate(Run(std::chrono::seconds(60)), kHome, kSibling);
   ASSERT_GT(before, 200.0);
@@ -246,9 +250,9 @@
   EXPECT_EQ(BoundOf(Step(), kSibling), ShiftBound::kReceiverStale);
 }
 
-// Answers to look-ups have sent callers to the sibling; its measurements do
-// not show them yet. Its spare slots must not be given away a second time.
-TEST_F(ShiftPlannerTest, AnswersHandedOutCountAsTheReceiversDemand) {
+// Look-up answers have sent callers to the sibling, but its measurements do not
+// show them yet. Its spare slots must not be given away a second time.
+TEST_F(ShiftPlannerTest, PendingDemandCountsAsReceiversDemand) {
   SetLoad(kHome, 1400.0);
   pending_ = {{kLookupDesk, kSibling, 780.0}};
 
@@ -258,9 +262,9 @@
   EXPECT_GT(Rate(plan, kHome, kRemote), 100.0);
 }
 
-// Demand falls to normal after a surge. The shift stays for the steady time and
-// then comes back step by step; a new surge in between starts the wait anew.
-TEST_F(ShiftPlannerTest, ReturnsInStepsAfterASteadyTime) {
+// Demand returns to normal after a surge. The shift stays for the hold time and
+// then returns step by step; a new surge in between restarts the hold time.
+TEST_F(ShiftPlannerTest, ReturnsInStepsAfterHoldTime) {
   SetLoad(kHome, 1300.0);
   const double shifted = Rate(Run(std::chrono::seconds(60)), kHome, kSibling);
 
@@ -275,7 +279,7 @@
   EXPECT_LT(before, shifted);
 }
 
-TEST_F(ShiftPlannerTest, TwoSourcesShareWhatOneReceiverOffers) {
+TEST_F(ShiftPlannerTest, TwoSourcesShareReceiversOffer) {
   SetLoad(kHome, 1500.0);
   SetLoad(kSibling, 1500.0);
 
@@ -288,7 +292,7 @@
   EXPECT_EQ(Rate(plan, kHome, kSibling), 0.0);
 }
 
-TEST_F(ShiftPlannerTest, ADomainWithoutHostsGetsNothingFromTheNextStepOn) {
+TEST_F(ShiftPlannerTest, CutsShiftsToDomainWithoutLiveHostsInNextStep) {
   SetLoad(kHome, 1400.0);
   ASSERT_GT(Rate(Run(std::chrono::seconds(20)), kHome, kSibling), 0.0);
 
@@ -299,7 +303,7 @@
   EXPECT_EQ(BoundOf(plan, kSibling), ShiftBound::kReceiverUnusable);
 }
 
-TEST_F(ShiftPlannerTest, AColdReceiverIsOfferedAQuarterFirst) {
+TEST_F(ShiftPlannerTest, ColdReceiverOffersQuarterOfSpareCapacity) {
   SetLoad(kHome, 2000.0);
   capacity_ = 1000.0;
 
@@ -311,7 +315,7 @@
   EXPECT_NEAR(warm.shifts.front().why.receiver_spare, 300.0, 1e-6);
 }
 
-TEST_F(ShiftPlannerTest, UnknownDomainsAndMissingLinksAreLeftAlone) {
+TEST_F(ShiftPlannerTest, ShiftsNothingToDomainWithoutMeasurements) {
   loads_.erase(kSibling);
   SetLoad(kHome, 1400.0);
 
