--- a/lib/libmedlarcroft/include/medlarcroft/capacity/capacity_manager.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/capacity_manager.h
@@ -20,7 +20,7 @@
 
 namespace medlarcroft::capacity {
 
-/// @brief What this host may use of one target now.
+/// @brief Slots of one target that this host may use now.
 struct UsableSlots {
   std::uint32_t own = 0;
   std::uint32_t borrowed = 0;
@@ -29,25 +29,28 @@
   [[nodiscard]] std::uint32_t Total() const { return own - lent + borrowed; }
 };
 
-/// @brief One seat as operators see it.
+/// @brief State of one seat, for status reports to operators.
 struct SeatStatus {
   FailureDomainName failure_domain;
   SeatState state = SeatState::kNone;
   std::optional<std::uint32_t> seat;
 };
 
-/// @brief One host's capacity: its seats, and its part of every target's slots.
+/// @brief Manages one host's capacity: its seats and its share of every
+/// target's slots.
 ///
-/// It lives in the process that dispatches, so that a slot is taken, lent and
-/// given back in one place, and a restart of the control daemon costs no
-/// capacity. Safe to share between threads; only `StepSeats` blocks.
+/// A seat is a numbered share of a failure domain's capacity that one process
+/// holds exclusively. The manager lives in the process that dispatches
+/// requests, so that a slot is acquired, lent and released in one place, and a
+/// restart of the control daemon costs no capacity. Thread-safe; only
+/// `StepSeats` blocks.
 class CapacityManager final : public ports::SlotSource {
  public:
   struct Options {
     HostName host;
     std::uint64_t incarnation = 0;
     LeaseRules rules;
-    /// Units asked for at once when a target's share is used up.
+    /// Units requested per loan when a target's share is exhausted.
     std::uint32_t borrow_amount = 1;
   };
 
@@ -55,20 +58,22 @@
                   ports::TableStore& store,
                   const ports::Clock& clock);
 
-  /// @brief Takes over what a routing snapshot says.
+  /// @brief Applies the capacity plan of a routing snapshot.
   void ApplyPlan(CapacityPlan plan);
 
-  /// @brief Says that this process runs; several times in a lease.
+  /// @brief Records that this process is running. Call it several times per
+  /// lease.
   void RecordHeartbeat();
 
-  /// @brief One round for each seat; blocks on the store, so it runs on a
-  /// thread of its own, about once a second.
+  /// @brief Runs one update round for each seat. Blocks on the table store, so
+  /// it runs on its own thread, about once a second.
   void StepSeats(bool are_targets_reachable);
 
-  /// @return hosts that should be called before the next `StepSeats`.
+  /// @return hosts to call before the next `StepSeats`.
   [[nodiscard]] std::set<HostName> HostsToProbe() const;
 
-  /// @brief Frees all seats and stops using them, as the last act of a stop.
+  /// @brief Releases all seats and stops using them; the last step of a
+  /// shutdown.
   void ReleaseSeats();
 
   // ports::SlotSource
@@ -77,45 +82,49 @@
 
   [[nodiscard]] UsableSlots UsableSlotsOf(const TargetName& target) const;
 
-  /// @return seat number by failure domain, as far as held or waited for.
+  /// @return seat number by failure domain, for seats that are held or being
+  /// waited for.
   [[nodiscard]] std::map<FailureDomainName, std::uint32_t> Seats() const;
   [[nodiscard]] std::vector<SeatStatus> Status() const;
   /// @return whether any seat may be used now.
   [[nodiscard]] bool HasSeat() const;
-  /// @return whether a seat is held whose part of a limit is not yet known to
-  /// be safe, because other holders still have an older split.
+  /// @return whether a seat is held whose share of a limit may not be used yet,
+  /// because other holders still use an older split.
   [[nodiscard]] bool IsWaitingForSplit() const;
-  /// @return this host's part of a rate of its own domain; 0 without a seat.
+  /// @return this host's share of `rate` for `domain`; 0 without a valid seat
+  /// there.
   [[nodiscard]] double OwnRateShare(const FailureDomainName& domain,
                                     double rate) const;
 
   [[nodiscard]] ShareGrant Lend(const ShareRequest& request);
   void AcceptReturn(const ShareRequest& request);
 
-  /// @param pressed targets whose slots are used up while requests wait.
-  /// @return loans to ask for, to renew and to return, in that order of use.
+  /// @brief Messages to send to lenders now.
   struct DueRequests {
     std::vector<OutgoingShareRequest> requests;
     std::vector<OutgoingShareRequest> returns;
   };
+  /// @param saturated targets whose slots are all in use while requests wait.
+  /// @return renewals and requests for new loans, in sending order, and
+  /// returns.
   [[nodiscard]] DueRequests CollectDueRequests(
-      const std::vector<TargetName>& pressed);
-  void Apply(const OutgoingShareRequest& ask, const ShareGrant& grant);
+      const std::vector<TargetName>& saturated);
+  void Apply(const OutgoingShareRequest& outgoing, const ShareGrant& grant);
 
  private:
   struct Limit {
     SlotLimit plan;
     SplitTransition transition;
     bool is_started = false;
-    std::vector<AcquiredUnit> uses;
+    std::vector<AcquiredUnit> acquired_units;
   };
   struct Domain {
     SeatDomainPlan plan;
     std::shared_ptr<SeatHolder> holder;
   };
 
-  // These need `mutex_`.
-  void RefreshOwn();
+  // The following require `mutex_`.
+  void RefreshOwnShares();
   void RefreshLimit(const std::string& name, Limit& limit);
   [[nodiscard]] const SeatHolder* HolderOf(
       const FailureDomainName& domain) const;
@@ -126,19 +135,19 @@
   ports::TableStore& store_;
   const ports::Clock& clock_;
   mutable std::mutex mutex_;
-  ShareAllocator book_;
+  ShareAllocator allocator_;
   std::map<FailureDomainName, Domain> domains_;
   std::map<std::string, Limit, std::less<>> limits_;
   std::vector<Lender> lenders_;
   CapacityEvidence evidence_;
-  /// By limit: when it was last asked for, so that a refusal is not repeated
-  /// at once, and whose turn it is next.
-  struct Asked {
-    MonotonicTime at;
-    std::size_t turn = 0;
+  /// Per limit: time of the last loan request, so that a refused one is not
+  /// repeated at once, and the index of the next lender in turn.
+  struct BorrowHistory {
+    MonotonicTime last_request_at;
+    std::size_t next_lender = 0;
   };
-  std::map<std::string, Asked, std::less<>> asked_;
-  bool is_giving_up_ = false;
+  std::map<std::string, BorrowHistory, std::less<>> borrow_history_;
+  bool is_releasing_ = false;
 };
 
 }  // namespace medlarcroft::capacity
--- a/lib/libmedlarcroft/include/medlarcroft/capacity/capacity_plan.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/capacity_plan.h
@@ -18,7 +18,8 @@
   std::uint32_t seats = 0;
   /// Newest catalogue revision that changes the domain's splits.
   std::uint64_t split_revision = 0;
-  /// Not this host's own domain: served only while that has no host left.
+  /// True if this is not the host's own domain; it is then served only while it
+  /// has no host of its own.
   bool is_sibling = false;
 };
 
@@ -29,30 +30,30 @@
   std::uint32_t slots = 0;
 };
 
-/// @brief A host that holds a seat and may lend of its part.
+/// @brief A host that holds a seat and may lend part of its share.
 struct Lender {
   HostName host;
   std::map<FailureDomainName, std::uint32_t> seats;
 };
 
-/// @brief A host that may hold seats, and which ones it says it holds.
+/// @brief A host that may hold seats, and the seats it claims to hold.
 struct SeatPeer {
-  PeerEvidence peer;  ///< Without `claimed_seat`.
+  PeerEvidence peer;  ///< `claimed_seat` is not set.
   std::map<FailureDomainName, std::uint32_t> seats;
 };
 
-/// @brief Signs for the question whether a seat may change hands.
+/// @brief Evidence on whether a seat may change owner.
 struct CapacityEvidence {
   std::vector<SeatPeer> peers;
   bool is_list_fresh = false;
 
-  /// @return the evidence about one domain's seats.
+  /// @return the evidence about the seats of one domain.
   [[nodiscard]] DomainEvidence For(const FailureDomainName& domain,
                                    bool are_targets_reachable) const;
 };
 
-/// @brief All that the catalogue and the membership say about capacity, as one
-/// routing snapshot carried it.
+/// @brief All capacity data from the catalogue and the membership, as carried
+/// by one routing snapshot.
 struct CapacityPlan {
   std::vector<SeatDomainPlan> domains;
   std::vector<SlotLimit> limits;
@@ -60,7 +61,7 @@
   CapacityEvidence evidence;
 };
 
-/// @return the name under which a target's slots are shared out.
+/// @return the name of the limit on a target's slots.
 [[nodiscard]] inline std::string SlotLimitName(std::string_view target) {
   return "target/" + std::string(target) + "/slots";
 }
--- a/lib/libmedlarcroft/include/medlarcroft/capacity/domain_evidence.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/domain_evidence.h
@@ -10,38 +10,38 @@
 
 namespace medlarcroft::capacity {
 
-/// @brief What is known of another host that may hold, or have taken, a seat.
-/// A host of which nothing is known but its name in a row has no entry.
+/// @brief What is known about another host that may hold, or may have taken, a
+/// seat. A host known only by its name in a seat row has no entry.
 struct PeerEvidence {
   HostName host;
-  std::uint64_t incarnation = 0;  ///< The newest heard; 0: never heard.
+  std::uint64_t incarnation = 0;  ///< The newest one received; 0 if none was.
   FailureDomainName failure_domain;
-  /// In the platform's list and not leaving.
+  /// Listed by the platform and not leaving.
   bool is_listed_live = false;
-  /// When it last answered this host itself, not by hearsay. An answer by
-  /// either of its two daemons counts.
+  /// When it last answered a direct call by this host; reports by other hosts
+  /// do not count. An answer by either of its two daemons counts.
   std::optional<MonotonicTime> answered_at;
-  /// For how long calls to it have failed, from the first to the last since it
-  /// answered; nullopt when none has. At 52 hosts two exchange once in a
-  /// minute, so that not having heard of one shows nothing: it must have been
-  /// called.
+  /// Time from the first to the last failed call since its last answer; nullopt
+  /// if no call has failed. With 52 hosts, two hosts exchange only once a
+  /// minute, so missing updates prove nothing: calls must have failed.
   std::optional<Duration> silent_for;
-  /// The seat that it says it holds or waits for, of the domain in question,
-  /// and when it said so, by this host's clock.
+  /// The seat of the domain in question that it claims to hold or to wait for,
+  /// and when it last claimed it, by this host's clock.
   std::optional<std::uint32_t> claimed_seat;
   MonotonicTime claimed_at;
 };
 
-/// @brief All that decides whether a seat of one failure domain may change
-/// hands. Collected anew for each step.
+/// @brief Everything that decides whether a seat of one failure domain may
+/// change owner. Collected anew for each step.
 struct DomainEvidence {
   /// Every known host of the domain and of its sibling domains, without this
-  /// one.
+  /// host.
   std::vector<PeerEvidence> peers;
-  /// The host list was read within the last lease; an old one shows nobody as
-  /// gone.
+  /// True if the host list was read within the last lease; an older list is no
+  /// proof that a host is gone.
   bool is_list_fresh = false;
-  /// Some target of the domain answered this host within the last lease.
+  /// True if some target of the domain answered this host within the last
+  /// lease.
   bool are_targets_reachable = false;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/capacity/issued_loans.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/issued_loans.h
@@ -11,30 +11,32 @@
 
 namespace medlarcroft::capacity {
 
-/// @brief What a host has lent of one limit. Each loan is held back until its
-/// borrower returned it, or until one lease and the longest work have passed
-/// since the last request for it arrived: by then the borrower has stopped
-/// using it and what it had dispatched has ended. Requests and returns may be
-/// lost, repeated and reordered; a loan that was returned stays on record until
-/// then, so that a late duplicate of its request lends nothing.
-class LoansOut {
+/// @brief Loans that this host has granted from one limit. A loan's units stay
+/// reserved until the borrower returns them, or until one lease plus the
+/// maximum work time has passed since its last request arrived: by then the
+/// borrower no longer starts work on the loan, and the work it had dispatched
+/// has ended. Requests and returns may be lost, repeated and reordered. A
+/// returned loan stays on record until the same time, so that a late duplicate
+/// of its request is granted nothing.
+class IssuedLoans {
  public:
-  explicit LoansOut(const LeaseRules& rules) : rules_(rules) {}
+  explicit IssuedLoans(const LeaseRules& rules) : rules_(rules) {}
 
-  /// @param free what is neither in use nor lent.
-  /// @param may_renew false while the lender wants its share back.
+  /// @param free units neither in use nor lent.
+  /// @param may_renew false while the lender recalls its share.
   [[nodiscard]] ShareGrant Lend(const ShareRequest& request,
                                 std::uint32_t free,
                                 bool may_renew,
                                 MonotonicTime now);
 
-  /// @brief The borrower uses nothing of the loan and never will.
+  /// @brief Records a return: the borrower does not use the loan and never
+  /// will.
   void AcceptReturn(const ShareRequest& request, MonotonicTime now);
 
-  /// @brief Forgets loans whose time is over.
-  void DropEnded(MonotonicTime now);
+  /// @brief Removes loans whose units are reusable again.
+  void RemoveExpired(MonotonicTime now);
 
-  /// @return the sum that must not be used here.
+  /// @return units on loan, which must not be used by this host.
   [[nodiscard]] std::uint32_t Total() const { return total_; }
   [[nodiscard]] std::size_t Count() const { return loans_.size(); }
 
@@ -50,7 +52,7 @@
     MonotonicTime reusable_at;
   };
 
-  [[nodiscard]] static LoanId IdOf(const ShareRequest& request);
+  [[nodiscard]] static LoanId MakeLoanId(const ShareRequest& request);
 
   LeaseRules rules_;
   std::map<LoanId, Loan> loans_;
--- a/lib/libmedlarcroft/include/medlarcroft/capacity/lease_rules.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/lease_rules.h
@@ -5,26 +5,30 @@
 
 namespace medlarcroft::capacity {
 
-/// @brief Times of all leases; the same on all hosts. Lender and borrower count
-/// on their own monotonic clocks, so only rates are compared, never readings.
+/// @brief Durations of all leases; the same on all hosts. Lender and borrower
+/// measure them on their own monotonic clocks, so only clock rates are
+/// compared, never readings.
 struct LeaseRules {
-  /// How long a loan or a confirmation lets new work start. Shorter gives
-  /// capacity of a dead host back sooner, longer costs fewer renewals.
+  /// How long after a loan or a confirmation new work may start. A shorter
+  /// lease frees a dead host's capacity sooner, a longer one needs fewer
+  /// renewals.
   Duration lease = std::chrono::seconds(3);
-  /// Longest time that dispatched work may use a slot: whoever dispatches
-  /// cancels it then, and the target was given this deadline.
+  /// Longest time that dispatched work may use a slot. The dispatcher cancels
+  /// the work then, and the target was given this deadline.
   Duration max_work = std::chrono::seconds(5);
-  /// By how much one clock may run faster than another: crystals stay below
-  /// 1e-4, and clock discipline adds 5e-4 at most.
+  /// Maximum relative rate difference of two clocks: crystal error is below
+  /// 1e-4 and clock discipline adds at most 5e-4.
   double clock_drift = 0.001;
 
-  /// @return after which time on another host's clock nothing started within
-  /// one lease is still running.
-  [[nodiscard]] Duration WaitOut() const { return WithDrift(lease + max_work); }
+  /// @return the time, on another host's clock, after which no work started
+  /// within one lease is still running.
+  [[nodiscard]] Duration ReuseDelay() const {
+    return WithDrift(lease + max_work);
+  }
 
-  /// @return the same after a seat was given up by a process that runs on: the
-  /// validity that it had been told of its seat may last one lease more.
-  [[nodiscard]] Duration WaitOutAfterRelease() const {
+  /// @return the same after a release by a process that keeps running: the
+  /// validity already reported for its seat may last one lease longer.
+  [[nodiscard]] Duration ReuseDelayAfterRelease() const {
     return WithDrift(lease + lease + max_work);
   }
 
--- a/lib/libmedlarcroft/include/medlarcroft/capacity/seat_policy.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/seat_policy.h
@@ -9,43 +9,46 @@
 
 namespace medlarcroft::capacity {
 
-/// @return whether the seat that `owner` holds may be taken. Made for the loss
-/// of a host: its part of every target in the domain lies idle until then. The
-/// owner must be gone from a fresh host list, calls to it must have failed for
-/// more than a lease, and nobody else may claim the seat. `watched_since` is
-/// when this process started or was last paused.
-/// Neither sign is enough alone: the list lags, and a host that is only
-/// cut off from the platform goes on serving.
+/// @return whether the seat held by `owner` may be taken. This is for the loss
+/// of a host, whose share of every target in the domain is unused until then.
+/// The owner must be missing from a fresh host list, calls to it must have
+/// failed for more than a lease, and no other host may claim the seat. Neither
+/// of the first two conditions is enough alone: the list lags behind, and a
+/// host that is only cut off from the platform keeps serving.
+/// @param observed_since when this process started or last resumed from a
+/// pause.
 [[nodiscard]] bool IsAbandoned(const SeatOwner& owner,
                                std::uint32_t seat,
                                const DomainEvidence& evidence,
                                const LeaseRules& rules,
-                               MonotonicTime watched_since,
+                               MonotonicTime observed_since,
                                MonotonicTime now);
 
-/// @return whether some peer has said since `since` that it holds, or waits
-/// for, the seat. A holder that was paused goes on without the platform only
-/// when nobody has said so for a whole wait-out: whoever took the seat
-/// meanwhile either says so, or has given it up, or is down, since there are no
-/// partitions within a domain, or is cut off in a sibling domain and does not
-/// reach this domain's targets. In each case its work is over by then.
-[[nodiscard]] bool IsSeatDisputed(std::uint32_t seat,
-                                  const DomainEvidence& evidence,
-                                  MonotonicTime since);
-
-/// @return whether every peer has been called since `since`, and answered or
-/// not.
-[[nodiscard]] bool HasCalledAll(const DomainEvidence& evidence,
+/// @return whether a peer has claimed since `since` to hold, or to wait for,
+/// the seat. A holder that was paused resumes without the platform only when no
+/// peer has claimed the seat for a whole `LeaseRules::ReuseDelayAfterRelease`.
+/// This is enough because a host that took the seat meanwhile either claims it,
+/// or has released it, or is down (there are no partitions within a domain), or
+/// is cut off in a sibling domain and cannot reach this domain's targets. In
+/// each case its work has ended by then.
+[[nodiscard]] bool IsSeatContested(std::uint32_t seat,
+                                   const DomainEvidence& evidence,
+                                   MonotonicTime since);
+
+/// @return whether every peer was called since `since` and either answered or
+/// failed to.
+[[nodiscard]] bool HasProbedAll(const DomainEvidence& evidence,
                                 MonotonicTime since);
 
-/// @return whether a host of a sibling domain may take seats of `domain`: its
-/// targets must not be lost with its one or two hosts. None of them may be
-/// listed live, calls to each must have failed for a lease, and the domain's
-/// targets must answer: then no partition hides a live host there.
+/// @return whether a host of a sibling domain may take seats of `domain`, so
+/// that its targets stay usable when its one or two hosts are lost. No host of
+/// the domain may be listed as live, calls to each must have failed for a
+/// lease, and the domain's targets must answer: then no partition hides a live
+/// host there.
 [[nodiscard]] bool MayServeSibling(const FailureDomainName& domain,
                                    const DomainEvidence& evidence,
                                    const LeaseRules& rules,
-                                   MonotonicTime watched_since,
+                                   MonotonicTime observed_since,
                                    MonotonicTime now);
 
 }  // namespace medlarcroft::capacity
--- a/lib/libmedlarcroft/include/medlarcroft/capacity/seat_table.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/seat_table.h
@@ -11,38 +11,39 @@
 
 namespace medlarcroft::capacity {
 
-/// @brief One seat as its row was read.
-struct SeenSeat {
+/// @brief One seat as read from its row.
+struct SeatSnapshot {
   std::uint32_t seat = 0;
-  std::uint64_t version = 0;  ///< 0: no row yet.
+  std::uint64_t version = 0;  ///< 0 if there is no row yet.
   SeatRow row;
-  bool is_readable = true;  ///< False: a row of another format.
+  bool is_readable = true;  ///< False if the row has an unknown format.
 
   [[nodiscard]] bool IsTaken() const { return !row.owner.host.IsEmpty(); }
 };
 
-using SeenSeats = std::vector<SeenSeat>;
+using SeatSnapshots = std::vector<SeatSnapshot>;
 
-/// @return the split revision that the owners of all taken seats have adopted,
-/// or nullopt when they differ or cannot be told.
-[[nodiscard]] std::optional<std::uint64_t> SharedRevision(
-    const SeenSeats& seen);
+/// @return the split revision adopted by the owners of all taken seats, or
+/// nullopt when they differ or a row cannot be read.
+[[nodiscard]] std::optional<std::uint64_t> CommonRevision(
+    const SeatSnapshots& snapshots);
 
-/// @return whether some seat has an owner, or a row that can't be read.
-[[nodiscard]] bool IsAnyTaken(const SeenSeats& seen);
+/// @return whether any seat has an owner or an unreadable row.
+[[nodiscard]] bool IsAnyTaken(const SeatSnapshots& snapshots);
 
 /// @brief The seat rows of one failure domain in the table service.
 class SeatTable {
  public:
   SeatTable(FailureDomainName failure_domain, ports::TableStore& store);
 
-  /// @brief One scan.
-  /// @return seats 0 to `seats` - 1, then rows of seats that are no longer
-  /// declared but still count; nullopt when the store did not answer.
-  [[nodiscard]] std::optional<SeenSeats> Read(std::uint32_t seats);
+  /// @brief Reads all rows in one scan.
+  /// @return seats 0 to `seats` - 1, then existing rows of seats that are no
+  /// longer declared but still count; nullopt when the store did not answer.
+  [[nodiscard]] std::optional<SeatSnapshots> Read(std::uint32_t seats);
 
-  /// @return the write of `row`, bound to the versions of `conditions`.
-  [[nodiscard]] ports::Transaction WriteIf(const SeenSeats& conditions,
+  /// @return a transaction that writes `row` if the rows in `conditions` still
+  /// have their versions.
+  [[nodiscard]] ports::Transaction WriteIf(const SeatSnapshots& conditions,
                                            std::uint32_t seat,
                                            const SeatRow& row) const;
 
--- a/lib/libmedlarcroft/include/medlarcroft/capacity/share_message.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/share_message.h
@@ -9,7 +9,7 @@
 
 namespace medlarcroft::capacity {
 
-/// @brief Asks for a loan, renews it, or returns it. Fields as in the peer
+/// @brief Requests, renews or returns a loan. The fields match the peer
 /// protocol.
 struct ShareRequest {
   HostName borrower;
@@ -19,7 +19,7 @@
   std::uint32_t amount = 0;
 };
 
-/// @brief Answer to one request. Amount 0: nothing lent, or not renewed.
+/// @brief Answer to one request. Amount 0: nothing was lent, or not renewed.
 struct ShareGrant {
   std::uint64_t request_id = 0;
   std::uint32_t amount = 0;
--- a/lib/libmedlarcroft/include/medlarcroft/forwarding/forward_proof.h
+++ b/lib/libmedlarcroft/include/medlarcroft/forwarding/forward_proof.h
@@ -10,41 +10,43 @@
 
 namespace medlarcroft::forwarding {
 
-/// @brief Why an entry host sends a request on to another.
+/// @brief Why an entry host forwards a request to another.
 enum class ForwardKind {
-  kShift,   ///< To run in the other failure domain; the sender guards the key.
-  kIssuer,  ///< To the host that guards the key.
+  /// To run in the other failure domain; the sender keeps the key's ledger
+  /// entry.
+  kShift,
+  kIssuer,  ///< To the host that keeps the key's ledger entry.
 };
 
-/// @brief What a forwarded request's head claims.
+/// @brief The claim carried in a forwarded request's headers.
 struct ForwardClaim {
   HostName sender;
   ForwardKind kind = ForwardKind::kShift;
   WallTime sent_at;
 };
 
-/// @brief The parts of a request that a proof binds, so that one cannot be
-/// lifted to another request.
+/// @brief The parts of a request that a proof covers, so that it cannot be
+/// reused for another request.
 struct ForwardedRequest {
   std::string_view method;
   std::string_view path;
   std::string_view idempotency_key;
 };
 
-/// How far the clocks of two entry hosts may be apart. A proof that is sent
-/// again within this time is caught by `ForwardReplayGuard`.
+/// Maximum clock difference between two entry hosts. A proof repeated within
+/// this time is rejected by `ForwardReplayGuard`.
 inline constexpr Duration kForwardProofLifetime = std::chrono::seconds(60);
 
 /// @return the text form: `KIND;SENDER;MILLISECONDS`.
 [[nodiscard]] std::string FormatForwardClaim(const ForwardClaim& claim);
 
-/// @return nullopt when `text` is not of that form.
+/// @return nullopt when `text` does not have that format.
 [[nodiscard]] std::optional<ForwardClaim> ParseForwardClaim(
     std::string_view text);
 
 /// @return the proof of `claim` for `request` under `secret`, in hexadecimal.
-/// Failure prevented: a caller that sets the headers itself would have its
-/// non-idempotent request run past the ledger, so twice.
+/// It guards against a caller that sets the forwarding headers itself: its
+/// non-idempotent request would bypass the ledger and could run twice.
 [[nodiscard]] std::string SignForward(const ForwardClaim& claim,
                                       const ForwardedRequest& request,
                                       std::string_view secret);
--- a/lib/libmedlarcroft/include/medlarcroft/forwarding/forward_replay_guard.h
+++ b/lib/libmedlarcroft/include/medlarcroft/forwarding/forward_replay_guard.h
@@ -12,31 +12,33 @@
 
 namespace medlarcroft::forwarding {
 
-/// @brief Lets each proof of a shifted, non-idempotent request through once.
+/// @brief Accepts each proof of a shifted, non-idempotent request once.
 ///
-/// Failure: a forwarded request arrives twice (a connection is replayed, or an
-/// old copy surfaces after a healed partition). Symptom: the order runs twice,
-/// since the ledger that would know is at the sender. A sender never sends one
-/// proof twice, so a second arrival is always a duplicate; and after a proof's
-/// lifetime it is refused by its age. Not safe to share between threads.
+/// Guards against a forwarded request that arrives twice, because a connection
+/// is replayed or an old copy arrives after a partition has healed. The order
+/// would run twice, since the ledger that knows the key is on the sender. This
+/// is enough because a sender never sends one proof twice, so a second arrival
+/// is always a duplicate, and after a proof's lifetime it is rejected by its
+/// age. Not thread-safe.
 class ForwardReplayGuard {
  public:
-  /// @param capacity at 100 shifted orders a second two minutes hold 12,000.
+  /// @param capacity number of proofs remembered: 100 shifted orders a second
+  /// for two minutes are 12,000.
   explicit ForwardReplayGuard(const ports::Clock& clock,
                               std::size_t capacity = 12'000)
       : clock_(clock), capacity_(capacity) {}
 
-  /// @return true the first time; false for a duplicate, or when there is no
-  /// room to remember it: then it must not run.
+  /// @return true for the first arrival; false for a duplicate, or when there
+  /// is no space to remember the proof. The request must not run then.
   [[nodiscard]] bool Admit(const std::string& proof);
 
  private:
-  void ForgetOld(MonotonicTime now);
+  void RemoveExpired(MonotonicTime now);
 
   const ports::Clock& clock_;
   const std::size_t capacity_;
   std::unordered_set<std::string> seen_;
-  std::deque<std::pair<MonotonicTime, std::string>> order_;
+  std::deque<std::pair<MonotonicTime, std::string>> insertion_order_;
 };
 
 }  // namespace medlarcroft::forwarding
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/answer.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/answer.h
@@ -15,7 +15,7 @@
   friend bool operator==(const AnswerHeader&, const AnswerHeader&) = default;
 };
 
-/// @brief A target's whole answer, kept for replay.
+/// @brief A target's complete HTTP response, stored for replay.
 struct Answer {
   int status = 0;
   std::vector<AnswerHeader> headers;
@@ -26,7 +26,7 @@
 
 using SharedAnswer = std::shared_ptr<const Answer>;
 
-/// @return the bytes that keeping `answer` takes, without allocator overhead.
+/// @return the bytes that storing `answer` takes, without allocator overhead.
 [[nodiscard]] std::size_t StoredBytes(const Answer& answer);
 
 }  // namespace medlarcroft::idempotency
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/durable_claims.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/durable_claims.h
@@ -17,7 +17,7 @@
 
 namespace medlarcroft::idempotency {
 
-/// @brief The process that a claim row names.
+/// @brief The process named in a claim row.
 struct Claimant {
   HostName host;
   std::uint64_t incarnation = 0;
@@ -25,26 +25,28 @@
   friend bool operator==(const Claimant&, const Claimant&) = default;
 };
 
-/// @brief This process holds the claim: it may dispatch the key, once.
+/// @brief This process holds the claim and may dispatch the key once.
 struct Claimed {};
-/// @brief Pass the request to `claimant`. When that is gone the outcome is
-/// `unknown`. No claimant: the row could not be read.
+/// @brief Another process holds the claim: forward the request to `claimant`.
+/// If that process is gone, the outcome is `unknown`. Without a claimant, the
+/// row could not be read.
 struct ClaimedElsewhere {
   std::optional<Claimant> claimant;
 };
-/// @brief Nobody dispatched this key and nobody will: `not-run` is proved. The
-/// caller retries with a new key.
+/// @brief No process dispatched this key and none will, so `not-run` is proved.
+/// The caller retries with a new key.
 struct Fenced {};
-/// @brief It is not known whose the claim is; nothing was dispatched here.
-/// Asking again continues where this ended. The outcome is `unknown`.
+/// @brief The owner of the claim is unknown; nothing was dispatched here.
+/// Calling again continues the attempt. The outcome is `unknown`.
 struct Unsettled {
   ports::StoreFailure failure = ports::StoreFailure::kUnavailable;
 };
-/// @brief Refused here without asking the platform; the outcome is `unknown`.
+/// @brief Reasons for refusing here without asking the platform; the outcome is
+/// `unknown`.
 enum class ClaimRefusal {
   kExpired,
   kRelinquished,  ///< This process promised never to dispatch it.
-  kDispatched,    ///< This process dispatched it already.
+  kDispatched,    ///< This process has already dispatched it.
   kFull,
 };
 
@@ -54,17 +56,18 @@
 struct DurableClaimsOptions {
   HostName host;
   std::uint64_t incarnation = 0;
-  /// Tries to settle one lost answer before `Unsettled` goes back: each costs a
-  /// read and a write, and the caller's deadline is about two seconds.
+  /// Attempts to resolve one lost answer before returning `Unsettled`. Each
+  /// costs a read and a write, and the caller's deadline is about two seconds.
   std::uint32_t settle_attempts = 2;
   std::size_t max_keys = 12'000;
-  /// How long after expiry a claim row is kept: more than any two hosts' wall
-  /// clocks differ, since deleting it early would let the key be claimed again.
+  /// How long a claim row is kept after its key's expiry. Must exceed the
+  /// difference between any two hosts' wall clocks, because after an early
+  /// deletion the key could be claimed again.
   Duration sweep_grace = std::chrono::minutes(10);
 };
 
-/// @brief Claim rows of durable keys: inserted before the dispatch, so that at
-/// most one process of all hosts dispatches a key. Store calls block; use it on
+/// @brief Claim rows of durable keys, inserted before the dispatch so that at
+/// most one process on all hosts dispatches a key. Store calls block; use it on
 /// a worker thread, one caller at a time.
 class DurableClaims {
  public:
@@ -73,53 +76,58 @@
                 ports::RandomSource& random,
                 const ports::Clock& clock);
 
-  /// @brief Claims `key` for this process. One write; a lost answer is settled
-  /// by the row's nonce. Asking again for a held claim costs nothing.
+  /// @brief Claims `key` for this process with one write. After a lost answer,
+  /// the row's nonce shows whether the write took effect. Claiming a held key
+  /// again needs no write.
   [[nodiscard]] ClaimResult Claim(const Key& key);
 
   /// @brief Makes "not run" provable: no process can claim the key afterwards.
-  /// One write; for a refusal that must not leave its caller in doubt.
-  /// `Claimed` when this process holds the claim and has not dispatched: then
-  /// nobody has.
+  /// Needs one write; for refusals that must tell the caller whether the
+  /// request ran.
+  /// @return `Claimed` when this process holds the claim and has not dispatched
+  /// the key; then no process has.
   [[nodiscard]] ClaimResult Fence(const Key& key);
 
-  /// @brief Takes the claim over from `from`, whose binding answer to
-  /// `Relinquish` the caller holds. Without that proof it must not be called.
+  /// @brief Takes the claim over from `from`. Call it only after `from` has
+  /// answered `Relinquish` with true, which is binding.
   [[nodiscard]] ClaimResult TakeOver(const Key& key, const Claimant& from);
 
-  /// @brief The request goes to the target now. False: it must not.
+  /// @brief Records that the request is sent to the target now.
+  /// @return false if it must not be sent.
   [[nodiscard]] bool MarkDispatched(const Key& key);
 
-  /// @brief Answers another host that wants to take over. True is binding: this
-  /// process has not dispatched the key and never will.
-  /// @param incarnation the one named by the row; any other than this
-  /// process's own proves nothing.
+  /// @brief Answers another host that wants to take over.
+  /// @param incarnation the one named in the row; any other than this process's
+  /// own proves nothing.
+  /// @return true, which is binding, if this process has not dispatched the key
+  /// and never will.
   [[nodiscard]] bool Relinquish(const Key& key, std::uint64_t incarnation);
 
-  /// @brief Deletes rows that expired longer than the grace ago.
-  /// @return how many, at most `limit`; one scan and one write.
+  /// @brief Deletes rows whose expiry is more than `sweep_grace` ago, with one
+  /// scan and one write.
+  /// @return the number of deleted rows, at most `limit`.
   [[nodiscard]] Result<std::size_t, ports::StoreFailure> Sweep(
       std::size_t limit);
 
   [[nodiscard]] std::size_t Keys() const { return keys_.size(); }
 
  private:
-  enum class State { kWanted, kHeld, kDispatched, kRelinquished };
-  struct Known {
-    State state = State::kWanted;
+  enum class State { kPending, kHeld, kDispatched, kRelinquished };
+  struct LocalClaim {
+    State state = State::kPending;
     std::uint64_t nonce = 0;
   };
 
   [[nodiscard]] std::optional<ClaimRefusal> Admit(const Key& key);
   [[nodiscard]] ClaimResult Acquire(const Key& key, std::uint64_t version);
-  [[nodiscard]] ClaimResult Judge(const Key& key, const ports::Row& row);
+  [[nodiscard]] ClaimResult ClassifyRow(const Key& key, const ports::Row& row);
   void ForgetExpired();
 
   DurableClaimsOptions options_;
   ports::TableStore& store_;
   ports::RandomSource& random_;
   const ports::Clock& clock_;
-  std::map<KeyId, Known> keys_;
+  std::map<KeyId, LocalClaim> keys_;
   ExpiryIndex expiries_;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/expiry_index.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/expiry_index.h
@@ -10,12 +10,12 @@
 
 namespace medlarcroft::idempotency {
 
-/// @brief Which keys may be forgotten. Failure: the wall clock is set back
-/// after a key was forgotten, the key looks valid again, and a duplicate runs a
-/// second time. So every key that expires no later than one already forgotten
-/// counts as expired, whatever the clock says. The clock set forward by mistake
-/// costs at most the keys alive then: the bound is an expiry once seen, not the
-/// clock.
+/// @brief Tracks which keys have expired and may be removed. Guards against
+/// running a duplicate after the wall clock was set back: a removed key would
+/// look valid again. Every key that expires no later than one already removed
+/// therefore counts as expired, whatever the clock says. A clock set forward by
+/// mistake affects at most the keys alive at that time, because the bound is
+/// the expiry of a removed key, not the clock.
 class ExpiryIndex {
  public:
   void Add(const Key& key) { ids_.emplace(key.expiry, key.id); }
@@ -25,7 +25,8 @@
     return key.expiry <= now || key.expiry <= forgotten_through_;
   }
 
-  /// @return the next key that expired by `now`, taken out, or nullopt.
+  /// @brief Removes the next key that expired by `now`.
+  /// @return its identifier, or nullopt.
   [[nodiscard]] std::optional<KeyId> TakeExpired(WallTime now) {
     if (ids_.empty() || ids_.begin()->first > now) {
       return std::nullopt;
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/fingerprint.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/fingerprint.h
@@ -7,9 +7,9 @@
 
 namespace medlarcroft::idempotency {
 
-/// @brief 128-bit hash that tells two requests under one key apart. It guards a
-/// caller against its own mistake, not against an attacker: who can forge one
-/// only replays an answer to itself.
+/// @brief 128-bit hash that distinguishes two requests under one key. It
+/// protects callers from their own mistakes, not from attackers: a caller that
+/// forges one only gets an answer of its own replayed.
 struct Fingerprint {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -17,7 +17,7 @@
   friend auto operator<=>(const Fingerprint&, const Fingerprint&) = default;
 };
 
-/// @brief What makes two requests the same.
+/// @brief The fields that identify a request.
 struct RequestIdentity {
   std::string_view brand;
   std::string_view method;
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/key.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/key.h
@@ -14,13 +14,13 @@
 
 namespace medlarcroft::idempotency {
 
-/// @brief How a key is guarded; fixed when it is issued.
+/// @brief How duplicates of a key are prevented; fixed when it is issued.
 enum class Mode {
   kLocal,    ///< Only the issuing incarnation may dispatch it.
-  kDurable,  ///< Whoever inserts the claim row may dispatch it.
+  kDurable,  ///< The process that inserts the claim row may dispatch it.
 };
 
-/// @brief What distinguishes one key from all others.
+/// @brief Unique identifier of a key.
 struct KeyId {
   HostName issuer;
   std::uint64_t incarnation = 0;
@@ -29,45 +29,45 @@
   friend auto operator<=>(const KeyId&, const KeyId&) = default;
 };
 
-/// @brief Truncated HMAC-SHA256: 128 bits.
+/// @brief Size of the truncated HMAC-SHA256: 128 bits.
 inline constexpr std::size_t kMacBytes = 16;
 using Mac = std::array<std::uint8_t, kMacBytes>;
 
-/// @brief One idempotency key. Only `KeyAuthority` makes a valid one.
+/// @brief One idempotency key. Only `KeyAuthority` creates valid ones.
 struct Key {
   KeyId id;
   Mode mode = Mode::kLocal;
-  WallTime expiry;  ///< Whole milliseconds.
+  WallTime expiry;  ///< In whole milliseconds.
   Mac mac{};
 
   friend bool operator==(const Key&, const Key&) = default;
 };
 
-/// @brief Longest text form that is read or written, in bytes.
+/// @brief Maximum length of the text form, in bytes.
 inline constexpr std::size_t kMaxKeyText = 192;
-/// @brief Longest issuer name in a key, in bytes.
+/// @brief Maximum length of an issuer name in a key, in bytes.
 inline constexpr std::size_t kMaxIssuerName = 64;
 
-/// @brief Why a text is not a key.
+/// @brief Why a text is not a valid key.
 enum class KeyParseError {
   kTooLong,
-  kMalformed,       ///< Not seven fields, or a field is not of its form.
-  kUnknownVersion,  ///< A key of a later format.
+  kMalformed,       ///< Not seven fields, or a field has the wrong format.
+  kUnknownVersion,  ///< A key of a later format version.
 };
 
-/// @return whether `name` can stand in a key: 1 to `kMaxIssuerName` of letters,
+/// @return whether `name` is allowed in a key: 1 to `kMaxIssuerName` letters,
 /// digits, '-', '_' and '.'.
-[[nodiscard]] bool IsIssuerName(std::string_view name);
+[[nodiscard]] bool IsValidIssuerName(std::string_view name);
 
 /// @return the part of the text form that the MAC covers.
-[[nodiscard]] std::string UnsignedText(const Key& key);
+[[nodiscard]] std::string SignedKeyText(const Key& key);
 
 /// @return the value of the `Idempotency-Key` header:
-/// `k1:MODE:ISSUER:INCARNATION:SEQUENCE:EXPIRY_MS:MAC`, numbers in
+/// `k1:MODE:ISSUER:INCARNATION:SEQUENCE:EXPIRY_MS:MAC`, with numbers in
 /// hexadecimal.
 [[nodiscard]] std::string FormatKey(const Key& key);
 
-/// @brief Reads the text form. The MAC is not checked here.
+/// @brief Parses the text form without checking the MAC.
 [[nodiscard]] Result<Key, KeyParseError> ParseKey(std::string_view text);
 
 }  // namespace medlarcroft::idempotency
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/key_authority.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/key_authority.h
@@ -11,37 +11,37 @@
 
 namespace medlarcroft::idempotency {
 
-/// @brief Shortest secret that is taken, in bytes.
+/// @brief Minimum length of a secret, in bytes.
 inline constexpr std::size_t kMinSecretBytes = 16;
 
-/// @brief The secrets of the MAC, the same on all hosts. One issues, both are
-/// accepted, so that hosts may change over one after the other.
+/// @brief MAC secrets, the same on all hosts. One signs new keys and both are
+/// accepted, so that hosts can rotate secrets one after the other.
 struct KeySecrets {
   std::string issuing;
   std::optional<std::string> also_accepted;
 };
 
-/// @brief Why secrets were not taken.
+/// @brief Why secrets were rejected.
 enum class KeySecretsError { kTooShort, kIdenticalSecrets };
 
-/// @brief Why a key that was read is not good.
+/// @brief Why a parsed key was rejected.
 enum class KeyRefusal {
-  kForged,   ///< No accepted secret gives this MAC.
-  kExpired,  ///< It may have run; what is known of it may be forgotten.
+  kForged,   ///< The MAC matches no accepted secret.
+  kExpired,  ///< It may have run, and its record may have been removed.
 };
 
 struct KeyAuthorityOptions {
-  HostName host;  ///< Must satisfy `IsIssuerName`.
+  HostName host;  ///< Must satisfy `IsValidIssuerName`.
   std::uint64_t incarnation = 0;
-  /// How long a key may be used; a ledger entry lives as long. Long enough for
-  /// a caller's retries through a pause of its own, short enough that the
-  /// ledger's bound is not reached at the peak.
+  /// How long a key may be used; a ledger entry lives equally long. Long enough
+  /// for a caller's retries across a pause of its own, short enough that the
+  /// ledger does not reach its bound at peak load.
   Duration lifetime = std::chrono::minutes(10);
 };
 
 /// @brief Issues this incarnation's keys and verifies those of all hosts. The
-/// MAC keeps callers from naming keys that were never issued, which could make
-/// one host answer for another's work. Not safe to share between threads.
+/// MAC prevents callers from naming keys that were never issued, which could
+/// make one host answer for another host's work. Not thread-safe.
 class KeyAuthority {
  public:
   KeyAuthority(KeyAuthorityOptions options,
@@ -50,10 +50,10 @@
 
   [[nodiscard]] Key Issue(Mode mode);
 
-  /// @return the reason not to take `key`, or nullopt when it is good.
+  /// @return the reason to reject `key`, or nullopt when it is valid.
   [[nodiscard]] std::optional<KeyRefusal> FindRefusal(const Key& key) const;
 
-  /// @brief Takes other secrets; on an error the old ones stay.
+  /// @brief Replaces the secrets; on an error the old ones remain.
   [[nodiscard]] Result<Success, KeySecretsError> Rotate(KeySecrets secrets);
 
   [[nodiscard]] static std::optional<KeySecretsError> Check(
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/ledger.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/ledger.h
@@ -20,39 +20,43 @@
 struct LedgerOptions {
   HostName host;
   std::uint64_t incarnation = 0;
-  /// Made for 20 orders a second on one host over a key's 10 minutes; beyond
-  /// it new orders are refused, since forgetting one would let it run twice.
+  /// Sized for 20 orders a second on one host over a key's 10 minutes. Beyond
+  /// it new orders are refused, because removing an entry early would allow a
+  /// second run.
   std::size_t max_entries = 12'000;
-  /// Answers kept and room promised to running work; a third of the 64 MB that
-  /// control may use.
+  /// Bytes of stored answers plus reservations of running requests; a third of
+  /// the 64 MB available to the control plane.
   std::size_t max_bytes = std::size_t{20} << 20U;
-  /// More duplicates than this of one running request are refused: a caller
-  /// that repeats without waiting must not hold every connection.
+  /// More waiting duplicates of one running request than this are refused,
+  /// because a caller that repeats without waiting must not occupy all
+  /// connections.
   std::size_t max_waiters = 8;
 };
 
-/// @brief The daemon's name for a parked duplicate.
+/// @brief Identifier that the daemon gives to a waiting duplicate.
 using WaiterId = std::uint64_t;
 
-/// @brief Dispatch it, then settle it by `Complete`, `MarkUnknown` or
-/// `MarkNotRun`. A durable key needs its claim first (`DurableClaims`).
+/// @brief Dispatch the request, then report its result by `Complete`,
+/// `MarkUnknown` or `MarkNotRun`. A durable key must be claimed first
+/// (`DurableClaims`).
 struct DispatchRequest {};
-/// @brief The first attempt runs; its settlement returns this waiter.
+/// @brief The first attempt is running; the call that reports its result
+/// returns this waiter.
 struct AwaitFirstAttempt {};
-/// @brief It ran; this is the whole answer.
+/// @brief The request has run; this is the complete answer.
 struct ReplayAnswer {
   SharedAnswer answer;
 };
 
 enum class LedgerRefusal {
   kExpired,
-  kForeignHost,         ///< Local key of another host: pass it to that host.
+  kForeignHost,  ///< Local key of another host: forward the request there.
   kForeignIncarnation,  ///< Local key of this host before a restart.
-  kRequestDiffers,      ///< The key was used for another request.
+  kRequestDiffers,      ///< The key was used for a different request.
   kFull,
   kTooManyWaiters,
   kFateUnknown,    ///< An earlier attempt may have run.
-  kAnswerNotKept,  ///< It ran; its answer was larger than was reserved.
+  kAnswerNotKept,  ///< It ran, but its answer exceeded the reserved size.
 };
 
 struct Refused {
@@ -63,39 +67,41 @@
 using BeginResult =
     std::variant<DispatchRequest, AwaitFirstAttempt, ReplayAnswer, Refused>;
 
-/// @brief What this incarnation knows of each key that it let run: the guard
-/// that a key is dispatched at most once by this process. Kept in memory only;
-/// after a restart the keys issued before are answered `unknown`, never run.
-/// An entry stays until the key expires. Not safe to share between threads.
+/// @brief Records every key that this incarnation dispatched, so that this
+/// process dispatches a key at most once. Kept in memory only; after a restart,
+/// requests with previously issued keys are answered `unknown` and never run.
+/// An entry stays until its key expires. Not thread-safe.
 class Ledger {
  public:
   Ledger(LedgerOptions options, const ports::Clock& clock);
 
-  /// @brief Decides about one attempt of a verified key.
-  /// @param reserve_bytes the class's bound on an answer.
-  /// @param waiter returned by the settlement if the result is
+  /// @brief Decides about one attempt with a verified key.
+  /// @param reserve_bytes maximum answer size of the request class.
+  /// @param waiter returned when the result is reported, if this call returns
   /// `AwaitFirstAttempt`.
   [[nodiscard]] BeginResult Begin(const Key& key,
                                   const Fingerprint& fingerprint,
                                   std::size_t reserve_bytes,
                                   WaiterId waiter);
 
-  /// @brief It ran. Also taken after `MarkUnknown`: a late answer is the truth.
-  /// @return the parked duplicates, to be given the same answer.
+  /// @brief The request has run. Also accepted after `MarkUnknown`, because a
+  /// late answer settles the outcome.
+  /// @return the waiting duplicates, which get the same answer.
   std::vector<WaiterId> Complete(const Key& key, SharedAnswer answer);
 
-  /// @brief It was dispatched and may have run; it will never be dispatched
+  /// @brief The request was dispatched and may have run; it is never dispatched
   /// again.
   std::vector<WaiterId> MarkUnknown(const Key& key);
 
-  /// @brief Proved not dispatched, or not run by the target's word: a retry may
-  /// run. Ignored unless the key is running: what is settled stays so.
+  /// @brief The request was not dispatched, or the target stated that it did
+  /// not run: a retry may run. Ignored unless the key is running, because a
+  /// reported result is final.
   std::vector<WaiterId> MarkNotRun(const Key& key);
 
-  /// @brief The parked duplicate's caller went away.
+  /// @brief Removes a waiting duplicate whose caller disconnected.
   void CancelWait(const Key& key, WaiterId waiter);
 
-  /// @brief What may be said of `key` when an attempt is refused before `Begin`
+  /// @return the outcome to report when an attempt is refused before `Begin`
   /// (queue full, deadline, draining). `kNotRun` only for a local key of this
   /// incarnation without an entry; another host may have run a durable one.
   [[nodiscard]] Outcome OutcomeIfRefused(const Key& key) const;
@@ -113,13 +119,14 @@
     SharedAnswer answer;
     std::size_t bytes = 0;
     std::vector<WaiterId> waiters;
-    bool is_expired = false;  ///< It ran beyond its key's expiry.
+    /// The request was still running when its key expired.
+    bool is_expired = false;
   };
   using EntryMap = std::map<KeyId, Entry>;
 
-  [[nodiscard]] BeginResult Repeat(Entry& entry,
-                                   const Fingerprint& fingerprint,
-                                   WaiterId waiter);
+  [[nodiscard]] BeginResult BeginRepeat(Entry& entry,
+                                        const Fingerprint& fingerprint,
+                                        WaiterId waiter);
   [[nodiscard]] bool IsOwn(const Key& key) const;
   std::vector<WaiterId> Settle(EntryMap::iterator found, State state);
   void SetBytes(Entry& entry, std::size_t bytes);
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/outcome.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/outcome.h
@@ -3,10 +3,10 @@
 
 namespace medlarcroft::idempotency {
 
-/// @brief What a caller is told about the fate of its request.
+/// @brief The outcome of a request as reported to its caller.
 enum class Outcome {
-  kRan,     ///< It ran, once.
-  kNotRun,  ///< Proved: no attempt with this key was dispatched up to now.
+  kRan,     ///< It ran once.
+  kNotRun,  ///< Proved: no attempt with this key has been dispatched so far.
   kUnknown,
 };
 
--- a/lib/libmedlarcroft/source/capacity/capacity_manager.cc
+++ b/lib/libmedlarcroft/source/capacity/capacity_manager.cc
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// A lender that had nothing to lend is asked again after this time: a few
-/// service times, so that a shortage of a second is still helped, and four
-/// messages a second for one target at most.
-constexpr Duration kAskInterval = std::chrono::milliseconds(250);
+/// Interval between two loan requests for one target: a few service times, so
+/// that even a shortage of one second is relieved, and at most four messages a
+/// second per target.
+constexpr Duration kBorrowRetryInterval = std::chrono::milliseconds(250);
 
 }  // namespace
 
@@ -22,10 +22,10 @@
     : options_(options),
       store_(store),
       clock_(clock),
-      book_({.host = options.host,
-             .incarnation = options.incarnation,
-             .rules = options.rules},
-            clock) {}
+      allocator_({.host = options.host,
+                  .incarnation = options.incarnation,
+                  .rules = options.rules},
+                 clock) {}
 
 void CapacityManager::ApplyPlan(CapacityPlan plan) {
   const std::lock_guard lock(mutex_);
@@ -54,7 +54,7 @@
         Limit{.plan = planned, .transition = SplitTransition(options_.rules)});
     found->second.plan = planned;
   }
-  RefreshOwn();
+  RefreshOwnShares();
 }
 
 void CapacityManager::RecordHeartbeat() {
@@ -62,7 +62,7 @@
   for (auto& [name, domain] : domains_) {
     domain.holder->RecordHeartbeat();
   }
-  RefreshOwn();
+  RefreshOwnShares();
 }
 
 void CapacityManager::StepSeats(bool are_targets_reachable) {
@@ -81,14 +81,14 @@
         evidence.For(domain.plan.failure_domain, are_targets_reachable));
   }
   const std::lock_guard lock(mutex_);
-  RefreshOwn();
+  RefreshOwnShares();
 }
 
 std::set<HostName> CapacityManager::HostsToProbe() const {
   const std::lock_guard lock(mutex_);
   std::set<HostName> wanted;
   for (const auto& [name, domain] : domains_) {
-    // Whether the targets answer says nothing about whom to call.
+    // Target reachability does not affect which hosts to call.
     const DomainEvidence evidence = evidence_.For(name, false);
     for (HostName& host : domain.holder->HostsToProbe(evidence)) {
       wanted.insert(std::move(host));
@@ -99,11 +99,11 @@
 
 void CapacityManager::ReleaseSeats() {
   const std::lock_guard lock(mutex_);
-  is_giving_up_ = true;
+  is_releasing_ = true;
   for (auto& [name, domain] : domains_) {
-    domain.holder->GiveUp();
+    domain.holder->ReleaseSeat();
   }
-  RefreshOwn();
+  RefreshOwnShares();
 }
 
 bool CapacityManager::TryTake(const TargetName& target) {
@@ -114,32 +114,32 @@
     return false;
   }
   RefreshLimit(name, found->second);
-  auto use = book_.TryAcquire(name);
-  if (!use) {
+  auto unit = allocator_.TryAcquire(name);
+  if (!unit) {
     return false;
   }
-  found->second.uses.push_back(*std::move(use));
+  found->second.acquired_units.push_back(*std::move(unit));
   return true;
 }
 
 void CapacityManager::Release(const TargetName& target) {
   const std::lock_guard lock(mutex_);
   const auto found = limits_.find(SlotLimitName(target.Value()));
-  if (found == limits_.end() || found->second.uses.empty()) {
+  if (found == limits_.end() || found->second.acquired_units.empty()) {
     return;
   }
-  // Which of the units ended is all the same to the target. The one whose loan
-  // ends first is given back, so that nothing is used beyond its loan.
-  std::vector<AcquiredUnit>& uses = found->second.uses;
+  // The acquired units are interchangeable for the target. Release the one with
+  // the earliest deadline, so that no loan is used beyond its end.
+  std::vector<AcquiredUnit>& acquired_units = found->second.acquired_units;
   const auto first =
-      std::ranges::min_element(uses, {}, &AcquiredUnit::finish_by);
-  book_.Release(*first);
-  uses.erase(first);
+      std::ranges::min_element(acquired_units, {}, &AcquiredUnit::deadline);
+  allocator_.Release(*first);
+  acquired_units.erase(first);
 }
 
 UsableSlots CapacityManager::UsableSlotsOf(const TargetName& target) const {
   const std::lock_guard lock(mutex_);
-  const ShareState state = book_.State(SlotLimitName(target.Value()));
+  const ShareState state = allocator_.State(SlotLimitName(target.Value()));
   return {.own = state.own,
           .borrowed = state.borrowed,
           .lent = std::min(state.own, state.lent)};
@@ -180,12 +180,12 @@
     const SeatHolder* holder = HolderOf(each.second.plan.failure_domain);
     const bool is_held =
         holder != nullptr && holder->State() == SeatState::kHeld;
-    // With more seats than slots most splits give this seat nothing, for good:
-    // nothing is waited for then.
+    // With more seats than slots, most splits permanently give this seat
+    // nothing, so there is nothing to wait for.
     const SplitTransition& split = each.second.transition;
-    const bool has_part =
+    const bool has_share =
         each.second.is_started && (split.Amount() > 0 || !split.IsGrowing());
-    return is_held && each.second.plan.slots > 0 && !has_part;
+    return is_held && each.second.plan.slots > 0 && !has_share;
   });
 }
 
@@ -204,54 +204,56 @@
 ShareGrant CapacityManager::Lend(const ShareRequest& request) {
   const std::lock_guard lock(mutex_);
   const auto found = limits_.find(request.limit_name);
-  if (found == limits_.end() || is_giving_up_) {
+  if (found == limits_.end() || is_releasing_) {
     return {.request_id = request.request_id};
   }
   RefreshLimit(request.limit_name, found->second);
-  return book_.Lend(request);
+  return allocator_.Lend(request);
 }
 
 void CapacityManager::AcceptReturn(const ShareRequest& request) {
   const std::lock_guard lock(mutex_);
-  book_.AcceptReturn(request);
+  allocator_.AcceptReturn(request);
 }
 
 CapacityManager::DueRequests CapacityManager::CollectDueRequests(
-    const std::vector<TargetName>& pressed) {
+    const std::vector<TargetName>& saturated) {
   const std::lock_guard lock(mutex_);
   const MonotonicTime now = clock_.Now();
-  DueRequests due{.requests = book_.Renewals(), .returns = book_.Returns()};
+  DueRequests due{.requests = allocator_.Renewals(),
+                  .returns = allocator_.Returns()};
   for (const auto& [name, limit] : limits_) {
-    book_.WantBack(
-        name, std::ranges::find(pressed, limit.plan.target) != pressed.end());
+    allocator_.SetRecall(
+        name,
+        std::ranges::find(saturated, limit.plan.target) != saturated.end());
   }
-  for (const TargetName& target : pressed) {
+  for (const TargetName& target : saturated) {
     const std::string name = SlotLimitName(target.Value());
     const auto limit = limits_.find(name);
-    if (limit == limits_.end() || is_giving_up_) {
+    if (limit == limits_.end() || is_releasing_) {
       continue;
     }
-    Asked& asked = asked_[name];
-    if (now - asked.at < kAskInterval) {
+    BorrowHistory& history = borrow_history_[name];
+    if (now - history.last_request_at < kBorrowRetryInterval) {
       continue;
     }
     if (const auto lender = ChooseLender(name, limit->second)) {
-      asked.at = now;
-      ++asked.turn;
+      history.last_request_at = now;
+      ++history.next_lender;
       due.requests.push_back(
-          book_.Borrow(name, options_.borrow_amount, *lender));
+          allocator_.Borrow(name, options_.borrow_amount, *lender));
     }
   }
   return due;
 }
 
-void CapacityManager::Apply(const OutgoingShareRequest& ask,
+void CapacityManager::Apply(const OutgoingShareRequest& outgoing,
                             const ShareGrant& grant) {
   const std::lock_guard lock(mutex_);
-  book_.Apply(ask, grant);
+  allocator_.Apply(outgoing, grant);
 }
 
-void CapacityManager::RefreshOwn() {
+void CapacityManager::RefreshOwnShares() {
   MonotonicTime valid_until = MonotonicTime::max();
   bool has_seat = false;
   for (const auto& [name, domain] : domains_) {
@@ -262,7 +264,7 @@
     has_seat = true;
     valid_until = std::min(valid_until, until);
   }
-  book_.SetOwnValidUntil(has_seat ? valid_until : MonotonicTime::min());
+  allocator_.SetOwnValidUntil(has_seat ? valid_until : MonotonicTime::min());
   for (auto& [name, limit] : limits_) {
     RefreshLimit(name, limit);
   }
@@ -273,10 +275,10 @@
   const auto seat = holder == nullptr ? std::nullopt : holder->Seat();
   const bool is_held = seat && holder->ValidUntil() > clock_.Now();
   if (!is_held) {
-    // A seat that is lost or in doubt gives nothing; when it is held again the
-    // split starts anew.
+    // A lost or unconfirmed seat has no share; the split starts anew when the
+    // seat is held again.
     limit.is_started = false;
-    book_.SetOwn(name, 0);
+    allocator_.SetOwn(name, 0);
     return;
   }
 
@@ -289,7 +291,7 @@
   }
   limit.transition.Propose(plan.split_revision, amount);
   limit.transition.Confirm(unanimous, clock_.Now());
-  book_.SetOwn(name, limit.transition.Amount());
+  allocator_.SetOwn(name, limit.transition.Amount());
 }
 
 const SeatHolder* CapacityManager::HolderOf(
@@ -320,9 +322,10 @@
   if (candidates.empty()) {
     return std::nullopt;
   }
-  const auto asked = asked_.find(name);
-  const std::size_t turn = asked == asked_.end() ? 0 : asked->second.turn;
-  return candidates[turn % candidates.size()]->host;
+  const auto history = borrow_history_.find(name);
+  const std::size_t next_lender =
+      history == borrow_history_.end() ? 0 : history->second.next_lender;
+  return candidates[next_lender % candidates.size()]->host;
 }
 
 }  // namespace medlarcroft::capacity
--- a/lib/libmedlarcroft/source/capacity/seat_holder.cc
+++ b/lib/libmedlarcroft/source/capacity/seat_holder.cc
@@ -12,13 +12,13 @@
     : options_(std::move(options)),
       table_(options_.failure_domain, store),
       clock_(clock),
-      beat_at_(clock.Now()),
-      resumed_at_(beat_at_),
-      wait_until_(beat_at_) {}
+      heartbeat_at_(clock.Now()),
+      resumed_at_(heartbeat_at_),
+      wait_until_(heartbeat_at_) {}
 
 void SeatHolder::RecordHeartbeat() {
   const std::lock_guard lock(mutex_);
-  NotePause();
+  DetectPause();
 }
 
 void SeatHolder::Step(std::uint32_t seats,
@@ -27,90 +27,93 @@
   std::uint64_t pauses = 0;
   {
     const std::lock_guard lock(mutex_);
-    NotePause();
+    DetectPause();
     pauses = pauses_;
     split_revision_ = std::max(split_revision_, split_revision);
   }
-  const auto seen = table_.Read(seats);
+  const auto snapshots = table_.Read(seats);
   std::optional<PlannedWrite> write;
   {
     const std::lock_guard lock(mutex_);
-    NotePause();
-    if (!seen) {
-      KeepWithoutPlatform(evidence);
+    DetectPause();
+    if (!snapshots) {
+      StepWithoutPlatform(evidence);
       return;
     }
-    // What was read before a pause says nothing about the time after it.
+    // Rows read before a pause may be out of date after it.
     if (pauses_ != pauses) {
       return;
     }
-    // Without any owner there is no other split that could be in use.
-    unanimous_revision_ = IsAnyTaken(*seen) ? SharedRevision(*seen)
-                                            : std::optional(split_revision_);
-    NoteOwners(*seen);
-    write = Plan(*seen, seats, evidence);
+    // Without any owner no other split can be in use.
+    unanimous_revision_ = IsAnyTaken(*snapshots)
+                              ? CommonRevision(*snapshots)
+                              : std::optional(split_revision_);
+    RecordOwners(*snapshots);
+    write = Plan(*snapshots, seats, evidence);
   }
   if (!write) {
     return;
   }
   const auto result = table_.Commit(write->transaction);
-  // Without an answer nothing is assumed: the next round reads the rows.
+  // Without an answer nothing is assumed: the next round reads the rows again.
   if (!IsOk(result) || !ValueOf(result).committed) {
     return;
   }
   const std::lock_guard lock(mutex_);
-  NotePause();
+  DetectPause();
   ApplyWrite(*write, pauses_ != pauses);
 }
 
-void SeatHolder::GiveUp() {
+void SeatHolder::ReleaseSeat() {
   const std::lock_guard lock(mutex_);
-  is_giving_up_ = true;
-  Drop();
+  is_releasing_ = true;
+  ResetSeat();
 }
 
 std::optional<SeatHandover> SeatHolder::HandOver(const SeatOwner& successor) {
   const std::lock_guard lock(mutex_);
-  NotePause();
-  if (passed_on_) {
-    return passed_on_->successor == successor ? passed_on_ : std::nullopt;
+  DetectPause();
+  if (handover_) {
+    return handover_->successor == successor ? handover_ : std::nullopt;
   }
-  if (standing_ != SeatState::kHeld || successor == options_.self) {
+  if (state_ != SeatState::kHeld || successor == options_.self) {
     return std::nullopt;
   }
-  passed_on_ = SeatHandover{.failure_domain = options_.failure_domain,
-                            .seat = *seat_,
-                            .epoch = epoch_,
-                            .generation = generation_ + 1,
-                            .adopted_revision = split_revision_,
-                            .successor = successor};
-  is_giving_up_ = true;
-  Drop();
-  return passed_on_;
+  handover_ = SeatHandover{.failure_domain = options_.failure_domain,
+                           .seat = *seat_,
+                           .epoch = epoch_,
+                           .generation = generation_ + 1,
+                           .adopted_revision = split_revision_,
+                           .successor = successor};
+  is_releasing_ = true;
+  ResetSeat();
+  return handover_;
 }
 
 bool SeatHolder::Accept(const SeatHandover& handover) {
   const std::lock_guard lock(mutex_);
-  NotePause();
+  DetectPause();
   const bool is_for_this = handover.successor == options_.self &&
                            handover.failure_domain == options_.failure_domain;
-  if (!is_for_this || is_giving_up_) {
+  if (!is_for_this || is_releasing_) {
     return false;
   }
   const std::pair number{handover.epoch, handover.generation};
-  const auto newest = seen_.find(handover.seat);
-  const bool is_repeat = newest != seen_.end() && newest->second >= number;
+  const auto newest = newest_handovers_.find(handover.seat);
+  const bool is_repeat =
+      newest != newest_handovers_.end() && newest->second >= number;
   if (is_repeat) {
     return seat_ == handover.seat && epoch_ == handover.epoch &&
            generation_ == handover.generation;
   }
-  // An older split in use here would break the sum.
-  if (standing_ != SeatState::kNone ||
+  // Adopting an older split could make the sum of shares exceed the limit.
+  if (state_ != SeatState::kNone ||
       handover.adopted_revision > split_revision_) {
     return false;
   }
-  seen_[handover.seat] = number;
-  Occupy(handover.seat, handover.epoch, options_.rules.WaitOutAfterRelease());
+  newest_handovers_[handover.seat] = number;
+  AssumeSeat(handover.seat, handover.epoch,
+             options_.rules.ReuseDelayAfterRelease());
   generation_ = handover.generation;
   is_delegated_ = true;
   return true;
@@ -118,7 +121,7 @@
 
 SeatState SeatHolder::State() const {
   const std::lock_guard lock(mutex_);
-  return standing_;
+  return state_;
 }
 
 std::optional<std::uint32_t> SeatHolder::Seat() const {
@@ -128,8 +131,8 @@
 
 MonotonicTime SeatHolder::ValidUntil() const {
   const std::lock_guard lock(mutex_);
-  return standing_ == SeatState::kHeld ? beat_at_ + options_.rules.lease
-                                       : MonotonicTime::min();
+  return state_ == SeatState::kHeld ? heartbeat_at_ + options_.rules.lease
+                                    : MonotonicTime::min();
 }
 
 std::vector<HostName> SeatHolder::HostsToProbe(
@@ -139,9 +142,8 @@
   for (const PeerEvidence& peer : evidence.peers) {
     const bool is_owner =
         std::ranges::find(owners_, peer.host) != owners_.end();
-    if (standing_ == SeatState::kUnconfirmed ||
-        standing_ == SeatState::kWaiting || options_.is_sibling ||
-        (is_owner && !peer.is_listed_live)) {
+    if (state_ == SeatState::kUnconfirmed || state_ == SeatState::kWaiting ||
+        options_.is_sibling || (is_owner && !peer.is_listed_live)) {
       hosts.push_back(peer.host);
     }
   }
@@ -154,7 +156,7 @@
 }
 
 bool SeatHolder::WantsSeat(const DomainEvidence& evidence) const {
-  if (is_giving_up_) {
+  if (is_releasing_) {
     return false;
   }
   return !options_.is_sibling ||
@@ -164,7 +166,7 @@
 
 bool SeatHolder::IsClaimedByPeer(std::uint32_t seat,
                                  const DomainEvidence& evidence) const {
-  return IsSeatDisputed(seat, evidence, clock_.Now() - options_.rules.lease);
+  return IsSeatContested(seat, evidence, clock_.Now() - options_.rules.lease);
 }
 
 void SeatHolder::ApplyWrite(const PlannedWrite& write, bool was_paused) {
@@ -178,88 +180,89 @@
     }
     return;
   }
-  if (standing_ != SeatState::kNone || is_giving_up_) {
-    return;  // Freed as a stray row in the next round.
+  if (state_ != SeatState::kNone || is_releasing_) {
+    return;  // Freed as an orphaned row in the next round.
   }
-  Occupy(write.seat, write.row.epoch, write.wait);
+  AssumeSeat(write.seat, write.row.epoch, write.wait);
   if (was_paused) {
-    standing_ = SeatState::kUnconfirmed;
+    state_ = SeatState::kUnconfirmed;
   }
 }
 
-void SeatHolder::KeepWithoutPlatform(const DomainEvidence& evidence) {
-  if (standing_ == SeatState::kNone) {
+void SeatHolder::StepWithoutPlatform(const DomainEvidence& evidence) {
+  if (state_ == SeatState::kNone) {
     return;
   }
-  const bool must_yield = standing_ == SeatState::kWaiting ||
-                          (standing_ == SeatState::kHeld && is_provisional_);
+  const bool must_yield = state_ == SeatState::kWaiting ||
+                          (state_ == SeatState::kHeld && is_provisional_);
   if (must_yield && IsClaimedByPeer(*seat_, evidence)) {
-    Drop();
+    ResetSeat();
     return;
   }
-  if (standing_ == SeatState::kUnconfirmed) {
-    if (!IsDoubtOver(evidence)) {
+  if (state_ == SeatState::kUnconfirmed) {
+    if (!MayResume(evidence)) {
       return;
     }
     is_provisional_ = true;
   }
-  Settle(evidence);
+  UpdateState(evidence);
 }
 
-void SeatHolder::NoteOwners(const SeenSeats& seen) {
+void SeatHolder::RecordOwners(const SeatSnapshots& snapshots) {
   owners_.clear();
-  for (const SeenSeat& entry : seen) {
-    if (entry.IsTaken() && standing_ == SeatState::kNone) {
+  for (const SeatSnapshot& entry : snapshots) {
+    if (entry.IsTaken() && state_ == SeatState::kNone) {
       owners_.push_back(entry.row.owner.host);
     }
   }
 }
 
-bool SeatHolder::IsDoubtOver(const DomainEvidence& evidence) {
+bool SeatHolder::MayResume(const DomainEvidence& evidence) {
   const MonotonicTime now = clock_.Now();
-  if (IsSeatDisputed(*seat_, evidence, resumed_at_)) {
-    undisputed_since_ = now;
+  if (IsSeatContested(*seat_, evidence, resumed_at_)) {
+    uncontested_since_ = now;
   }
-  return HasCalledAll(evidence, resumed_at_) &&
-         now - undisputed_since_ > options_.rules.WaitOutAfterRelease();
+  return HasProbedAll(evidence, resumed_at_) &&
+         now - uncontested_since_ > options_.rules.ReuseDelayAfterRelease();
 }
 
-// Failure: this process is stopped for a minute, a sibling takes the seat, and
-// on waking both use it; the target gets more than its slots. The clock counts
-// on through the pause, so the gap between two beats shows it, and
-// `ValidUntil`, which passed meanwhile, stops the dispatch even before this.
-void SeatHolder::NotePause() {
+// Guards against two users of a seat after a pause: this process is stopped for
+// a minute, a sibling takes the seat, and after resuming both use it, so the
+// target gets more requests than it has slots. The clock advances during the
+// pause, so the gap between two heartbeats reveals it. `ValidUntil` has passed
+// by then and stops dispatching even before this check.
+void SeatHolder::DetectPause() {
   const MonotonicTime now = clock_.Now();
-  const Duration gap = now - beat_at_;
-  beat_at_ = now;
+  const Duration gap = now - heartbeat_at_;
+  heartbeat_at_ = now;
   if (gap <= options_.rules.lease) {
     return;
   }
-  // Whoever takes a seat waits as long before it uses it.
-  was_long_pause_ = gap > options_.rules.WaitOut() ||
-                    (was_long_pause_ && standing_ == SeatState::kUnconfirmed);
+  // A host that takes a seat waits for the same time before it uses it.
+  was_long_pause_ = gap > options_.rules.ReuseDelay() ||
+                    (was_long_pause_ && state_ == SeatState::kUnconfirmed);
   ++pauses_;
   resumed_at_ = now;
-  undisputed_since_ = now;
-  if (standing_ != SeatState::kNone) {
-    standing_ = SeatState::kUnconfirmed;
+  uncontested_since_ = now;
+  if (state_ != SeatState::kNone) {
+    state_ = SeatState::kUnconfirmed;
   }
 }
 
-// Failure: the seat had been handed to a host that does not reach the platform,
-// whose claim goes round slowly at 52 hosts, and both use the seat. So the new
-// owner has called every peer before it uses it; one that claims the seat
-// shows.
-void SeatHolder::Settle(const DomainEvidence& evidence) {
+// Guards against two users of a seat after a handover: the seat was handed over
+// to a host that cannot reach the platform, and with 52 hosts its claim spreads
+// slowly. The new owner therefore calls every peer before it uses the seat; a
+// peer that claims the seat is found that way.
+void SeatHolder::UpdateState(const DomainEvidence& evidence) {
   const bool had_owner = wait_until_ > taken_at_;
   const bool is_waiting = clock_.Now() < wait_until_ ||
-                          (had_owner && !HasCalledAll(evidence, taken_at_));
-  standing_ = is_waiting ? SeatState::kWaiting : SeatState::kHeld;
+                          (had_owner && !HasProbedAll(evidence, taken_at_));
+  state_ = is_waiting ? SeatState::kWaiting : SeatState::kHeld;
 }
 
-void SeatHolder::Occupy(std::uint32_t seat,
-                        std::uint64_t epoch,
-                        Duration wait) {
+void SeatHolder::AssumeSeat(std::uint32_t seat,
+                            std::uint64_t epoch,
+                            Duration wait) {
   seat_ = seat;
   epoch_ = epoch;
   generation_ = 0;
@@ -267,11 +270,11 @@
   is_provisional_ = false;
   taken_at_ = clock_.Now();
   wait_until_ = taken_at_ + wait;
-  standing_ = wait > Duration::zero() ? SeatState::kWaiting : SeatState::kHeld;
+  state_ = wait > Duration::zero() ? SeatState::kWaiting : SeatState::kHeld;
 }
 
-void SeatHolder::Drop() {
-  standing_ = SeatState::kNone;
+void SeatHolder::ResetSeat() {
+  state_ = SeatState::kNone;
   seat_.reset();
   is_delegated_ = false;
   is_provisional_ = false;
--- a/lib/libmedlarcroft/source/capacity/seat_holder_plan.cc
+++ b/lib/libmedlarcroft/source/capacity/seat_holder_plan.cc
@@ -1,4 +1,4 @@
-// How a `SeatHolder` chooses its next write from what the rows show.
+// Chooses the next write of a `SeatHolder` from the rows read.
 #include <algorithm>
 #include <functional>
 
@@ -8,60 +8,61 @@
 namespace medlarcroft::capacity {
 
 std::optional<SeatHolder::PlannedWrite> SeatHolder::Plan(
-    const SeenSeats& seen,
+    const SeatSnapshots& snapshots,
     std::uint32_t seats,
     const DomainEvidence& evidence) {
   const bool is_undeclared = seat_ && *seat_ >= seats;
   if (!WantsSeat(evidence) || is_undeclared) {
-    Drop();
-    return PlanFree(seen);
+    ResetSeat();
+    return PlanFree(snapshots);
   }
-  if (standing_ == SeatState::kNone) {
-    return PlanTake(seen, seats, evidence);
+  if (state_ == SeatState::kNone) {
+    return PlanTake(snapshots, seats, evidence);
   }
-  if (auto write = PlanKeep(seen, evidence)) {
+  if (auto write = PlanKeep(snapshots, evidence)) {
     return write;
   }
-  return PlanFree(seen);
+  return PlanFree(snapshots);
 }
 
 std::optional<SeatHolder::PlannedWrite> SeatHolder::PlanTake(
-    const SeenSeats& seen,
+    const SeatSnapshots& snapshots,
     std::uint32_t seats,
     const DomainEvidence& evidence) {
-  // With an older catalogue the seat could not be used, and the growth of the
-  // others' parts would wait for it.
-  const bool is_behind = std::ranges::any_of(seen, [this](const SeenSeat& s) {
-    return !s.row.owner.host.IsEmpty() &&
-           s.row.adopted_revision > split_revision_;
-  });
+  // With an older catalogue the seat would be unusable, and the other shares
+  // could not grow until this host caught up.
+  const bool is_behind =
+      std::ranges::any_of(snapshots, [this](const SeatSnapshot& s) {
+        return !s.row.owner.host.IsEmpty() &&
+               s.row.adopted_revision > split_revision_;
+      });
   if (is_behind || seats == 0) {
     return std::nullopt;
   }
-  const auto is_own = [this](const SeenSeat& s) {
+  const auto is_own = [this](const SeatSnapshot& s) {
     return s.row.owner.host == options_.self.host;
   };
-  const auto own = std::ranges::find_if(seen, is_own);
-  if (own != seen.end() && own->seat < seats) {
-    // A write of this process whose answer was lost, or the seat of its
+  const auto own = std::ranges::find_if(snapshots, is_own);
+  if (own != snapshots.end() && own->seat < seats) {
+    // Either a write of this process whose answer was lost, or the seat of its
     // predecessor on this host.
     if (own->row.owner == options_.self) {
-      Occupy(own->seat, own->row.epoch, options_.rules.WaitOut());
+      AssumeSeat(own->seat, own->row.epoch, options_.rules.ReuseDelay());
       return std::nullopt;
     }
-    // The predecessor may have passed it on before it ended.
+    // The predecessor may have handed it over before it ended.
     return IsClaimedByPeer(own->seat, evidence)
                ? std::nullopt
-               : std::optional(WriteTo(*own, seen, WriteKind::kTake));
+               : std::optional(MakeWrite(*own, snapshots, WriteKind::kTake));
   }
   const std::size_t first = std::hash<HostName>()(options_.self.host) % seats;
-  const SeenSeat* best = nullptr;
+  const SeatSnapshot* best = nullptr;
   for (std::uint32_t i = 0; i < seats; ++i) {
-    const SeenSeat& candidate = seen[(first + i) % seats];
+    const SeatSnapshot& candidate = snapshots[(first + i) % seats];
     if (!MayTake(candidate, evidence)) {
       continue;
     }
-    // One without an owner before one that was abandoned.
+    // Prefer a seat without an owner to an abandoned one.
     if (best == nullptr || (candidate.row.owner.host.IsEmpty() &&
                             !best->row.owner.host.IsEmpty())) {
       best = &candidate;
@@ -69,90 +70,94 @@
   }
   return best == nullptr
              ? std::nullopt
-             : std::optional(WriteTo(*best, seen, WriteKind::kTake));
+             : std::optional(MakeWrite(*best, snapshots, WriteKind::kTake));
 }
 
 std::optional<SeatHolder::PlannedWrite> SeatHolder::PlanKeep(
-    const SeenSeats& seen,
+    const SeatSnapshots& snapshots,
     const DomainEvidence& evidence) {
   const auto found = std::ranges::find_if(
-      seen, [this](const SeenSeat& s) { return s.seat == *seat_; });
-  if (found == seen.end() || !found->is_readable) {
+      snapshots, [this](const SeatSnapshot& s) { return s.seat == *seat_; });
+  if (found == snapshots.end() || !found->is_readable) {
     return std::nullopt;
   }
   const bool is_named = found->row.owner == options_.self;
   const bool is_delegation = is_delegated_ && found->row.epoch == epoch_;
   if (!is_named && !is_delegation) {
-    Drop();
+    ResetSeat();
     return std::nullopt;
   }
-  // The owner that was thought gone is back and uses the seat.
-  if (standing_ == SeatState::kWaiting && IsClaimedByPeer(*seat_, evidence)) {
-    Drop();
-    return WriteTo(*found, seen, WriteKind::kFree);
+  // The owner that was considered gone is back and uses the seat.
+  if (state_ == SeatState::kWaiting && IsClaimedByPeer(*seat_, evidence)) {
+    ResetSeat();
+    return MakeWrite(*found, snapshots, WriteKind::kFree);
   }
   if (is_named) {
     epoch_ = found->row.epoch;
     is_delegated_ = false;
   }
-  // Failure: the row still names this process after a long pause, but a former
-  // owner, with the platform down and this one silent, took the seat up again
-  // and has work running. It sees the claim and drops the seat; then its work
-  // has to end.
-  if (standing_ == SeatState::kUnconfirmed && was_long_pause_ &&
-      !evidence.peers.empty() && !IsDoubtOver(evidence)) {
+  // Guards against two users of a seat after a long pause: the row still names
+  // this process, but while the platform was down and this process was silent,
+  // a former owner took the seat again and has work running. That owner sees
+  // this host's claim and drops the seat; its work must end before the seat is
+  // used here.
+  if (state_ == SeatState::kUnconfirmed && was_long_pause_ &&
+      !evidence.peers.empty() && !MayResume(evidence)) {
     return std::nullopt;
   }
   is_provisional_ = false;
-  Settle(evidence);
+  UpdateState(evidence);
   const bool is_current =
       is_named && found->row.adopted_revision >= split_revision_;
-  return is_current ? std::nullopt
-                    : std::optional(WriteTo(*found, seen, WriteKind::kUpdate));
+  return is_current
+             ? std::nullopt
+             : std::optional(MakeWrite(*found, snapshots, WriteKind::kUpdate));
 }
 
 std::optional<SeatHolder::PlannedWrite> SeatHolder::PlanFree(
-    const SeenSeats& seen) const {
-  const auto stray = std::ranges::find_if(seen, [this](const SeenSeat& s) {
-    return s.row.owner == options_.self && seat_ != s.seat;
-  });
-  // A seat that was passed on stays in this name until the successor, which
-  // refers to its epoch, writes its own.
-  if (stray == seen.end() || (passed_on_ && passed_on_->seat == stray->seat)) {
+    const SeatSnapshots& snapshots) const {
+  const auto orphan =
+      std::ranges::find_if(snapshots, [this](const SeatSnapshot& s) {
+        return s.row.owner == options_.self && seat_ != s.seat;
+      });
+  // After a handover the row keeps this owner until the successor, whose
+  // handover refers to this epoch, writes its own row.
+  if (orphan == snapshots.end() ||
+      (handover_ && handover_->seat == orphan->seat)) {
     return std::nullopt;
   }
-  return WriteTo(*stray, seen, WriteKind::kFree);
+  return MakeWrite(*orphan, snapshots, WriteKind::kFree);
 }
 
-SeatHolder::PlannedWrite SeatHolder::WriteTo(const SeenSeat& seen,
-                                             const SeenSeats& conditions,
-                                             WriteKind kind) const {
+SeatHolder::PlannedWrite SeatHolder::MakeWrite(const SeatSnapshot& snapshot,
+                                               const SeatSnapshots& conditions,
+                                               WriteKind kind) const {
   PlannedWrite write{.kind = kind,
-                     .seat = seen.seat,
+                     .seat = snapshot.seat,
                      .row = {.owner = options_.self,
-                             .epoch = seen.row.epoch + 1,
+                             .epoch = snapshot.row.epoch + 1,
                              .adopted_revision = split_revision_},
-                     .wait = seen.IsTaken()
-                                 ? options_.rules.WaitOut()
-                                 : options_.rules.WaitOutAfterRelease()};
-  if (seen.version == 0) {
-    write.wait = Duration::zero();  // Nobody ever had it.
+                     .wait = snapshot.IsTaken()
+                                 ? options_.rules.ReuseDelay()
+                                 : options_.rules.ReuseDelayAfterRelease()};
+  if (snapshot.version == 0) {
+    write.wait = Duration::zero();  // No process has ever held it.
   }
   if (kind == WriteKind::kFree) {
     write.row.owner = {};
   }
-  if (kind == WriteKind::kUpdate && seen.row.owner == options_.self) {
-    write.row.epoch = seen.row.epoch;
+  if (kind == WriteKind::kUpdate && snapshot.row.owner == options_.self) {
+    write.row.epoch = snapshot.row.epoch;
   }
-  // A take depends on what all rows say: a holder that adopts a newer split
-  // meanwhile must not overlook the newcomer.
-  write.transaction =
-      table_.WriteIf(kind == WriteKind::kTake ? conditions : SeenSeats{seen},
-                     seen.seat, write.row);
+  // Taking a seat depends on all rows: a holder that adopts a newer split at
+  // the same time must not miss the new owner.
+  write.transaction = table_.WriteIf(
+      kind == WriteKind::kTake ? conditions : SeatSnapshots{snapshot},
+      snapshot.seat, write.row);
   return write;
 }
 
-bool SeatHolder::MayTake(const SeenSeat& candidate,
+bool SeatHolder::MayTake(const SeatSnapshot& candidate,
                          const DomainEvidence& evidence) const {
   if (!candidate.is_readable) {
     return false;
--- a/lib/libmedlarcroft/source/capacity/seat_pacing.cc
+++ b/lib/libmedlarcroft/source/capacity/seat_pacing.cc
@@ -6,17 +6,17 @@
 
 namespace {
 
-constexpr Duration kShortest = std::chrono::milliseconds(2500);
-constexpr Duration kUnsettled = std::chrono::milliseconds(400);
-constexpr Duration kPerRow = std::chrono::milliseconds(100);
+constexpr Duration kMinInterval = std::chrono::milliseconds(2500);
+constexpr Duration kUnsettledInterval = std::chrono::milliseconds(400);
+constexpr Duration kIntervalPerRow = std::chrono::milliseconds(100);
 
 }  // namespace
 
 Duration SeatPollInterval(const SeatPacingInputs& inputs) {
   if (!inputs.is_settled) {
-    return kUnsettled;
+    return kUnsettledInterval;
   }
-  return std::max(kShortest, kPerRow * inputs.declared_seats);
+  return std::max(kMinInterval, kIntervalPerRow * inputs.declared_seats);
 }
 
 }  // namespace medlarcroft::capacity
--- a/lib/libmedlarcroft/source/capacity/seat_table.cc
+++ b/lib/libmedlarcroft/source/capacity/seat_table.cc
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// More seats than the planned 52 hosts of a domain.
+/// More than the planned 52 hosts per domain.
 constexpr std::size_t kMaxSeatRows = 256;
 
-std::optional<std::uint32_t> SeatOfKey(std::string_view key) {
+std::optional<std::uint32_t> ParseSeatNumber(std::string_view key) {
   const std::string_view number = key.substr(key.rfind('/') + 1);
   std::uint32_t seat = 0;
   const auto read =
@@ -22,9 +22,9 @@
 
 }  // namespace
 
-std::optional<std::uint64_t> SharedRevision(const SeenSeats& seen) {
+std::optional<std::uint64_t> CommonRevision(const SeatSnapshots& snapshots) {
   std::optional<std::uint64_t> common;
-  for (const SeenSeat& entry : seen) {
+  for (const SeatSnapshot& entry : snapshots) {
     if (!entry.is_readable) {
       return std::nullopt;
     }
@@ -39,8 +39,8 @@
   return common;
 }
 
-bool IsAnyTaken(const SeenSeats& seen) {
-  return std::ranges::any_of(seen, [](const SeenSeat& entry) {
+bool IsAnyTaken(const SeatSnapshots& snapshots) {
+  return std::ranges::any_of(snapshots, [](const SeatSnapshot& entry) {
     return !entry.is_readable || entry.IsTaken();
   });
 }
@@ -48,39 +48,39 @@
 SeatTable::SeatTable(FailureDomainName failure_domain, ports::TableStore& store)
     : failure_domain_(std::move(failure_domain)), store_(store) {}
 
-std::optional<SeenSeats> SeatTable::Read(std::uint32_t seats) {
+std::optional<SeatSnapshots> SeatTable::Read(std::uint32_t seats) {
   const std::string first = SeatRowKey(failure_domain_, 0);
   const std::string prefix = first.substr(0, first.rfind('/') + 1);
   const auto rows = store_.Scan(prefix, prefix + "~", kMaxSeatRows);
   if (!IsOk(rows)) {
     return std::nullopt;
   }
-  SeenSeats seen(seats);
+  SeatSnapshots snapshots(seats);
   for (std::uint32_t seat = 0; seat < seats; ++seat) {
-    seen[seat].seat = seat;
+    snapshots[seat].seat = seat;
   }
   for (const ports::Row& row : ValueOf(rows)) {
-    const auto seat = SeatOfKey(row.key);
+    const auto seat = ParseSeatNumber(row.key);
     if (!seat) {
       continue;
     }
     if (*seat >= seats) {
-      seen.push_back({.seat = *seat});
+      snapshots.push_back({.seat = *seat});
     }
-    SeenSeat& entry = *seat >= seats ? seen.back() : seen[*seat];
+    SeatSnapshot& entry = *seat >= seats ? snapshots.back() : snapshots[*seat];
     const auto value = DecodeSeatRow(row.value);
     entry.version = row.version;
     entry.is_readable = value.has_value();
     entry.row = value.value_or(SeatRow{});
   }
-  return seen;
+  return snapshots;
 }
 
-ports::Transaction SeatTable::WriteIf(const SeenSeats& conditions,
+ports::Transaction SeatTable::WriteIf(const SeatSnapshots& conditions,
                                       std::uint32_t seat,
                                       const SeatRow& row) const {
   ports::Transaction transaction;
-  for (const SeenSeat& entry : conditions) {
+  for (const SeatSnapshot& entry : conditions) {
     transaction.conditions.push_back(
         {.key = SeatRowKey(failure_domain_, entry.seat),
          .version = entry.version});
--- a/lib/libmedlarcroft/source/capacity/share_allocator.cc
+++ b/lib/libmedlarcroft/source/capacity/share_allocator.cc
@@ -16,38 +16,39 @@
     : options_(std::move(options)), clock_(clock) {}
 
 void ShareAllocator::SetOwn(std::string_view limit_name, std::uint32_t amount) {
-  LimitOf(limit_name).own = amount;
+  FindOrAddLimit(limit_name).own = amount;
 }
 
 std::optional<AcquiredUnit> ShareAllocator::TryAcquire(
     std::string_view limit_name) {
   const MonotonicTime now = clock_.Now();
-  Limit& limit = LimitOf(limit_name);
-  AcquiredUnit use{.limit_name = std::string(limit_name),
-                   .finish_by = now + options_.rules.max_work};
-  // Loans first: own units stay free to be lent.
+  Limit& limit = FindOrAddLimit(limit_name);
+  AcquiredUnit unit{.limit_name = std::string(limit_name),
+                    .deadline = now + options_.rules.max_work};
+  // Loans come first, so that own units remain available for lending.
   for (auto& [id, loan] : limit.loans) {
-    if (!loan.is_pending && now < loan.until && loan.in_use < loan.amount) {
+    if (!loan.is_pending && now < loan.valid_until &&
+        loan.in_use < loan.amount) {
       ++loan.in_use;
       loan.last_used = now;
-      use.loan = id;
-      return use;
+      unit.loan = id;
+      return unit;
     }
   }
-  if (OwnFree(limit, now) == 0) {
+  if (FreeOwnUnits(limit, now) == 0) {
     return std::nullopt;
   }
   ++limit.own_in_use;
-  return use;
+  return unit;
 }
 
-void ShareAllocator::Release(const AcquiredUnit& use) {
-  Limit& limit = LimitOf(use.limit_name);
-  if (use.loan == 0) {
+void ShareAllocator::Release(const AcquiredUnit& unit) {
+  Limit& limit = FindOrAddLimit(unit.limit_name);
+  if (unit.loan == 0) {
     --limit.own_in_use;
     return;
   }
-  const auto found = limit.loans.find(use.loan);
+  const auto found = limit.loans.find(unit.loan);
   if (found == limit.loans.end()) {
     return;
   }
@@ -58,20 +59,20 @@
 
 ShareGrant ShareAllocator::Lend(const ShareRequest& request) {
   const MonotonicTime now = clock_.Now();
-  Limit& limit = LimitOf(request.limit_name);
-  limit.lent.DropEnded(now);
-  const bool may_renew = !limit.is_wanted_back && now < own_valid_until_ &&
+  Limit& limit = FindOrAddLimit(request.limit_name);
+  limit.lent.RemoveExpired(now);
+  const bool may_renew = !limit.is_recalling && now < own_valid_until_ &&
                          limit.own_in_use + limit.lent.Total() <= limit.own;
-  const std::uint32_t free = limit.is_wanted_back ? 0 : OwnFree(limit, now);
+  const std::uint32_t free = limit.is_recalling ? 0 : FreeOwnUnits(limit, now);
   return limit.lent.Lend(request, free, may_renew, now);
 }
 
 void ShareAllocator::AcceptReturn(const ShareRequest& request) {
-  LimitOf(request.limit_name).lent.AcceptReturn(request, clock_.Now());
+  FindOrAddLimit(request.limit_name).lent.AcceptReturn(request, clock_.Now());
 }
 
-void ShareAllocator::WantBack(std::string_view limit_name, bool is_wanted) {
-  LimitOf(limit_name).is_wanted_back = is_wanted;
+void ShareAllocator::SetRecall(std::string_view limit_name, bool is_recalling) {
+  FindOrAddLimit(limit_name).is_recalling = is_recalling;
 }
 
 OutgoingShareRequest ShareAllocator::Borrow(std::string_view limit_name,
@@ -79,23 +80,26 @@
                                             const HostName& lender) {
   const MonotonicTime now = clock_.Now();
   const std::uint64_t id = ++last_request_id_;
-  LimitOf(limit_name).loans[id] = {
-      .lender = lender, .until = now + options_.rules.lease, .last_used = now};
+  FindOrAddLimit(limit_name).loans[id] = {
+      .lender = lender,
+      .valid_until = now + options_.rules.lease,
+      .last_used = now};
   return {.lender = lender,
-          .request = RequestFor(limit_name, id, amount),
+          .request = MakeRequest(limit_name, id, amount),
           .sent_at = now};
 }
 
-void ShareAllocator::Apply(const OutgoingShareRequest& ask,
+void ShareAllocator::Apply(const OutgoingShareRequest& outgoing,
                            const ShareGrant& grant) {
-  Limit& limit = LimitOf(ask.request.limit_name);
-  const auto found = limit.loans.find(ask.request.request_id);
+  Limit& limit = FindOrAddLimit(outgoing.request.limit_name);
+  const auto found = limit.loans.find(outgoing.request.request_id);
   if (found == limit.loans.end() ||
-      grant.request_id != ask.request.request_id) {
+      grant.request_id != outgoing.request.request_id) {
     return;
   }
   Loan& loan = found->second;
-  const bool is_older = !loan.is_pending && ask.sent_at <= loan.asked_at;
+  const bool is_older =
+      !loan.is_pending && outgoing.sent_at <= loan.applied_sent_at;
   if (is_older) {
     return;
   }
@@ -103,14 +107,15 @@
     loan.last_used = clock_.Now();
   }
   loan.is_pending = false;
-  loan.asked_at = ask.sent_at;
+  loan.applied_sent_at = outgoing.sent_at;
   if (grant.amount == 0) {
-    return;  // What was granted before lapses at its time.
+    return;  // The earlier grant stays valid until its own expiry.
   }
-  // The lender held at least this much since it received the request, which was
-  // no earlier than it was sent.
+  // The lender has reserved this amount since it received the request, which is
+  // no earlier than the time it was sent.
   loan.amount = grant.amount;
-  loan.until = ask.sent_at + std::min(grant.lease, options_.rules.lease);
+  loan.valid_until =
+      outgoing.sent_at + std::min(grant.lease, options_.rules.lease);
 }
 
 std::vector<OutgoingShareRequest> ShareAllocator::Renewals() {
@@ -118,13 +123,13 @@
   std::vector<OutgoingShareRequest> requests;
   for (auto& [name, limit] : limits_) {
     for (const auto& [id, loan] : limit.loans) {
-      const bool is_due = loan.until - now < options_.rules.lease / 2;
+      const bool is_due = loan.valid_until - now < options_.rules.lease / 2;
       const bool is_useful =
           loan.in_use > 0 || now - loan.last_used < options_.return_idle_after;
-      if (!loan.is_pending && loan.amount > 0 && now < loan.until && is_due &&
-          is_useful) {
+      if (!loan.is_pending && loan.amount > 0 && now < loan.valid_until &&
+          is_due && is_useful) {
         requests.push_back({.lender = loan.lender,
-                            .request = RequestFor(name, id, loan.amount),
+                            .request = MakeRequest(name, id, loan.amount),
                             .sent_at = now});
       }
     }
@@ -146,8 +151,8 @@
   std::vector<OutgoingShareRequest> requests;
   for (auto& [name, limit] : limits_) {
     for (auto loan = limit.loans.begin(); loan != limit.loans.end();) {
-      const bool is_over = now >= loan->second.until;
-      // One without an answer may still be granted until its lease is over.
+      const bool is_over = now >= loan->second.valid_until;
+      // A loan without an answer may still be granted until its lease is over.
       const bool is_refused =
           !loan->second.is_pending && loan->second.amount == 0;
       const bool is_idle = is_refused || (!loan->second.is_pending &&
@@ -156,12 +161,13 @@
         ++loan;
         continue;
       }
-      // Also sent without an answer: the lender may hold a unit back whose
-      // grant was lost. Nothing was lent when the answer was a refusal.
+      // Send the return even without an answer: the grant may have been lost
+      // while the lender reserves a unit for it. After a refusal nothing was
+      // lent.
       if (!is_refused) {
         requests.push_back(
             {.lender = loan->second.lender,
-             .request = RequestFor(name, loan->first, loan->second.amount),
+             .request = MakeRequest(name, loan->first, loan->second.amount),
              .sent_at = now});
       }
       loan = limit.loans.erase(loan);
@@ -181,7 +187,7 @@
                    .own_in_use = limit.own_in_use,
                    .lent = limit.lent.Total()};
   for (const auto& [id, loan] : limit.loans) {
-    if (loan.is_pending || now >= loan.until) {
+    if (loan.is_pending || now >= loan.valid_until) {
       continue;
     }
     state.borrowed += loan.amount;
@@ -190,7 +196,8 @@
   return state;
 }
 
-ShareAllocator::Limit& ShareAllocator::LimitOf(std::string_view limit_name) {
+ShareAllocator::Limit& ShareAllocator::FindOrAddLimit(
+    std::string_view limit_name) {
   const auto found = limits_.find(limit_name);
   if (found != limits_.end()) {
     return found->second;
@@ -199,15 +206,16 @@
       .first->second;
 }
 
-std::uint32_t ShareAllocator::OwnFree(Limit& limit, MonotonicTime now) const {
-  limit.lent.DropEnded(now);
+std::uint32_t ShareAllocator::FreeOwnUnits(Limit& limit,
+                                           MonotonicTime now) const {
+  limit.lent.RemoveExpired(now);
   const std::uint32_t taken = limit.own_in_use + limit.lent.Total();
   return now < own_valid_until_ && limit.own > taken ? limit.own - taken : 0;
 }
 
-ShareRequest ShareAllocator::RequestFor(std::string_view limit_name,
-                                        std::uint64_t loan,
-                                        std::uint32_t amount) const {
+ShareRequest ShareAllocator::MakeRequest(std::string_view limit_name,
+                                         std::uint64_t loan,
+                                         std::uint32_t amount) const {
   return {.borrower = options_.host,
           .incarnation = options_.incarnation,
           .request_id = loan,
--- a/lib/libmedlarcroft/source/capacity/token_share.cc
+++ b/lib/libmedlarcroft/source/capacity/token_share.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// A request is remembered this many token lifetimes: a duplicate that comes
-/// later is answered anew, and its borrower no longer takes the tokens.
+/// Number of token lifetimes for which a request is remembered. A later
+/// duplicate is answered anew, but its borrower no longer accepts the tokens.
 constexpr int kRememberedLifetimes = 10;
 constexpr std::size_t kMaxRemembered = 1024;
 
@@ -40,22 +40,22 @@
 
 ShareGrant TokenShare::Lend(const ShareRequest& request, MonotonicTime now) {
   Refill(now);
-  DropOld(now);
+  RemoveExpired(now);
   const RequestKey key{request.borrower,
                        {request.incarnation, request.request_id}};
-  const auto found = given_.find(key);
-  if (found != given_.end()) {
+  const auto found = grants_.find(key);
+  if (found != grants_.end()) {
     return {.request_id = request.request_id,
             .amount = found->second.amount,
             .lease = options_.token_lifetime};
   }
-  if (now >= valid_until_ || given_.size() >= kMaxRemembered) {
+  if (now >= valid_until_ || grants_.size() >= kMaxRemembered) {
     return {.request_id = request.request_id};
   }
   const auto whole = static_cast<std::uint32_t>(std::floor(tokens_));
   const std::uint32_t amount = std::min(request.amount, whole);
   tokens_ -= amount;
-  given_[key] = {
+  grants_[key] = {
       .amount = amount,
       .forget_at = now + (options_.token_lifetime * kRememberedLifetimes)};
   return {.request_id = request.request_id,
@@ -66,20 +66,21 @@
 void TokenShare::Receive(const ShareGrant& grant,
                          MonotonicTime sent_at,
                          MonotonicTime now) {
-  DropOld(now);
+  RemoveExpired(now);
   const Duration lifetime = std::min(grant.lease, options_.token_lifetime);
   if (grant.amount == 0 || now >= sent_at + lifetime) {
     return;
   }
-  // Spent loans stay until their time, so that a repeated answer finds them.
+  // Keep spent loans until they expire, so that a repeated answer is
+  // recognised.
   borrowed_.try_emplace(
       grant.request_id,
-      Borrowed{.amount = grant.amount, .until = sent_at + lifetime});
+      Borrowed{.amount = grant.amount, .valid_until = sent_at + lifetime});
 }
 
 double TokenShare::Available(MonotonicTime now) {
   Refill(now);
-  DropOld(now);
+  RemoveExpired(now);
   double available = now < valid_until_ ? tokens_ : 0.0;
   for (const auto& [id, loan] : borrowed_) {
     available += loan.amount;
@@ -88,8 +89,8 @@
 }
 
 void TokenShare::Refill(MonotonicTime now) {
-  // Earning stops with the seat's validity: the time of a pause, in which
-  // another host may have held the seat, must not be credited.
+  // Tokens are earned only while the seat is valid: during a pause another host
+  // may have held the seat, so that time must not be credited.
   const MonotonicTime end = std::min(now, valid_until_);
   if (end > refilled_at_) {
     tokens_ += ToSeconds(end - refilled_at_) * options_.rate;
@@ -98,12 +99,13 @@
   refilled_at_ = std::max(refilled_at_, now);
 }
 
-void TokenShare::DropOld(MonotonicTime now) {
-  std::erase_if(given_, [now](const auto& given) {
-    return given.second.forget_at <= now;
+void TokenShare::RemoveExpired(MonotonicTime now) {
+  std::erase_if(grants_, [now](const auto& entry) {
+    return entry.second.forget_at <= now;
+  });
+  std::erase_if(borrowed_, [now](const auto& loan) {
+    return loan.second.valid_until <= now;
   });
-  std::erase_if(borrowed_,
-                [now](const auto& loan) { return loan.second.until <= now; });
 }
 
 }  // namespace medlarcroft::capacity
--- a/lib/libmedlarcroft/source/forwarding/forward_proof.cc
+++ b/lib/libmedlarcroft/source/forwarding/forward_proof.cc
@@ -14,12 +14,12 @@
 
 namespace {
 
-constexpr std::string_view kShiftName = "shift";
-constexpr std::string_view kIssuerName = "issuer";
+constexpr std::string_view kShiftText = "shift";
+constexpr std::string_view kIssuerText = "issuer";
 constexpr char kSeparator = ';';
 constexpr std::string_view kHexDigits = "0123456789abcdef";
 
-/// The last whole millisecond that a wall time in nanoseconds can hold.
+/// The last whole millisecond that fits a wall time in nanoseconds.
 constexpr std::int64_t kMaxMilliseconds =
     std::numeric_limits<std::int64_t>::max() / 1'000'000;
 
@@ -36,7 +36,8 @@
 
 std::string SignedText(const ForwardClaim& claim,
                        const ForwardedRequest& request) {
-  // A line feed can stand in none of the parts, since each came from a head.
+  // No part can contain a line feed, because each comes from the request line
+  // or a header.
   std::string text = FormatForwardClaim(claim);
   for (const std::string_view part :
        {request.method, request.path, request.idempotency_key}) {
@@ -50,7 +51,7 @@
 
 std::string FormatForwardClaim(const ForwardClaim& claim) {
   const bool is_shift = claim.kind == ForwardKind::kShift;
-  std::string text(is_shift ? kShiftName : kIssuerName);
+  std::string text(is_shift ? kShiftText : kIssuerText);
   text += kSeparator;
   text += claim.sender.Value();
   text += kSeparator;
@@ -67,9 +68,9 @@
 
   ForwardClaim claim;
   const std::string_view kind = text.substr(0, first);
-  if (kind == kShiftName) {
+  if (kind == kShiftText) {
     claim.kind = ForwardKind::kShift;
-  } else if (kind == kIssuerName) {
+  } else if (kind == kIssuerText) {
     claim.kind = ForwardKind::kIssuer;
   } else {
     return std::nullopt;
--- a/lib/libmedlarcroft/source/forwarding/forward_replay_guard.cc
+++ b/lib/libmedlarcroft/source/forwarding/forward_replay_guard.cc
@@ -6,26 +6,27 @@
 
 namespace {
 
-/// A proof from the future is taken for one lifetime before and one after the
-/// moment it names.
-constexpr Duration kRemembered = 2 * kForwardProofLifetime;
+/// A proof whose time is ahead of this host's clock is valid for one lifetime
+/// before and one after that time.
+constexpr Duration kProofRetention = 2 * kForwardProofLifetime;
 
 }  // namespace
 
 bool ForwardReplayGuard::Admit(const std::string& proof) {
   const MonotonicTime now = clock_.Now();
-  ForgetOld(now);
+  RemoveExpired(now);
   if (seen_.size() >= capacity_ || !seen_.insert(proof).second) {
     return false;
   }
-  order_.emplace_back(now, proof);
+  insertion_order_.emplace_back(now, proof);
   return true;
 }
 
-void ForwardReplayGuard::ForgetOld(MonotonicTime now) {
-  while (!order_.empty() && now - order_.front().first > kRemembered) {
-    seen_.erase(order_.front().second);
-    order_.pop_front();
+void ForwardReplayGuard::RemoveExpired(MonotonicTime now) {
+  while (!insertion_order_.empty() &&
+         now - insertion_order_.front().first > kProofRetention) {
+    seen_.erase(insertion_order_.front().second);
+    insertion_order_.pop_front();
   }
 }
 
--- a/lib/libmedlarcroft/source/idempotency/claim_row.h
+++ b/lib/libmedlarcroft/source/idempotency/claim_row.h
@@ -13,20 +13,20 @@
 /// @brief The value of a claim row.
 struct ClaimRow {
   Claimant claimant;
-  /// Drawn anew for each claim: it tells whether the row is this attempt's own.
+  /// Random for each claim; shows whether the row was written by this attempt.
   std::uint64_t nonce = 0;
   bool is_fence = false;
 };
 
 [[nodiscard]] std::string EncodeClaimRow(const ClaimRow& row);
 
-/// @return the row, or nullopt when the text is not of this format.
+/// @return the row, or nullopt when the text does not have this format.
 [[nodiscard]] std::optional<ClaimRow> DecodeClaimRow(std::string_view text);
 
-/// @return the key below which all rows expired before `time` sort.
+/// @return the key before which all rows that expired before `time` sort.
 [[nodiscard]] std::string ClaimRowsBefore(WallTime time);
 
-/// @brief The prefix of all claim rows.
+/// @brief The key prefix of all claim rows.
 inline constexpr std::string_view kClaimPrefix = "claim/";
 
 }  // namespace medlarcroft::idempotency
--- a/lib/libmedlarcroft/source/idempotency/durable_claims.cc
+++ b/lib/libmedlarcroft/source/idempotency/durable_claims.cc
@@ -42,14 +42,15 @@
   if (IsOk(result)) {
     const ports::TransactionOutcome& outcome = ValueOf(result);
     return outcome.committed ? ClaimResult(Fenced{})
-                             : Judge(key, outcome.conflicting.front());
+                             : ClassifyRow(key, outcome.conflicting.front());
   }
-  // Any fence will do, whoever wrote it, so the row itself settles the doubt.
+  // Any fence has the same effect, whoever wrote it, so the row itself gives
+  // the result.
   const auto row = store_.Read(row_key);
   if (!IsOk(row) || ValueOf(row).version == 0) {
     return Unsettled{.failure = ErrorOf(result)};
   }
-  return Judge(key, ValueOf(row));
+  return ClassifyRow(key, ValueOf(row));
 }
 
 ClaimResult DurableClaims::TakeOver(const Key& key, const Claimant& from) {
@@ -65,7 +66,7 @@
   }
   const auto claim = DecodeClaimRow(ValueOf(row).value);
   if (!claim || claim->is_fence || claim->claimant != from) {
-    return Judge(key, ValueOf(row));
+    return ClassifyRow(key, ValueOf(row));
   }
   return Acquire(key, ValueOf(row).version);
 }
@@ -86,7 +87,8 @@
     return false;
   }
   const auto found = keys_.find(key.id);
-  // A row names this process, but nothing is known of it here: no proof.
+  // The row names this process, but it has no record of the key, so nothing is
+  // proved.
   if (found == keys_.end()) {
     return false;
   }
@@ -108,7 +110,7 @@
   if (ValueOf(rows).empty()) {
     return std::size_t{0};
   }
-  // No condition: two hosts that sweep the same rows do no harm.
+  // No condition is needed: two hosts may delete the same rows.
   ports::Transaction deletion;
   for (const ports::Row& row : ValueOf(rows)) {
     deletion.writes.push_back({.key = row.key});
@@ -130,7 +132,7 @@
     if (keys_.size() >= options_.max_keys) {
       return ClaimRefusal::kFull;
     }
-    keys_[key.id] = {.state = State::kWanted, .nonce = random_.Next()};
+    keys_[key.id] = {.state = State::kPending, .nonce = random_.Next()};
     expiries_.Add(key);
     return std::nullopt;
   }
@@ -142,12 +144,12 @@
              : std::nullopt;
 }
 
-// Failure: the write takes effect but its answer is lost; the writer takes the
-// row for a rival's and answers `unknown`, or, worse, a second writer believes
-// that there is no claim. The nonce tells whose the row is. A row that is
-// absent proves nothing, since the write may still arrive: the same insert is
-// sent again, and whichever of the two arrives first bears this attempt's
-// nonce.
+// Guards against a lost answer to a write that took effect: the writer would
+// take the row for another process's and answer `unknown`, or, worse, a second
+// writer would believe that there is no claim. The nonce shows which attempt
+// wrote the row. A missing row proves nothing, because the write may still
+// arrive. The same insert is therefore sent again, and whichever of the two
+// arrives first carries this attempt's nonce.
 ClaimResult DurableClaims::Acquire(const Key& key, std::uint64_t version) {
   const std::string row_key = ClaimRowKey(key);
   const ClaimRow claim{
@@ -163,7 +165,7 @@
     if (IsOk(result)) {
       const ports::TransactionOutcome& outcome = ValueOf(result);
       if (!outcome.committed) {
-        return Judge(key, outcome.conflicting.front());
+        return ClassifyRow(key, outcome.conflicting.front());
       }
       keys_[key.id].state = State::kHeld;
       return Claimed{};
@@ -171,13 +173,13 @@
     failure = ErrorOf(result);
     const auto row = store_.Read(row_key);
     if (IsOk(row) && ValueOf(row).version > version) {
-      return Judge(key, ValueOf(row));
+      return ClassifyRow(key, ValueOf(row));
     }
   }
   return Unsettled{.failure = failure};
 }
 
-ClaimResult DurableClaims::Judge(const Key& key, const ports::Row& row) {
+ClaimResult DurableClaims::ClassifyRow(const Key& key, const ports::Row& row) {
   const auto claim = DecodeClaimRow(row.value);
   if (!claim) {
     return ClaimedElsewhere{};
@@ -194,7 +196,7 @@
   if (!is_own) {
     return ClaimedElsewhere{.claimant = claim->claimant};
   }
-  if (known->second.state == State::kWanted) {
+  if (known->second.state == State::kPending) {
     known->second.state = State::kHeld;
   }
   return Claimed{};
--- a/lib/libmedlarcroft/source/idempotency/fingerprint.cc
+++ b/lib/libmedlarcroft/source/idempotency/fingerprint.cc
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// The length goes first, so that text cannot move between two fields unseen.
+/// Hashes the length first, so that moving text from one field to the next
+/// changes the hash.
 void Add(XXH3_state_t* state, std::string_view field) {
   const std::uint64_t size = field.size();
   XXH3_128bits_update(state, &size, sizeof(size));
--- a/lib/libmedlarcroft/source/idempotency/key.cc
+++ b/lib/libmedlarcroft/source/idempotency/key.cc
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kVersion = "k1";
 constexpr char kSeparator = ':';
-constexpr std::size_t kFields = 7;
+constexpr std::size_t kFieldCount = 7;
 constexpr int kHexadecimal = 16;
 constexpr std::size_t kHexDigitsPerByte = 2;
 
@@ -29,8 +29,8 @@
   return {digits.data(), written.ptr};
 }
 
-/// Only the one spelling that `ToHex` writes is taken, so that a key has one
-/// text form.
+/// Accepts only the spelling that `ToHex` writes, so that each key has exactly
+/// one text form.
 template <typename Number>
 std::optional<Number> FromHex(std::string_view text) {
   Number number = 0;
@@ -59,14 +59,14 @@
   }
 }
 
-std::optional<Mode> ModeOf(std::string_view text) {
+std::optional<Mode> ParseMode(std::string_view text) {
   if (text == "l") {
     return Mode::kLocal;
   }
   return text == "d" ? std::optional(Mode::kDurable) : std::nullopt;
 }
 
-std::string MacText(const Mac& mac) {
+std::string FormatMac(const Mac& mac) {
   constexpr std::string_view kDigits = "0123456789abcdef";
   std::string text;
   text.reserve(mac.size() * kHexDigitsPerByte);
@@ -87,7 +87,7 @@
   return std::nullopt;
 }
 
-std::optional<Mac> MacOf(std::string_view text) {
+std::optional<Mac> ParseMac(std::string_view text) {
   if (text.size() != kMacBytes * kHexDigitsPerByte) {
     return std::nullopt;
   }
@@ -105,12 +105,12 @@
 
 }  // namespace
 
-bool IsIssuerName(std::string_view name) {
+bool IsValidIssuerName(std::string_view name) {
   return !name.empty() && name.size() <= kMaxIssuerName &&
          std::ranges::all_of(name, IsIssuerCharacter);
 }
 
-std::string UnsignedText(const Key& key) {
+std::string SignedKeyText(const Key& key) {
   std::string text(kVersion);
   text += key.mode == Mode::kDurable ? ":d:" : ":l:";
   text += key.id.issuer.Value();
@@ -122,7 +122,7 @@
 }
 
 std::string FormatKey(const Key& key) {
-  return UnsignedText(key) + kSeparator + MacText(key.mac);
+  return SignedKeyText(key) + kSeparator + FormatMac(key.mac);
 }
 
 Result<Key, KeyParseError> ParseKey(std::string_view text) {
@@ -134,17 +134,17 @@
       fields.front().starts_with('k')) {
     return KeyParseError::kUnknownVersion;
   }
-  if (fields.size() != kFields || fields.front() != kVersion) {
+  if (fields.size() != kFieldCount || fields.front() != kVersion) {
     return KeyParseError::kMalformed;
   }
-  // Expiry is bounded so that it fits the nanoseconds of WallTime.
+  // Bounds the expiry so that it fits the nanoseconds of `WallTime`.
   constexpr std::int64_t kMaxExpiryMs = INT64_MAX / 1'000'000;
-  const auto mode = ModeOf(fields[1]);
+  const auto mode = ParseMode(fields[1]);
   const auto incarnation = FromHex<std::uint64_t>(fields[3]);
   const auto sequence = FromHex<std::uint64_t>(fields[4]);
   const auto expiry_ms = FromHex<std::int64_t>(fields[5]);
-  const auto mac = MacOf(fields[6]);
-  if (!mode || !IsIssuerName(fields[2]) || !incarnation || !sequence ||
+  const auto mac = ParseMac(fields[6]);
+  if (!mode || !IsValidIssuerName(fields[2]) || !incarnation || !sequence ||
       !expiry_ms || *expiry_ms > kMaxExpiryMs || !mac) {
     return KeyParseError::kMalformed;
   }
--- a/lib/libmedlarcroft/source/idempotency/key_authority.cc
+++ b/lib/libmedlarcroft/source/idempotency/key_authority.cc
@@ -12,7 +12,7 @@
 namespace {
 
 Mac MacFor(const std::string& secret, const Key& key) {
-  const std::string text = UnsignedText(key);
+  const std::string text = SignedKeyText(key);
   std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
   unsigned int length = 0;
   HMAC(EVP_sha256(), secret.data(), static_cast<int>(secret.size()),
@@ -23,9 +23,9 @@
   return mac;
 }
 
-/// In constant time: a comparison that stops at the first difference would let
-/// a caller find the MAC byte by byte from response times.
-bool IsSame(const Mac& left, const Mac& right) {
+/// Compares in constant time: stopping at the first difference would let a
+/// caller find the MAC byte by byte from response times.
+bool IsEqual(const Mac& left, const Mac& right) {
   return CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
 }
 
@@ -81,11 +81,13 @@
 }
 
 bool KeyAuthority::IsGenuine(const Key& key) const {
-  // Both are always computed, so that the time does not show which one fits.
-  const bool is_issuing = IsSame(MacFor(secrets_.issuing, key), key.mac);
-  const bool is_other = secrets_.also_accepted &&
-                        IsSame(MacFor(*secrets_.also_accepted, key), key.mac);
-  return is_issuing || is_other;
+  // Always compute both, so that the response time does not show which one
+  // matches.
+  const bool is_issuing = IsEqual(MacFor(secrets_.issuing, key), key.mac);
+  const bool is_also_accepted =
+      secrets_.also_accepted &&
+      IsEqual(MacFor(*secrets_.also_accepted, key), key.mac);
+  return is_issuing || is_also_accepted;
 }
 
 }  // namespace medlarcroft::idempotency
--- a/lib/libmedlarcroft/source/idempotency/ledger.cc
+++ b/lib/libmedlarcroft/source/idempotency/ledger.cc
@@ -13,9 +13,9 @@
                           std::size_t reserve_bytes,
                           WaiterId waiter) {
   ForgetExpired();
-  // An entry outlives its expiry only while it runs.
+  // An entry outlives its expiry only while its request runs.
   if (const auto found = entries_.find(key.id); found != entries_.end()) {
-    return Repeat(found->second, fingerprint, waiter);
+    return BeginRepeat(found->second, fingerprint, waiter);
   }
   if (expiries_.IsExpired(key, clock_.WallNow())) {
     return Refused{.reason = LedgerRefusal::kExpired};
@@ -39,9 +39,9 @@
   return DispatchRequest{};
 }
 
-BeginResult Ledger::Repeat(Entry& entry,
-                           const Fingerprint& fingerprint,
-                           WaiterId waiter) {
+BeginResult Ledger::BeginRepeat(Entry& entry,
+                                const Fingerprint& fingerprint,
+                                WaiterId waiter) {
   if (entry.fingerprint != fingerprint) {
     return Refused{.reason = LedgerRefusal::kRequestDiffers};
   }
@@ -68,8 +68,9 @@
     return {};
   }
   Entry& entry = found->second;
-  // The room was reserved at `Begin`, so a kept answer never passes the bound.
-  // After `MarkUnknown` the reservation is gone and room may be lacking.
+  // The space was reserved by `Begin`, so a stored answer never exceeds the
+  // bound. After `MarkUnknown` the reservation is gone and space may be
+  // lacking.
   const std::size_t size = StoredBytes(*answer);
   const std::size_t others = bytes_ - entry.bytes;
   const bool has_room = entry.state == State::kRunning
--- a/tests/unit/capacity/capacity_manager_test.cc
+++ b/tests/unit/capacity/capacity_manager_test.cc
@@ -15,21 +15,21 @@
 const TargetName kTarget("target-1");
 constexpr LeaseRules kRules{.lease = seconds(3), .max_work = seconds(5)};
 
-/// One host's keeper with the seats that others say they hold.
+/// One host's manager of its seats and shares.
 struct Host {
   HostName name;
-  CapacityManager keeper;
+  CapacityManager manager;
 
   Host(const char* host, ports::TableStore& store, const ports::Clock& clock)
       : name(host),
-        keeper({.host = HostName(host), .incarnation = 1, .rules = kRules},
-               store,
-               clock) {}
+        manager({.host = HostName(host), .incarnation = 1, .rules = kRules},
+                store,
+                clock) {}
 };
 
 class CapacityManagerTest : public testing::Test {
  protected:
-  /// Gives both hosts the same plan, with each other's seats in it.
+  /// Gives both hosts the same plan, including each other's seats.
   void ApplyPlans(std::uint32_t slots, std::uint64_t revision) {
     for (Host* host : {&first_, &second_}) {
       Host& other = host == &first_ ? second_ : first_;
@@ -38,42 +38,42 @@
           {.failure_domain = kDomain, .seats = 2, .split_revision = revision});
       plan.limits.push_back(
           {.target = kTarget, .failure_domain = kDomain, .slots = slots});
-      plan.lenders.push_back({other.name, other.keeper.Seats()});
+      plan.lenders.push_back({other.name, other.manager.Seats()});
       plan.evidence.is_list_fresh = true;
       plan.evidence.peers.push_back({.peer = {.host = other.name,
                                               .incarnation = 1,
                                               .failure_domain = kDomain,
                                               .is_listed_live = true,
                                               .answered_at = clock_.Now()},
-                                     .seats = other.keeper.Seats()});
-      host->keeper.ApplyPlan(plan);
+                                     .seats = other.manager.Seats()});
+      host->manager.ApplyPlan(plan);
     }
   }
 
-  /// Lets time pass in steps, with beats and seat rounds as the daemon makes.
-  void Run(Duration duration, std::uint32_t slots, std::uint64_t revision) {
+  /// Advances time in steps, with heartbeats and seat rounds as in the daemon.
+  void RunFor(Duration duration, std::uint32_t slots, std::uint64_t revision) {
     for (Duration passed{}; passed < duration; passed += milliseconds(500)) {
       clock_.Advance(milliseconds(500));
       ApplyPlans(slots, revision);
       for (Host* host : {&first_, &second_}) {
-        host->keeper.RecordHeartbeat();
-        host->keeper.StepSeats(false);
+        host->manager.RecordHeartbeat();
+        host->manager.StepSeats(false);
       }
     }
   }
 
-  static std::uint32_t TakeAll(CapacityManager& keeper) {
+  static std::uint32_t TakeAll(CapacityManager& manager) {
     std::uint32_t taken = 0;
-    while (keeper.TryTake(kTarget)) {
+    while (manager.TryTake(kTarget)) {
       ++taken;
     }
     return taken;
   }
 
   static void Borrow(Host& borrower, Host& lender) {
-    for (const OutgoingShareRequest& ask :
-         borrower.keeper.CollectDueRequests({kTarget}).requests) {
-      borrower.keeper.Apply(ask, lender.keeper.Lend(ask.request));
+    for (const OutgoingShareRequest& outgoing :
+         borrower.manager.CollectDueRequests({kTarget}).requests) {
+      borrower.manager.Apply(outgoing, lender.manager.Lend(outgoing.request));
     }
   }
 
@@ -83,95 +83,96 @@
   Host second_{"a-2", store_, clock_};
 };
 
-TEST_F(CapacityManagerTest, PartsAddUpToTheSlots) {
-  Run(seconds(5), 7, 1);
+TEST_F(CapacityManagerTest, SharesAddUpToTheSlots) {
+  RunFor(seconds(5), 7, 1);
 
-  EXPECT_TRUE(first_.keeper.HasSeat());
-  EXPECT_TRUE(second_.keeper.HasSeat());
-  EXPECT_EQ(TakeAll(first_.keeper) + TakeAll(second_.keeper), 7U);
+  EXPECT_TRUE(first_.manager.HasSeat());
+  EXPECT_TRUE(second_.manager.HasSeat());
+  EXPECT_EQ(TakeAll(first_.manager) + TakeAll(second_.manager), 7U);
 }
 
-TEST_F(CapacityManagerTest, LentSlotsAreUsedByTheBorrowerOnly) {
-  Run(seconds(5), 4, 1);
-  EXPECT_EQ(TakeAll(first_.keeper), 2U);
+TEST_F(CapacityManagerTest, OnlyTheBorrowerUsesLentSlots) {
+  RunFor(seconds(5), 4, 1);
+  EXPECT_EQ(TakeAll(first_.manager), 2U);
 
   Borrow(first_, second_);
-  EXPECT_EQ(TakeAll(first_.keeper), 1U);
-  EXPECT_EQ(TakeAll(second_.keeper), 1U);
+  EXPECT_EQ(TakeAll(first_.manager), 1U);
+  EXPECT_EQ(TakeAll(second_.manager), 1U);
 }
 
-// A host is paused after it has taken a share into account, and wakes up long
-// after its lease. The target must not get its slots twice: nothing starts on
-// waking until the seat was confirmed, although no timer has run meanwhile.
-TEST_F(CapacityManagerTest, PausedHostTakesNothingOnWaking) {
-  Run(seconds(5), 4, 1);
+// A host is paused while it holds a share and resumes long after its lease.
+// Otherwise the target's slots would be used twice. No work may start after
+// resuming until the seat is confirmed, although no timer ran during the pause.
+TEST_F(CapacityManagerTest, PausedHostAcquiresNothingOnResume) {
+  RunFor(seconds(5), 4, 1);
   clock_.Advance(seconds(5));
 
-  EXPECT_EQ(TakeAll(first_.keeper), 0U);
-  first_.keeper.RecordHeartbeat();
-  EXPECT_EQ(TakeAll(first_.keeper), 0U);
-  Run(seconds(2), 4, 1);
-  EXPECT_EQ(TakeAll(first_.keeper), 2U);
+  EXPECT_EQ(TakeAll(first_.manager), 0U);
+  first_.manager.RecordHeartbeat();
+  EXPECT_EQ(TakeAll(first_.manager), 0U);
+  RunFor(seconds(2), 4, 1);
+  EXPECT_EQ(TakeAll(first_.manager), 2U);
 }
 
-// The pause was longer than a takeover needs. The seat's row alone does not end
-// the doubt then, since a taker may have come and gone; the host waits until
-// whatever a taker could have begun is over, and goes on after that.
-TEST_F(CapacityManagerTest, LongPauseCostsOneMoreWait) {
-  Run(seconds(5), 4, 1);
+// The pause was longer than a takeover takes. The seat's own row is then not
+// enough to confirm the seat, because another host may have taken and released
+// it. The host waits until all work of such a host has ended, then continues.
+TEST_F(CapacityManagerTest, LongPauseRequiresReuseDelay) {
+  RunFor(seconds(5), 4, 1);
   clock_.Advance(seconds(20));
 
-  Run(seconds(2), 4, 1);
-  EXPECT_EQ(TakeAll(first_.keeper), 0U);
-  Run(seconds(10), 4, 1);
-  EXPECT_EQ(TakeAll(first_.keeper), 2U);
+  RunFor(seconds(2), 4, 1);
+  EXPECT_EQ(TakeAll(first_.manager), 0U);
+  RunFor(seconds(10), 4, 1);
+  EXPECT_EQ(TakeAll(first_.manager), 2U);
 }
 
-// An operator raises a target's slots. One host learns of it before the other.
-// Each may use its larger part only when both have adopted the change and what
-// was started before has ended, so the sum is never above the old limit before.
-TEST_F(CapacityManagerTest, LargerPartWaitsForAllHolders) {
-  Run(seconds(5), 4, 1);
-  Run(seconds(1), 8, 2);
-  EXPECT_LE(first_.keeper.UsableSlotsOf(kTarget).Total() +
-                second_.keeper.UsableSlotsOf(kTarget).Total(),
+// An operator raises a target's slots and the hosts learn of it one after the
+// other. Each may use its larger share only when both have adopted the change
+// and earlier work has ended, so that until then the sum does not exceed the
+// old limit.
+TEST_F(CapacityManagerTest, LargerShareWaitsForAllHolders) {
+  RunFor(seconds(5), 4, 1);
+  RunFor(seconds(1), 8, 2);
+  EXPECT_LE(first_.manager.UsableSlotsOf(kTarget).Total() +
+                second_.manager.UsableSlotsOf(kTarget).Total(),
             4U);
-  Run(seconds(12), 8, 2);
-  EXPECT_EQ(TakeAll(first_.keeper) + TakeAll(second_.keeper), 8U);
+  RunFor(seconds(12), 8, 2);
+  EXPECT_EQ(TakeAll(first_.manager) + TakeAll(second_.manager), 8U);
 }
 
-// The platform is down for an hour. Both hosts go on with their parts, since
-// nobody can take a seat from them meanwhile.
-TEST_F(CapacityManagerTest, GoesOnWithoutThePlatform) {
-  Run(seconds(5), 6, 1);
+// During a long platform outage both hosts keep their shares, because no host
+// can take a seat from them.
+TEST_F(CapacityManagerTest, KeepsSharesWithoutThePlatform) {
+  RunFor(seconds(5), 6, 1);
   store_.SetDown(true);
-  Run(seconds(60), 6, 1);
+  RunFor(seconds(60), 6, 1);
 
-  EXPECT_EQ(TakeAll(first_.keeper) + TakeAll(second_.keeper), 6U);
+  EXPECT_EQ(TakeAll(first_.manager) + TakeAll(second_.manager), 6U);
 }
 
-TEST_F(CapacityManagerTest, GivenUpSeatIsUsedNoMore) {
-  Run(seconds(5), 6, 1);
-  first_.keeper.ReleaseSeats();
+TEST_F(CapacityManagerTest, ReleasedSeatIsNotUsed) {
+  RunFor(seconds(5), 6, 1);
+  first_.manager.ReleaseSeats();
 
-  EXPECT_EQ(TakeAll(first_.keeper), 0U);
-  EXPECT_EQ(first_.keeper.OwnRateShare(kDomain, 100.0), 0.0);
-  EXPECT_EQ(second_.keeper.OwnRateShare(kDomain, 100.0), 50.0);
+  EXPECT_EQ(TakeAll(first_.manager), 0U);
+  EXPECT_EQ(first_.manager.OwnRateShare(kDomain, 100.0), 0.0);
+  EXPECT_EQ(second_.manager.OwnRateShare(kDomain, 100.0), 50.0);
 }
 
-// What operators see: 52 hosts share targets of 3 to 8 slots, and all of them
-// read all seats from the platform six times as often as they should. First
-// both hosts take a seat of a target with one slot; then its split is settled,
-// and the host whose part is 0 must not count as waiting for more.
-TEST_F(CapacityManagerTest, APartOfZeroIsNotWaitedFor) {
-  Run(seconds(40), /*slots=*/1, /*revision=*/1);
-  ASSERT_TRUE(first_.keeper.HasSeat());
-  ASSERT_TRUE(second_.keeper.HasSeat());
-  EXPECT_EQ(first_.keeper.UsableSlotsOf(kTarget).own +
-                second_.keeper.UsableSlotsOf(kTarget).own,
+// Guards against all hosts polling the seat rows six times as often as
+// intended, as when 52 hosts share targets of 3 to 8 slots. Both hosts take a
+// seat of a target with one slot. Once its split is settled, the host with a
+// share of 0 must not count as waiting for more.
+TEST_F(CapacityManagerTest, ShareOfZeroIsNotWaitedFor) {
+  RunFor(seconds(40), /*slots=*/1, /*revision=*/1);
+  ASSERT_TRUE(first_.manager.HasSeat());
+  ASSERT_TRUE(second_.manager.HasSeat());
+  EXPECT_EQ(first_.manager.UsableSlotsOf(kTarget).own +
+                second_.manager.UsableSlotsOf(kTarget).own,
             1U);
-  EXPECT_FALSE(first_.keeper.IsWaitingForSplit());
-  EXPECT_FALSE(second_.keeper.IsWaitingForSplit());
+  EXPECT_FALSE(first_.manager.IsWaitingForSplit());
+  EXPECT_FALSE(second_.manager.IsWaitingForSplit());
 }
 
 }  // namespace
--- a/tests/unit/capacity/seat_holder_test.cc
+++ b/tests/unit/capacity/seat_holder_test.cc
@@ -22,10 +22,10 @@
             clock_};
   }
 
-  /// Time passes in beats, with a step each second.
-  void Pass(const std::vector<SeatHolder*>& holders,
-            int seconds,
-            const DomainEvidence& evidence) {
+  /// Advances time with one heartbeat and one step each second.
+  void AdvanceTime(const std::vector<SeatHolder*>& holders,
+                   int seconds,
+                   const DomainEvidence& evidence) {
     for (int i = 0; i < seconds; ++i) {
       clock_.Advance(std::chrono::seconds(1));
       for (SeatHolder* holder : holders) {
@@ -35,10 +35,10 @@
     }
   }
 
-  /// What is known of a peer: gone, or only cut off from the platform.
-  static DomainEvidence About(const char* host,
-                              bool is_listed,
-                              bool is_silent) {
+  /// Evidence about a peer that is gone or only cut off from the platform.
+  static DomainEvidence EvidenceFor(const char* host,
+                                    bool is_listed,
+                                    bool is_silent) {
     PeerEvidence peer{.host = HostName(host),
                       .failure_domain = FailureDomainName(kDomain),
                       .is_listed_live = is_listed};
@@ -53,119 +53,122 @@
   fakes::FakeTableStore store_;
 };
 
-// What callers see: a domain cut off from the platform serves on. Why: the seat
-// needs no renewal there; it is held as long as the process is not paused.
-TEST_F(SeatHolderTest, AHolderServesOnWithoutThePlatform) {
+// A domain that is cut off from the platform keeps serving: the seat needs no
+// renewal there and is held as long as the process is not paused.
+TEST_F(SeatHolderTest, HolderKeepsItsSeatWithoutThePlatform) {
   SeatHolder holder = Make("a");
-  Pass({&holder}, 1, {});
+  AdvanceTime({&holder}, 1, {});
   EXPECT_EQ(holder.State(), SeatState::kHeld);
   store_.SetDown(true);
-  Pass({&holder}, 3600, {});
+  AdvanceTime({&holder}, 3600, {});
   EXPECT_EQ(holder.State(), SeatState::kHeld);
   EXPECT_GT(holder.ValidUntil(), clock_.Now());
 }
 
-struct TakeOver {
+struct TakeoverCase {
   const char* name;
   bool is_listed;
   bool is_silent;
   bool is_taken;
 };
 
-std::ostream& operator<<(std::ostream& out, const TakeOver& value) {
+std::ostream& operator<<(std::ostream& out, const TakeoverCase& value) {
   return out << value.name;
 }
 
-class SeatTakeOver : public SeatHolderTest,
-                     public ::testing::WithParamInterface<TakeOver> {};
+class SeatTakeoverTest : public SeatHolderTest,
+                         public ::testing::WithParamInterface<TakeoverCase> {};
 
-TEST_P(SeatTakeOver, NeedsBothSignsAndWaits) {
+TEST_P(SeatTakeoverTest, RequiresBothConditionsAndWaits) {
   SeatHolder first = Make("a");
-  Pass({&first}, 1, {});
+  AdvanceTime({&first}, 1, {});
   SeatHolder second = Make("b");
   const DomainEvidence evidence =
-      About("a", GetParam().is_listed, GetParam().is_silent);
-  Pass({&second}, 6, evidence);
+      EvidenceFor("a", GetParam().is_listed, GetParam().is_silent);
+  AdvanceTime({&second}, 6, evidence);
   EXPECT_EQ(second.State(),
             GetParam().is_taken ? SeatState::kWaiting : SeatState::kNone);
   EXPECT_LT(second.ValidUntil(), clock_.Now());
-  Pass({&second}, 9, evidence);
+  AdvanceTime({&second}, 9, evidence);
   EXPECT_EQ(second.State() == SeatState::kHeld, GetParam().is_taken);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Signs,
-    SeatTakeOver,
-    ::testing::Values(TakeOver{"Lives", true, false, false},
-                      TakeOver{"ListLags", false, false, false},
-                      TakeOver{"StillListed", true, true, false},
-                      TakeOver{"Gone", false, true, true}),
+    Evidence,
+    SeatTakeoverTest,
+    ::testing::Values(TakeoverCase{"Lives", true, false, false},
+                      TakeoverCase{"ListLags", false, false, false},
+                      TakeoverCase{"StillListed", true, true, false},
+                      TakeoverCase{"Gone", false, true, true}),
     [](const auto& instance) { return instance.param.name; });
 
-// What callers see: nothing; a target is not overloaded. How: the holder passes
-// its seat on and restarts, the platform goes down, and its successor gets the
-// handover late; both wait for the seat then, each hears the other claim it,
-// and neither uses it.
-TEST_F(SeatHolderTest, ALateHandoverYieldsToAPredecessorThatRestarted) {
+// Guards against overloading a target after a late handover. The holder hands
+// its seat over and restarts, the platform goes down, and the successor
+// receives the handover late. Both then wait for the seat, each hears the other
+// claim it, and neither uses it.
+TEST_F(SeatHolderTest, LateHandoverYieldsToRestartedPredecessor) {
   SeatHolder first = Make("a");
-  Pass({&first}, 1, {});
+  AdvanceTime({&first}, 1, {});
   SeatHolder successor = Make("b");
-  successor.Step(1, 1, About("a", true, false));
+  successor.Step(1, 1, EvidenceFor("a", true, false));
   const auto handover =
       first.HandOver({.host = HostName("b"), .incarnation = 1});
   ASSERT_TRUE(handover.has_value());
   store_.SetDown(true);
   EXPECT_TRUE(successor.Accept(*handover));
-  EXPECT_TRUE(successor.Accept(*handover)) << "a repeat";
+  EXPECT_TRUE(successor.Accept(*handover)) << "repeated handover";
   EXPECT_EQ(successor.State(), SeatState::kWaiting);
 
-  DomainEvidence evidence = About("a", true, false);
+  DomainEvidence evidence = EvidenceFor("a", true, false);
   evidence.peers[0].claimed_seat = 0;
   evidence.peers[0].claimed_at = clock_.Now() + std::chrono::seconds(1);
-  Pass({&successor}, 1, evidence);
+  AdvanceTime({&successor}, 1, evidence);
   EXPECT_EQ(successor.State(), SeatState::kNone);
-  EXPECT_FALSE(successor.Accept(*handover)) << "its time is over";
+  EXPECT_FALSE(successor.Accept(*handover)) << "handover no longer in effect";
 }
 
-// What callers see: a target gets more than its slots. How: the platform is
-// down, this holder is paused for long, a former owner takes the seat up again;
-// then both wake, the platform too, and the row still names this holder. It
-// waits until nobody has claimed the seat for a wait-out.
-TEST_F(SeatHolderTest, AfterALongPauseTheOwnRowIsNotEnough) {
+// Guards against a target getting more requests than it has slots. The platform
+// is down, this holder is paused for long, and a former owner takes the seat
+// again. Then both resume, the platform recovers, and the row still names this
+// holder. It must wait until no peer has claimed the seat for
+// `ReuseDelayAfterRelease`.
+TEST_F(SeatHolderTest, OwnRowIsNotEnoughAfterLongPause) {
   SeatHolder holder = Make("a");
-  Pass({&holder}, 1, {});
+  AdvanceTime({&holder}, 1, {});
   clock_.Advance(std::chrono::seconds(20));
-  DomainEvidence evidence = About("b", true, true);
+  DomainEvidence evidence = EvidenceFor("b", true, true);
   evidence.peers[0].claimed_seat = 0;
   evidence.peers[0].claimed_at = clock_.Now() + std::chrono::seconds(1);
-  Pass({&holder}, 1, evidence);
+  AdvanceTime({&holder}, 1, evidence);
   EXPECT_EQ(holder.State(), SeatState::kUnconfirmed);
   evidence.peers[0].claimed_seat.reset();
-  Pass({&holder}, 11, evidence);
+  AdvanceTime({&holder}, 11, evidence);
   EXPECT_EQ(holder.State(), SeatState::kUnconfirmed);
-  Pass({&holder}, 2, evidence);
+  AdvanceTime({&holder}, 2, evidence);
   EXPECT_EQ(holder.State(), SeatState::kHeld);
 }
 
-// The other side of it: who took the seat up without the platform yields.
-TEST_F(SeatHolderTest, ASeatRegainedWithoutThePlatformYieldsToAClaim) {
+// Counterpart of the previous test: a host that regained the seat without the
+// platform yields it.
+TEST_F(SeatHolderTest, SeatRegainedWithoutThePlatformYieldsToClaim) {
   SeatHolder holder = Make("a");
-  Pass({&holder}, 1, {});
+  AdvanceTime({&holder}, 1, {});
   store_.SetDown(true);
   clock_.Advance(std::chrono::seconds(20));
-  DomainEvidence evidence = About("b", true, true);
-  Pass({&holder}, 13, evidence);
+  DomainEvidence evidence = EvidenceFor("b", true, true);
+  AdvanceTime({&holder}, 13, evidence);
   EXPECT_EQ(holder.State(), SeatState::kHeld);
   evidence.peers[0].claimed_seat = 0;
   evidence.peers[0].claimed_at = clock_.Now() + std::chrono::seconds(1);
-  Pass({&holder}, 1, evidence);
+  AdvanceTime({&holder}, 1, evidence);
   EXPECT_EQ(holder.State(), SeatState::kNone);
 }
 
-// What callers see: refusals, as the shares of all hosts cannot grow. How: a
-// host with an old catalogue takes a free seat and holds up the agreement; the
-// check must also hold when the others adopt between its scan and its write.
-TEST_F(SeatHolderTest, AHostWithAnOldCatalogueTakesNoSeat) {
+// Guards against requests being refused because the shares of all hosts cannot
+// grow: a host with an old catalogue takes a free seat and delays the agreement
+// on a revision. The check must also hold when other hosts adopt a revision
+// between its scan and its write.
+TEST_F(SeatHolderTest, HostWithOldCatalogueTakesNoSeat) {
   SeatHolder ahead = Make("a");
   ahead.Step(2, 1, {});
   SeatHolder behind = Make("b");
@@ -179,20 +182,20 @@
   EXPECT_EQ(store_.Rows().size(), 2U);
 }
 
-// What callers see: a domain that lost its only host is served by the sibling
-// domain 0.5 ms away, and gets its seat back when it has a host again.
-TEST_F(SeatHolderTest, ASiblingServesADomainWithoutHosts) {
+// A domain that lost its only host is served by the sibling domain 0.5 ms away,
+// and gets its seat back when it has a host again.
+TEST_F(SeatHolderTest, SiblingServesDomainWithoutHosts) {
   SeatHolder own = Make("a");
-  Pass({&own}, 1, {});
+  AdvanceTime({&own}, 1, {});
   SeatHolder sibling = Make("s", true);
-  Pass({&sibling}, 20, About("a", true, true));
+  AdvanceTime({&sibling}, 20, EvidenceFor("a", true, true));
   EXPECT_EQ(sibling.State(), SeatState::kNone);
-  Pass({&sibling}, 15, About("a", false, true));
+  AdvanceTime({&sibling}, 15, EvidenceFor("a", false, true));
   EXPECT_EQ(sibling.State(), SeatState::kHeld);
-  Pass({&sibling}, 2, About("b", true, false));
+  AdvanceTime({&sibling}, 2, EvidenceFor("b", true, false));
   EXPECT_EQ(sibling.State(), SeatState::kNone);
   SeatHolder next = Make("b");
-  Pass({&next}, 13, {});
+  AdvanceTime({&next}, 13, {});
   EXPECT_EQ(next.State(), SeatState::kHeld);
 }
 
--- a/tests/unit/capacity/seat_pacing_test.cc
+++ b/tests/unit/capacity/seat_pacing_test.cc
@@ -14,7 +14,7 @@
 
 class SeatPacingTest : public testing::TestWithParam<PacingCase> {};
 
-TEST_P(SeatPacingTest, KeepsRowsASecondBounded) {
+TEST_P(SeatPacingTest, BoundsRowsReadPerSecond) {
   EXPECT_EQ(SeatPollInterval(GetParam().inputs), GetParam().period);
 }
 
--- a/tests/unit/capacity/split_test.cc
+++ b/tests/unit/capacity/split_test.cc
@@ -12,7 +12,7 @@
 namespace medlarcroft::capacity {
 namespace {
 
-TEST(Split, PartsAddUpToTheLimitForAllSizes) {
+TEST(Split, SharesAddUpToTheLimitForAllSizes) {
   for (std::uint32_t limit = 0; limit <= 40; ++limit) {
     for (std::uint32_t seats = 1; seats <= 60; ++seats) {
       std::uint32_t sum = 0;
@@ -24,10 +24,10 @@
   }
 }
 
-// What the caller sees: one host refuses while the others have room. Why it
-// must not be: with 3 slots and 52 seats all remainders would fall to the first
-// three seats, whatever the target.
-TEST(Split, RemaindersAreSpreadOverTheSeats) {
+// Guards against one host refusing requests while others have free slots: with
+// 3 slots and 52 seats, all remainders would go to the first three seats for
+// every target.
+TEST(Split, SpreadsRemaindersOverSeats) {
   std::vector<std::uint32_t> sums(52);
   for (int target = 0; target < 100; ++target) {
     const std::string name = "target/" + std::to_string(target) + "/slots";
@@ -51,7 +51,7 @@
   EXPECT_EQ(share.Amount(), 1U);
   share.Confirm(2, start);
   EXPECT_EQ(share.Amount(), 1U);
-  share.Confirm(2, start + rules.WaitOut());
+  share.Confirm(2, start + rules.ReuseDelay());
   EXPECT_EQ(share.Amount(), 3U);
   share.Propose(3, 2);
   EXPECT_EQ(share.Amount(), 2U);
--- a/tests/unit/capacity/token_share_test.cc
+++ b/tests/unit/capacity/token_share_test.cc
@@ -12,10 +12,10 @@
 constexpr double kRate = 10.0;
 constexpr double kBurst = 5.0;
 
-// What the operator sees: a link carries more than its cap. How: hosts lend
-// tokens of their parts, and requests and answers come twice, late or never.
-// Over any span t all three together spend no more than the whole rate over
-// t and one token lifetime, and the whole burst.
+// Guards against a link carrying more than its cap. Hosts lend tokens of their
+// shares, and requests and answers are repeated, late or lost. Over any time
+// span t, all three together must spend at most the whole rate over t plus one
+// token lifetime, plus the whole burst.
 TEST(TokenShare, LendingCreatesNoTokens) {
   fakes::SeededRandom random(11);
   const TokenShareOptions options{.rate = kRate, .burst = kBurst};
@@ -59,9 +59,9 @@
   }
 }
 
-// What the operator sees: after a pause a host sends a burst that its successor
-// had sent already. Why not: nothing is earned after the seat's validity.
-TEST(TokenShare, EarnsNothingWhileItsSeatIsNotValid) {
+// Guards against a host sending a burst after a pause that its successor has
+// sent already: no tokens are earned after the seat's validity ends.
+TEST(TokenShare, EarnsNothingWhileSeatIsInvalid) {
   MonotonicTime now{};
   TokenShare share({.rate = kRate, .burst = kBurst}, now);
   EXPECT_FALSE(share.TryTake(1, now));
--- a/tests/unit/forwarding/forward_proof_test.cc
+++ b/tests/unit/forwarding/forward_proof_test.cc
@@ -61,7 +61,7 @@
   EXPECT_EQ(parsed->sent_at, kClaim.sent_at);
 }
 
-TEST(ForwardClaim, MalformedIsNone) {
+TEST(ForwardClaim, RejectsMalformedText) {
   for (const char* text : {"", ";", "shift;a", "other;a;1", "shift;a;x",
                            "shift;a;-1", "shift;a;7614700007647000000"}) {
     EXPECT_FALSE(ParseForwardClaim(text)) << text;
--- a/tests/unit/forwarding/forward_replay_guard_test.cc
+++ b/tests/unit/forwarding/forward_replay_guard_test.cc
@@ -7,10 +7,10 @@
 namespace medlarcroft::forwarding {
 namespace {
 
-// A shifted booking reaches the other domain twice. The caller must see one
-// booking: the second arrival of the same proof is turned away, whenever it
-// comes while the proof is still young enough to be taken.
-TEST(ForwardReplayGuard, SecondArrivalIsTurnedAway) {
+// A shifted request reaches the other domain twice and must run once: the
+// second arrival of the same proof is rejected for as long as the proof is
+// recent enough to be valid.
+TEST(ForwardReplayGuard, SecondArrivalIsRejected) {
   fakes::ManualClock clock;
   ForwardReplayGuard guard(clock);
 
@@ -20,7 +20,7 @@
   EXPECT_FALSE(guard.Admit("proof"));
 }
 
-TEST(ForwardReplayGuard, FullGuardAdmitsNothingUntilOldProofsEnd) {
+TEST(ForwardReplayGuard, FullGuardAdmitsNothingUntilOldProofsExpire) {
   fakes::ManualClock clock;
   ForwardReplayGuard guard(clock, 2);
 
--- a/tests/unit/idempotency/durable_claims_test.cc
+++ b/tests/unit/idempotency/durable_claims_test.cc
@@ -32,11 +32,10 @@
   DurableClaims b_ = Make("b");
 };
 
-// What the caller sees: its booking runs, once, though the platform lost the
-// answer to the claim. How: the row bears this attempt's nonce; or it is
-// absent, and the same insert is sent again, so that the late one finds it
-// taken.
-TEST_F(DurableClaimsTest, ALostAnswerIsSettledByTheNonce) {
+// A request runs exactly once although the platform's answer to the claim is
+// lost. Either the row carries this attempt's nonce, or it is missing and the
+// same insert is sent again, so that the late write finds the key claimed.
+TEST_F(DurableClaimsTest, NonceResolvesLostAnswer) {
   store_.FailNextCommits({CommitFault::kResponseLost});
   EXPECT_TRUE(std::holds_alternative<Claimed>(a_.Claim(key_)));
   const Key late = authority_.Issue(Mode::kDurable);
@@ -46,9 +45,9 @@
   EXPECT_TRUE(std::holds_alternative<ClaimedElsewhere>(b_.Claim(late)));
 }
 
-// What the caller sees: "unknown" while the platform is down, then its booking
-// runs. How: nothing is dispatched before the claim is settled; asking again
-// goes on with the same nonce.
+// While the platform is down the caller gets "unknown", and afterwards its
+// request runs: nothing is dispatched before the claim is settled, and the next
+// attempt reuses the same nonce.
 TEST_F(DurableClaimsTest, NothingIsDispatchedUntilTheClaimIsSettled) {
   store_.SetDown(true);
   EXPECT_TRUE(std::holds_alternative<Unsettled>(a_.Claim(key_)));
@@ -60,7 +59,7 @@
   EXPECT_FALSE(a_.MarkDispatched(key_));
 }
 
-TEST_F(DurableClaimsTest, TakeOverNeedsTheBindingWordOfTheClaimant) {
+TEST_F(DurableClaimsTest, TakeOverRequiresRelinquishByClaimant) {
   (void)a_.Claim(key_);
   EXPECT_FALSE(a_.Relinquish(key_, 2)) << "another incarnation proves nothing";
   EXPECT_TRUE(a_.Relinquish(key_, 1));
@@ -73,9 +72,9 @@
             ClaimRefusal::kRelinquished);
 }
 
-// What the caller sees: "not run", proved. How: a fence takes the place of the
-// claim, so a claim that is still on its way finds the row and fails.
-TEST_F(DurableClaimsTest, AFenceStopsALateClaim) {
+// Proves "not run": a fence takes the place of the claim row, so a claim that
+// is still in transit finds the row and fails.
+TEST_F(DurableClaimsTest, FenceStopsLateClaim) {
   store_.FailNextCommits({CommitFault::kDelayed, CommitFault::kDelayed});
   EXPECT_TRUE(std::holds_alternative<Unsettled>(a_.Claim(key_)));
   EXPECT_TRUE(std::holds_alternative<Fenced>(b_.Fence(key_)));
--- a/tests/unit/idempotency/key_test.cc
+++ b/tests/unit/idempotency/key_test.cc
@@ -20,7 +20,7 @@
           clock};
 }
 
-TEST(Key, TextFormIsReadBack) {
+TEST(Key, TextFormRoundTrips) {
   const fakes::ManualClock clock;
   KeyAuthority authority = MakeAuthority(clock, {.issuing = kOldSecret});
   for (const Mode mode : {Mode::kLocal, Mode::kDurable}) {
@@ -32,19 +32,19 @@
   }
 }
 
-struct BadText {
+struct InvalidText {
   const char* name;
   std::string text;
   KeyParseError error;
 };
 
-std::ostream& operator<<(std::ostream& out, const BadText& value) {
+std::ostream& operator<<(std::ostream& out, const InvalidText& value) {
   return out << value.name;
 }
 
-class KeyText : public ::testing::TestWithParam<BadText> {};
+class KeyText : public ::testing::TestWithParam<InvalidText> {};
 
-TEST_P(KeyText, IsRefusedWithItsReason) {
+TEST_P(KeyText, IsRejectedWithReason) {
   const auto read = ParseKey(GetParam().text);
   ASSERT_FALSE(IsOk(read));
   EXPECT_EQ(ErrorOf(read), GetParam().error);
@@ -55,33 +55,36 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Bad,
+    Invalid,
     KeyText,
     ::testing::Values(
-        BadText{"Empty", "", KeyParseError::kMalformed},
-        BadText{"TooLong", std::string(193, 'k'), KeyParseError::kTooLong},
-        BadText{"LaterFormat", "k2:anything", KeyParseError::kUnknownVersion},
-        BadText{"BadMode", WithMac("k1:x:h:1:1:1:"), KeyParseError::kMalformed},
-        BadText{"BadHost", WithMac("k1:l:a b:1:1:1:"),
-                KeyParseError::kMalformed},
-        BadText{"LeadingZero", WithMac("k1:l:h:01:1:1:"),
-                KeyParseError::kMalformed},
-        BadText{"UpperCase", WithMac("k1:l:h:A:1:1:"),
-                KeyParseError::kMalformed},
-        BadText{"TooLarge", WithMac("k1:l:h:11111111111111111:1:1:"),
-                KeyParseError::kMalformed},
-        BadText{"ExpiryTooFar", WithMac("k1:l:h:1:1:7fffffffffffffff:"),
-                KeyParseError::kMalformed},
-        BadText{"NegativeExpiry", WithMac("k1:l:h:1:1:-1:"),
-                KeyParseError::kMalformed},
-        BadText{"ShortMac", "k1:l:h:1:1:1:aa", KeyParseError::kMalformed},
-        BadText{"OneFieldMore", WithMac("k1:l:h:1:1:1:") + ":",
-                KeyParseError::kMalformed}),
+        InvalidText{"Empty", "", KeyParseError::kMalformed},
+        InvalidText{"TooLong", std::string(193, 'k'), KeyParseError::kTooLong},
+        InvalidText{"LaterFormat", "k2:anything",
+                    KeyParseError::kUnknownVersion},
+        InvalidText{"BadMode", WithMac("k1:x:h:1:1:1:"),
+                    KeyParseError::kMalformed},
+        InvalidText{"BadHost", WithMac("k1:l:a b:1:1:1:"),
+                    KeyParseError::kMalformed},
+        InvalidText{"LeadingZero", WithMac("k1:l:h:01:1:1:"),
+                    KeyParseError::kMalformed},
+        InvalidText{"UpperCase", WithMac("k1:l:h:A:1:1:"),
+                    KeyParseError::kMalformed},
+        InvalidText{"TooLarge", WithMac("k1:l:h:11111111111111111:1:1:"),
+                    KeyParseError::kMalformed},
+        InvalidText{"ExpiryTooFar", WithMac("k1:l:h:1:1:7fffffffffffffff:"),
+                    KeyParseError::kMalformed},
+        InvalidText{"NegativeExpiry", WithMac("k1:l:h:1:1:-1:"),
+                    KeyParseError::kMalformed},
+        InvalidText{"ShortMac", "k1:l:h:1:1:1:aa", KeyParseError::kMalformed},
+        InvalidText{"OneFieldMore", WithMac("k1:l:h:1:1:1:") + ":",
+                    KeyParseError::kMalformed}),
     [](const auto& instance) { return instance.param.name; });
 
-// What the caller sees: its key is refused while secrets change. How: hosts
-// change over one after the other, so keys of the old and of the new secret
-// arrive at hosts of both kinds. Each step accepts what any host issues then.
+// Guards against refusing valid keys during a rotation of secrets. Hosts change
+// one after the other, so keys signed with the old and the new secret arrive at
+// hosts of both kinds. Each step must accept every key that any host issues at
+// that time.
 TEST(KeyAuthority, AcceptsKeysThroughARotation) {
   const fakes::ManualClock clock;
   const KeySecrets steps[] = {
--- a/tests/unit/idempotency/ledger_test.cc
+++ b/tests/unit/idempotency/ledger_test.cc
@@ -36,10 +36,10 @@
                  clock_};
 };
 
-// What the caller sees: its impatient second click waits, and both get the same
-// whole answer. How: the duplicates are parked, at most two, and the settlement
-// names them; later ones get the kept answer.
-TEST_F(LedgerTest, DuplicatesTogetherWaitAndLateOnesGetTheSameAnswer) {
+// A duplicate that arrives while the first attempt runs waits, and both get the
+// same complete answer. At most two duplicates wait, and reporting the result
+// returns them; later duplicates get the stored answer.
+TEST_F(LedgerTest, DuplicatesWaitAndLaterOnesGetTheSameAnswer) {
   const Key key = authority_.Issue(Mode::kLocal);
   EXPECT_TRUE(std::holds_alternative<DispatchRequest>(Begin(key)));
   EXPECT_TRUE(std::holds_alternative<AwaitFirstAttempt>(Begin(key, 11)));
@@ -55,7 +55,7 @@
   EXPECT_EQ(ledger_.Running(), 0U);
 }
 
-TEST_F(LedgerTest, AnotherRequestUnderTheKeyIsRefused) {
+TEST_F(LedgerTest, DifferentRequestWithSameKeyIsRefused) {
   const Key key = authority_.Issue(Mode::kLocal);
   (void)Begin(key);
   const Refused refused =
@@ -64,7 +64,7 @@
   EXPECT_EQ(refused.outcome, Outcome::kUnknown);
 }
 
-TEST_F(LedgerTest, WhatMayHaveRunStaysUnknownAndNeverRunsAgain) {
+TEST_F(LedgerTest, RequestWithUnknownOutcomeNeverRunsAgain) {
   const Key key = authority_.Issue(Mode::kLocal);
   (void)Begin(key);
   (void)ledger_.MarkUnknown(key);
@@ -76,7 +76,7 @@
   EXPECT_TRUE(std::holds_alternative<ReplayAnswer>(Begin(key)));
 }
 
-TEST_F(LedgerTest, WhatDidNotRunMayBeRetried) {
+TEST_F(LedgerTest, RequestThatDidNotRunMayBeRetried) {
   const Key key = authority_.Issue(Mode::kLocal);
   (void)Begin(key);
   (void)Begin(key, 4);
@@ -85,10 +85,11 @@
   EXPECT_TRUE(std::holds_alternative<DispatchRequest>(Begin(key)));
 }
 
-// What the caller sees: "not run", try later. Why: room for the answer is
-// reserved before the run, since an answer that cannot be kept could not be
-// replayed; the refusal is proof for a local key, and none for a durable one.
-TEST_F(LedgerTest, AFullLedgerRefusesBeforeTheRun) {
+// A full ledger answers "not run" before dispatching. Space for the answer is
+// reserved first, because an answer that cannot be stored could not be
+// replayed. The refusal proves "not run" for a local key, but not for a durable
+// one.
+TEST_F(LedgerTest, FullLedgerRefusesBeforeDispatch) {
   (void)Begin(authority_.Issue(Mode::kLocal));
   (void)Begin(authority_.Issue(Mode::kLocal));
   const Refused local = RefusedOf(Begin(authority_.Issue(Mode::kLocal)));
@@ -114,7 +115,7 @@
       Begin(other.Issue(Mode::kDurable))));
 }
 
-TEST_F(LedgerTest, ARunThatOutlivesItsKeyIsSettledAndForgotten) {
+TEST_F(LedgerTest, RequestThatOutlivesItsKeyIsSettledAndRemoved) {
   const Key key = authority_.Issue(Mode::kLocal);
   (void)Begin(key);
   clock_.Advance(std::chrono::minutes(11));
