--- a/lib/libmedlarcroft/source/adapters/entry/attempt_result.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/attempt_result.cc
@@ -21,8 +21,9 @@
   }
   switch (error.failure) {
     case TransportFailure::kTimedOut:
-      // On a connection that worked before, the path may have lost track of
-      // it; the target is judged by what new connections show.
+      // A connection that worked before may have been dropped by a middlebox on
+      // the path, so this timeout says nothing of the target; attempts on new
+      // connections show the state of the target.
       return error.was_connection_reused ? AttemptOutcome::kSilentConnection
                                          : AttemptOutcome::kTimedOut;
     case TransportFailure::kTruncated:
@@ -44,32 +45,34 @@
                                             : AttemptOutcome::kAnswered;
 }
 
-bool IsCrossed(const ClientResponse& answer, std::string_view attempt_name) {
+bool HasMismatchedId(const ClientResponse& answer,
+                     std::string_view attempt_id) {
   const auto echoed = answer.headers.Find(protocol::kRequestId);
-  return echoed && *echoed != attempt_name;
+  return echoed && *echoed != attempt_id;
 }
 
 }  // namespace
 
 AttemptResult ClassifyAttempt(ClientResult result,
-                              std::string_view attempt_name) {
+                              std::string_view attempt_id) {
   if (!IsOk(result)) {
     return {.outcome = OutcomeOf(ErrorOf(result))};
   }
   ClientResponse answer = TakeValue(std::move(result));
-  if (IsCrossed(answer, attempt_name)) {
-    return {.outcome = AttemptOutcome::kConnectionLost, .is_crossed = true};
+  if (HasMismatchedId(answer, attempt_id)) {
+    return {.outcome = AttemptOutcome::kConnectionLost,
+            .is_id_mismatched = true};
   }
 
-  AttemptResult judged{.outcome = OutcomeOf(answer)};
-  judged.is_target_leaving =
+  AttemptResult classified{.outcome = OutcomeOf(answer)};
+  classified.is_target_leaving =
       answer.headers.Find(protocol::kTargetDraining).has_value();
-  const bool is_not_run = judged.outcome == AttemptOutcome::kShed ||
-                          judged.outcome == AttemptOutcome::kTargetLeaving;
+  const bool is_not_run = classified.outcome == AttemptOutcome::kShed ||
+                          classified.outcome == AttemptOutcome::kTargetLeaving;
   if (!is_not_run) {
-    judged.answer = std::move(answer);
+    classified.answer = std::move(answer);
   }
-  return judged;
+  return classified;
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/entry/attempt_result.h
+++ b/lib/libmedlarcroft/source/adapters/entry/attempt_result.h
@@ -10,20 +10,22 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief One attempt's end in the terms of the decisions.
+/// @brief Outcome of one attempt, in the terms of the request scheduler.
 struct AttemptResult {
   decision::AttemptOutcome outcome = decision::AttemptOutcome::kConnectionLost;
-  /// Present for a whole answer, and only then.
+  /// Set only if the target sent a complete answer.
   std::optional<ClientResponse> answer;
-  /// The target said that it is leaving, whatever the answer.
+  /// The target announced that it is draining, whatever else it answered.
   bool is_target_leaving = false;
-  /// The answer named another attempt: it belongs to somebody else.
-  bool is_crossed = false;
+  /// The answer echoed the ID of another attempt, so it belongs to another
+  /// request.
+  bool is_id_mismatched = false;
 };
 
-/// @brief Judges what came back for the attempt called `attempt_name`.
+/// @brief Classifies the transport's result of the attempt with the ID
+/// `attempt_id`.
 [[nodiscard]] AttemptResult ClassifyAttempt(ClientResult result,
-                                            std::string_view attempt_name);
+                                            std::string_view attempt_id);
 
 }  // namespace medlarcroft::adapters
 
--- a/lib/libmedlarcroft/source/adapters/entry/caller_disconnect_monitor.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/caller_disconnect_monitor.cc
@@ -9,27 +9,28 @@
                                   const std::shared_ptr<Responder>& responder,
                                   bool is_kept_if_dispatched) {
   const std::lock_guard lock(mutex_);
-  watched_[ticket] = {responder, is_kept_if_dispatched};
+  monitored_callers_[ticket] = {responder, is_kept_if_dispatched};
 }
 
 void CallerDisconnectMonitor::Check() {
-  std::vector<std::pair<decision::RequestTicket, bool>> gone;
+  std::vector<std::pair<decision::RequestTicket, bool>> disconnected;
   {
     const std::lock_guard lock(mutex_);
-    for (auto it = watched_.begin(); it != watched_.end();) {
-      // The listener drops its responder once the request is answered.
+    for (auto it = monitored_callers_.begin();
+         it != monitored_callers_.end();) {
+      // The listener releases its responder once the request is answered.
       const auto responder = it->second.responder.lock();
       if (responder && !responder->IsClientDisconnected()) {
         ++it;
         continue;
       }
       if (responder) {
-        gone.emplace_back(it->first, it->second.is_kept_if_dispatched);
+        disconnected.emplace_back(it->first, it->second.is_kept_if_dispatched);
       }
-      it = watched_.erase(it);
+      it = monitored_callers_.erase(it);
     }
   }
-  for (const auto& [ticket, is_kept] : gone) {
+  for (const auto& [ticket, is_kept] : disconnected) {
     engine_.Cancel(ticket, is_kept);
   }
 }
--- a/lib/libmedlarcroft/source/adapters/entry/caller_disconnect_monitor.h
+++ b/lib/libmedlarcroft/source/adapters/entry/caller_disconnect_monitor.h
@@ -10,12 +10,13 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Cancels the work of callers that went away.
+/// @brief Cancels the requests of callers that have disconnected.
 ///
-/// Failure: a caller gives up and asks again, while its first request still
-/// holds a slot. Symptom: under load, most slots work for nobody. Looking at
-/// each caller's connection a few times a second is enough, since a request
-/// holds its slot for tens of milliseconds or more.
+/// A caller may give up and retry while its first request still holds a slot.
+/// Without cancellation, most slots would then work on requests that no caller
+/// waits for when the load is high. Checking each caller's connection a few
+/// times a second is enough, since a request holds its slot for tens of
+/// milliseconds or more.
 class CallerDisconnectMonitor {
  public:
   explicit CallerDisconnectMonitor(RequestEngine& engine) : engine_(engine) {}
@@ -25,19 +26,19 @@
            const std::shared_ptr<Responder>& responder,
            bool is_kept_if_dispatched);
 
-  /// @brief Cancels for callers that are gone and forgets answered requests.
-  /// Call it a few times a second.
+  /// @brief Cancels the requests of disconnected callers and stops monitoring
+  /// answered requests. Call it a few times a second.
   void Check();
 
  private:
-  struct Watched {
+  struct MonitoredCaller {
     std::weak_ptr<Responder> responder;
     bool is_kept_if_dispatched = false;
   };
 
   RequestEngine& engine_;
   std::mutex mutex_;
-  std::map<decision::RequestTicket, Watched> watched_;
+  std::map<decision::RequestTicket, MonitoredCaller> monitored_callers_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/entry/claim_worker.h
+++ b/lib/libmedlarcroft/source/adapters/entry/claim_worker.h
@@ -10,14 +10,14 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Runs the claims of durable keys one after the other on a thread of
-/// its own, so that a slow platform holds up no other request.
+/// @brief Claims durable idempotency keys one at a time on a dedicated thread,
+/// so that a slow platform does not delay other requests.
 class ClaimWorker {
  public:
   using Callback = std::function<void(idempotency::ClaimResult)>;
 
-  /// A claim takes about 5 ms; more than this many in the queue would wait
-  /// longer than a booking's deadline leaves when the platform is slow.
+  /// A claim takes about 5 ms. When the platform is slow, a longer queue would
+  /// make claims wait longer than the deadline of a booking request allows.
   static constexpr std::size_t kMaxQueued = 128;
 
   ClaimWorker(idempotency::DurableClaims& claims,
@@ -26,11 +26,12 @@
 
   /// @brief Claims `key`; `callback` runs on the worker's thread.
   ///
-  /// Failure: the platform is down, and each claim waits for its timeout.
-  /// Symptom: bookings queue for seconds and are refused in the end. So while
-  /// it does not answer only one claim at a time tries it, and all others are
-  /// refused at once; the first that succeeds opens the way again.
-  /// @return false when the claim is not tried: nothing was or will be claimed.
+  /// If every claim waited for its timeout while the platform is down, bookings
+  /// would queue for seconds and be refused in the end. While the platform does
+  /// not answer, therefore, only one claim at a time is attempted and all
+  /// others are refused at once; the first claim that succeeds ends this mode.
+  /// @return false if the claim is not attempted: nothing was or will be
+  /// claimed.
   [[nodiscard]] bool Claim(const idempotency::Key& key, Callback callback) {
     const bool is_down =
         budget_.Counts().failures > 0 && !budget_.Reachability().is_reachable;
@@ -41,13 +42,13 @@
         is_down ? 1 : kMaxQueued);
   }
 
-  /// @brief Notes that a claimed key was sent to a target.
+  /// @brief Records that a request with a claimed key was sent to a target.
   void MarkDispatched(const idempotency::Key& key) {
     worker_.PostFront(
         [this, key] { static_cast<void>(claims_.MarkDispatched(key)); });
   }
 
-  /// @return claims and notes that wait for the platform.
+  /// @return number of queued claims and dispatch records.
   [[nodiscard]] std::size_t Waiting() const { return worker_.Waiting(); }
 
  private:
--- a/lib/libmedlarcroft/source/adapters/entry/entry_gauges.h
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_gauges.h
@@ -11,8 +11,8 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief What entryd holds at this moment, as metrics. Read only when somebody
-/// asks, so that a request pays nothing for them.
+/// @brief Gauges of entryd's current state. They are computed only when metrics
+/// are read, so they add no cost to a request.
 class EntryGauges {
  public:
   struct Sources {
@@ -24,7 +24,7 @@
 
   EntryGauges(telemetry::MetricsRegistry& metrics, const Sources& sources);
 
-  /// @brief Counts of the listener are known from now on.
+  /// @brief Includes the counters of the HTTP listener from now on.
   void WatchListener(const HttpServerCounters& counters) {
     listener_.Watch(counters);
   }
--- a/lib/libmedlarcroft/source/adapters/entry/entry_handler.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_handler.cc
@@ -8,8 +8,9 @@
 
 namespace {
 
-/// For requests that name no service: keys and pages need no body.
-constexpr std::size_t kSmallBodyBytes = 4096;
+/// Limit for requests that name no service: issuing keys and the operator
+/// endpoints need no body.
+constexpr std::size_t kDefaultMaxBodyBytes = 4096;
 
 }  // namespace
 
@@ -21,15 +22,15 @@
   const bool is_service_request =
       request.raw_target.starts_with(protocol::kServicesPrefix);
   if (is_stopping_ && (is_key_request || is_service_request)) {
-    return path_.RefuseStopping(request);
+    return service_handler_.RefuseWhileStopping(request);
   }
   if (is_service_request) {
-    return path_.Serve(std::move(request), responder);
+    return service_handler_.Serve(std::move(request), responder);
   }
   if (is_key_request) {
-    return path_.IssueKeys(request);
+    return service_handler_.IssueKeys(request);
   }
-  if (auto page = pages_.Find(request)) {
+  if (auto page = endpoints_.Find(request)) {
     return page;
   }
   return MakeProblem(ProblemCode::kUnknownPath, decision::RunState::kNotRun);
@@ -39,10 +40,10 @@
   const auto service = ExtractServiceName(request.raw_target);
   const SharedRoutingTable routes = engine_.Routes();
   if (!service || !routes) {
-    return kSmallBodyBytes;
+    return kDefaultMaxBodyBytes;
   }
   const ServiceRoute* route = routes->Find(ServiceName(*service));
-  return route == nullptr ? kSmallBodyBytes
+  return route == nullptr ? kDefaultMaxBodyBytes
                           : route->config.request_class.max_request_bytes;
 }
 
--- a/lib/libmedlarcroft/source/adapters/entry/entry_handler.h
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_handler.h
@@ -11,21 +11,25 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Serves an entry host's listener: services, keys, health, metrics.
+/// @brief Serves the HTTP listener of an entry host: services, idempotency
+/// keys, health and metrics.
 class EntryHandler final : public HttpHandler {
  public:
-  /// @brief Gives the pages that are not part of the request path.
-  class Pages {
+  /// @brief Provides the endpoints that are not part of request processing.
+  class OperatorEndpoints {
    public:
-    virtual ~Pages() = default;
-    /// @return the page at `path`, or nullopt when there is none.
+    virtual ~OperatorEndpoints() = default;
+    /// @return the response of the endpoint that `request` names, or nullopt if
+    /// there is none.
     virtual std::optional<HttpResponse> Find(const HttpRequest& request) = 0;
   };
 
-  EntryHandler(ServiceRequestHandler& path,
+  EntryHandler(ServiceRequestHandler& service_handler,
                const RequestEngine& engine,
-               Pages& pages)
-      : path_(path), engine_(engine), pages_(pages) {}
+               OperatorEndpoints& endpoints)
+      : service_handler_(service_handler),
+        engine_(engine),
+        endpoints_(endpoints) {}
 
   std::optional<HttpResponse> Handle(
       HttpRequest request,
@@ -34,13 +38,13 @@
   [[nodiscard]] std::size_t MaxBodyBytes(
       const HttpRequest& request) const override;
 
-  /// @brief From now on new requests are refused as not run.
+  /// @brief From now on, refuses new requests without running them.
   void StopAdmitting() { is_stopping_ = true; }
 
  private:
-  ServiceRequestHandler& path_;
+  ServiceRequestHandler& service_handler_;
   const RequestEngine& engine_;
-  Pages& pages_;
+  OperatorEndpoints& endpoints_;
   std::atomic<bool> is_stopping_{false};
 };
 
--- a/lib/libmedlarcroft/source/adapters/entry/entry_node.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_node.cc
@@ -37,21 +37,22 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 4> kFailureNames = {
+constexpr std::array<std::string_view, 4> kStartErrorTexts = {
     "cannot listen for callers", "cannot listen for other entry hosts",
-    "bad TLS material", "bad key secrets"};
+    "invalid TLS certificate or key", "invalid key secrets"};
 
-constexpr Duration kSharePeriod = std::chrono::milliseconds(100);
+constexpr Duration kShareExchangePeriod = std::chrono::milliseconds(100);
 
-/// Claims spend most of it: one write for each durable order. Eleven hosts at
-/// their limit are 275 writes a second of the platform's several hundred.
+/// Most of the budget is for claims, one write for each durable order. Eleven
+/// hosts at this limit make 275 writes a second; the platform takes several
+/// hundred.
 constexpr catalogue::PlatformRateLimiter::Options kPlatformBudget = {
     .reads_per_second = 4.0,
     .read_burst = 40.0,
     .writes_per_second = 25.0,
     .write_burst = 75.0};
 
-std::optional<idempotency::KeySecrets> SecretsOf(
+std::optional<idempotency::KeySecrets> ParseKeySecrets(
     const std::vector<std::string>& texts) {
   idempotency::KeySecrets secrets;
   std::vector<std::string> decoded;
@@ -88,15 +89,15 @@
 
 }  // namespace
 
-std::string_view NameOf(EntryStartError failure) {
-  return kFailureNames.at(static_cast<std::size_t>(failure));
+std::string_view NameOf(EntryStartError error) {
+  return kStartErrorTexts.at(static_cast<std::size_t>(error));
 }
 
-class EntryNode::Parts {
+class EntryNode::Impl {
  public:
-  Parts(const EntrydSettings& settings,
-        const idempotency::KeySecrets& secrets,
-        const ports::Clock& clock)
+  Impl(const EntrydSettings& settings,
+       const idempotency::KeySecrets& secrets,
+       const ports::Clock& clock)
       : settings_(settings),
         clock_(clock),
         host_(settings.host),
@@ -117,26 +118,26 @@
         platform_({.base_url = settings.platform_url,
                    .timeout = std::chrono::seconds(1)}),
         budget_(kPlatformBudget, clock),
-        table_(platform_, budget_),
+        table_store_(platform_, budget_),
         capacity_({.host = host_,
                    .incarnation = incarnation_,
                    .rules = {.max_work = settings.longest_work}},
-                  table_,
+                  table_store_,
                   clock),
-        borrower_(capacity_),
+        share_borrower_(capacity_),
         engine_({.host = host_, .incarnation = incarnation_},
                 {client_, clock, scheduler_random_, telemetry_, capacity_}),
         keys_({.host = host_, .incarnation = incarnation_, .secrets = secrets},
               clock),
         claims_({.host = host_, .incarnation = incarnation_},
-                table_,
+                table_store_,
                 claim_random_,
                 clock),
         claim_worker_(claims_, budget_),
         forwarder_(host_, client_, keys_, clock),
         shifts_(clock, shift_random_),
-        callers_(engine_),
-        follower_(
+        caller_monitor_(engine_),
+        routing_synchronizer_(
             {.routing_address = settings.routing_address,
              .entry_address = settings.advertise.empty() ? settings.listen
                                                          : settings.advertise,
@@ -144,55 +145,56 @@
              .incarnation = incarnation_,
              .failure_domain = FailureDomainName(settings.failure_domain)},
             {engine_, shifts_, keys_, capacity_, clock}),
-        path_({.host = host_,
-               .clock = clock,
-               .max_work = settings.longest_work,
-               .engine = engine_,
-               .keys = keys_,
-               .forwarder = forwarder_,
-               .shifts = shifts_,
-               .callers = callers_,
-               .telemetry = telemetry_,
-               .claims = &claim_worker_}),
+        service_handler_({.host = host_,
+                          .clock = clock,
+                          .max_work = settings.longest_work,
+                          .engine = engine_,
+                          .keys = keys_,
+                          .forwarder = forwarder_,
+                          .shifts = shifts_,
+                          .caller_monitor = caller_monitor_,
+                          .telemetry = telemetry_,
+                          .claims = &claim_worker_}),
         gauges_(metrics_,
                 {.engine = engine_,
                  .keys = keys_,
                  .capacity = capacity_,
                  .claims = claim_worker_}),
         share_metrics_(metrics_, "share"),
-        poller_({.host = host_,
-                 .failure_domain = FailureDomainName(settings.failure_domain),
-                 .engine = engine_,
-                 .client = client_,
-                 .capacity = capacity_,
-                 .random = poll_random_,
-                 .clock = clock_}),
-        pages_({.host = host_,
-                .engine = engine_,
-                .keys = keys_,
-                .follower = follower_,
-                .capacity = capacity_,
-                .metrics =
-                    [this] {
-                      gauges_.Refresh();
-                      share_metrics_.Refresh();
-                      return metrics_.FormatPrometheus();
-                    }}),
-        handler_(path_, engine_, pages_),
+        target_poller_(
+            {.host = host_,
+             .failure_domain = FailureDomainName(settings.failure_domain),
+             .engine = engine_,
+             .client = client_,
+             .capacity = capacity_,
+             .random = poll_random_,
+             .clock = clock_}),
+        endpoints_({.host = host_,
+                    .engine = engine_,
+                    .keys = keys_,
+                    .routing_synchronizer = routing_synchronizer_,
+                    .capacity = capacity_,
+                    .metrics =
+                        [this] {
+                          gauges_.Refresh();
+                          share_metrics_.Refresh();
+                          return metrics_.FormatPrometheus();
+                        }}),
+        handler_(service_handler_, engine_, endpoints_),
         stop_(StopOptionsOf(settings.drain)) {}
 
-  ~Parts() {
-    // Listeners first: their threads use everything below.
-    http_.reset();
-    shares_.reset();
+  ~Impl() {
+    // Listeners first: their threads use all other members.
+    http_server_.reset();
+    share_server_.reset();
     share_thread_.reset();
     seat_thread_.reset();
-    follow_thread_.reset();
+    routing_thread_.reset();
     poll_thread_.reset();
     client_.Stop();
   }
-  Parts(const Parts&) = delete;
-  Parts& operator=(const Parts&) = delete;
+  Impl(const Impl&) = delete;
+  Impl& operator=(const Impl&) = delete;
 
   std::optional<EntryStartError> Open() {
     auto shares = ThriftServer::Start(
@@ -202,12 +204,12 @@
     if (!IsOk(shares)) {
       return EntryStartError::kCannotListenForShares;
     }
-    shares_ = TakeValue(std::move(shares));
+    share_server_ = TakeValue(std::move(shares));
 
     const auto certificate = ReadTextFile(settings_.tls.certificate);
     const auto key = ReadTextFile(settings_.tls.key);
     if (!certificate || !key) {
-      return EntryStartError::kBadTlsMaterial;
+      return EntryStartError::kInvalidTlsCredentials;
     }
     auto http = HttpServer::Start(
         {.address = settings_.listen,
@@ -220,20 +222,20 @@
         handler_);
     if (!IsOk(http)) {
       return ErrorOf(http) == ListenFailure::kBadTlsMaterial
-                 ? EntryStartError::kBadTlsMaterial
+                 ? EntryStartError::kInvalidTlsCredentials
                  : EntryStartError::kCannotListen;
     }
-    http_ = TakeValue(std::move(http));
-    gauges_.WatchListener(http_->Counters());
-    share_metrics_.Watch(shares_->Counters());
+    http_server_ = TakeValue(std::move(http));
+    gauges_.WatchListener(http_server_->Counters());
+    share_metrics_.Watch(share_server_->Counters());
     StartThreads();
     return std::nullopt;
   }
 
   void Tick() {
     capacity_.RecordHeartbeat();
-    callers_.Check();
-    stop_.Advance(http_->Counters().in_flight, clock_.Now());
+    caller_monitor_.Check();
+    stop_.Advance(http_server_->Counters().in_flight, clock_.Now());
     if (stop_.Phase() == process::StopPhase::kFinishing) {
       handler_.StopAdmitting();
     }
@@ -245,25 +247,25 @@
   void Reload(const EntrydSettings& settings) {
     SetLogLevel(settings.telemetry.log_level);
     tracer_.SetSampling(settings.telemetry.trace_sampling);
-    const auto secrets = SecretsOf(settings.key_secrets);
+    const auto secrets = ParseKeySecrets(settings.key_secrets);
     if (!secrets || !IsOk(keys_.Rotate(*secrets))) {
       Log(LogLevel::kError, "key-secrets-refused");
     }
   }
 
   void RequestStop(int count) {
-    follower_.Announce();
-    http_->StartDraining();
+    routing_synchronizer_.AnnounceLeaving();
+    http_server_->StartDraining();
     stop_.OnSignal(count, clock_.Now());
   }
 
   [[nodiscard]] const process::StopSequence& Stop() const { return stop_; }
-  [[nodiscard]] std::uint16_t Port() const { return http_->Port(); }
+  [[nodiscard]] std::uint16_t Port() const { return http_server_->Port(); }
 
  private:
   void StartThreads() {
-    follow_thread_ = std::make_unique<PeriodicThread>([this] {
-      follower_.Exchange();
+    routing_thread_ = std::make_unique<PeriodicThread>([this] {
+      routing_synchronizer_.Synchronize();
       return Duration(std::chrono::milliseconds(250));
     });
     seat_thread_ = std::make_unique<PeriodicThread>([this] {
@@ -275,19 +277,20 @@
       return FromSeconds(ToSeconds(period) *
                          (0.75 + 0.5 * seat_random_.NextUnit()));
     });
-    poll_thread_ =
-        std::make_unique<PeriodicThread>([this] { return poller_.Round(); });
+    poll_thread_ = std::make_unique<PeriodicThread>(
+        [this] { return target_poller_.PollDueTargets(); });
     share_thread_ = std::make_unique<PeriodicThread>([this] {
-      follower_.RefreshShares();
+      routing_synchronizer_.RefreshShares();
       if (const SharedRoutingTable routes = engine_.Routes()) {
-        borrower_.Round(*routes, follower_.PressedTargets());
+        share_borrower_.SendDueMessages(
+            *routes, routing_synchronizer_.SaturatedTargets());
       }
-      return kSharePeriod;
+      return kShareExchangePeriod;
     });
   }
 
-  /// Whether a target of a sibling domain answers: then no partition hides a
-  /// live host there.
+  /// @return whether a target of a sibling failure domain answers. If it does,
+  /// a network partition can't be what makes the hosts there look dead.
   [[nodiscard]] bool AreTargetsReachable() {
     const SharedRoutingTable routes = engine_.Routes();
     if (!routes) {
@@ -309,7 +312,8 @@
     return false;
   }
 
-  /// @return rows that a round reads, of this domain and its siblings.
+  /// @return number of rows that one round of seat updates reads, of this
+  /// failure domain and its siblings.
   [[nodiscard]] std::uint32_t DeclaredSeats() const {
     std::uint32_t seats = 0;
     if (const SharedRoutingTable routes = engine_.Routes()) {
@@ -344,73 +348,73 @@
   HttpClient client_;
   HttpPlatform platform_;
   catalogue::PlatformRateLimiter budget_;
-  catalogue::RateLimitedTableStore table_;
+  catalogue::RateLimitedTableStore table_store_;
   capacity::CapacityManager capacity_;
-  ShareBorrower borrower_;
+  ShareBorrower share_borrower_;
   RequestEngine engine_;
   IdempotencyGuard keys_;
   idempotency::DurableClaims claims_;
   ClaimWorker claim_worker_;
   HostForwarder forwarder_;
   ShiftChooser shifts_;
-  CallerDisconnectMonitor callers_;
-  RoutingSynchronizer follower_;
-  ServiceRequestHandler path_;
+  CallerDisconnectMonitor caller_monitor_;
+  RoutingSynchronizer routing_synchronizer_;
+  ServiceRequestHandler service_handler_;
   EntryGauges gauges_;
   ThriftListenerMetrics share_metrics_;
-  TargetPoller poller_;
-  EntryOperatorEndpoints pages_;
+  TargetPoller target_poller_;
+  EntryOperatorEndpoints endpoints_;
   EntryHandler handler_;
   process::StopSequence stop_;
   bool are_seats_returned_ = false;
-  std::unique_ptr<ThriftServer> shares_;
-  std::unique_ptr<HttpServer> http_;
-  std::unique_ptr<PeriodicThread> follow_thread_;
+  std::unique_ptr<ThriftServer> share_server_;
+  std::unique_ptr<HttpServer> http_server_;
+  std::unique_ptr<PeriodicThread> routing_thread_;
   std::unique_ptr<PeriodicThread> seat_thread_;
   std::unique_ptr<PeriodicThread> share_thread_;
   std::unique_ptr<PeriodicThread> poll_thread_;
 };
 
-EntryNode::EntryNode(std::unique_ptr<Parts> parts) : parts_(std::move(parts)) {}
+EntryNode::EntryNode(std::unique_ptr<Impl> impl) : impl_(std::move(impl)) {}
 
 EntryNode::~EntryNode() = default;
 
 Result<std::unique_ptr<EntryNode>, EntryStartError> EntryNode::Start(
     const EntrydSettings& settings,
     const ports::Clock& clock) {
-  const auto secrets = SecretsOf(settings.key_secrets);
+  const auto secrets = ParseKeySecrets(settings.key_secrets);
   if (!secrets) {
-    return EntryStartError::kBadKeySecrets;
+    return EntryStartError::kInvalidKeySecrets;
   }
-  auto parts = std::make_unique<Parts>(settings, *secrets, clock);
-  if (const auto failure = parts->Open()) {
-    return *failure;
+  auto impl = std::make_unique<Impl>(settings, *secrets, clock);
+  if (const auto error = impl->Open()) {
+    return *error;
   }
-  return std::unique_ptr<EntryNode>(new EntryNode(std::move(parts)));
+  return std::unique_ptr<EntryNode>(new EntryNode(std::move(impl)));
 }
 
 void EntryNode::Tick() {
-  parts_->Tick();
+  impl_->Tick();
 }
 
 void EntryNode::Reload(const EntrydSettings& settings) {
-  parts_->Reload(settings);
+  impl_->Reload(settings);
 }
 
 void EntryNode::RequestStop(int count) {
-  parts_->RequestStop(count);
+  impl_->RequestStop(count);
 }
 
 process::StopPhase EntryNode::Phase() const {
-  return parts_->Stop().Phase();
+  return impl_->Stop().Phase();
 }
 
 std::size_t EntryNode::Cut() const {
-  return parts_->Stop().Cut();
+  return impl_->Stop().Cut();
 }
 
 std::uint16_t EntryNode::Port() const {
-  return parts_->Port();
+  return impl_->Port();
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/entry/entry_node.h
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_node.h
@@ -13,18 +13,18 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Why an entry node could not start.
+/// @brief Reason for which an entry node could not start.
 enum class EntryStartError {
   kCannotListen,
   kCannotListenForShares,
-  kBadTlsMaterial,
-  kBadKeySecrets,
+  kInvalidTlsCredentials,
+  kInvalidKeySecrets,
 };
 
-[[nodiscard]] std::string_view NameOf(EntryStartError failure);
+[[nodiscard]] std::string_view NameOf(EntryStartError error);
 
-/// @brief One medlar-entryd: all of its parts, wired. A program runs it by
-/// calling `Tick` from a loop; a test constructs it with a clock of its own.
+/// @brief Composition root of medlar-entryd. The program runs it by calling
+/// `Tick` in a loop; a test can construct it with its own clock.
 class EntryNode {
  public:
   static Result<std::unique_ptr<EntryNode>, EntryStartError> Start(
@@ -35,25 +35,26 @@
   EntryNode(const EntryNode&) = delete;
   EntryNode& operator=(const EntryNode&) = delete;
 
-  /// @brief Exchanges with steerd, looks after callers, moves a stop on. Call
-  /// it at least four times a second.
+  /// @brief Signals to the keeper of the seat leases that this process runs,
+  /// checks for disconnected callers and advances the stop sequence. Call it at
+  /// least four times a second.
   void Tick();
 
-  /// @brief Takes the settings that may change while running.
+  /// @brief Applies the settings that may change at run time.
   void Reload(const EntrydSettings& settings);
 
-  /// @param count signals to stop that have come so far.
+  /// @param count number of stop signals received so far.
   void RequestStop(int count);
 
   [[nodiscard]] process::StopPhase Phase() const;
-  /// @return requests that the stop cut.
+  /// @return number of requests that were aborted by the stop.
   [[nodiscard]] std::size_t Cut() const;
   [[nodiscard]] std::uint16_t Port() const;
 
  private:
-  class Parts;
-  explicit EntryNode(std::unique_ptr<Parts> parts);
-  std::unique_ptr<Parts> parts_;
+  class Impl;
+  explicit EntryNode(std::unique_ptr<Impl> impl);
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/entry/entry_operator_endpoints.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_operator_endpoints.cc
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-const Page<EntryOperatorEndpoints> EntryOperatorEndpoints::kPages[] = {
+const Page<EntryOperatorEndpoints> EntryOperatorEndpoints::kEndpoints[] = {
     {"/healthz", &EntryOperatorEndpoints::Health},
     {"/readyz", &EntryOperatorEndpoints::Readiness},
     {"/v1/status", &EntryOperatorEndpoints::Status},
@@ -67,7 +67,7 @@
 
 std::optional<HttpResponse> EntryOperatorEndpoints::Find(
     const HttpRequest& request) {
-  return ServePage<EntryOperatorEndpoints>(*this, kPages, request);
+  return ServePage<EntryOperatorEndpoints>(*this, kEndpoints, request);
 }
 
 HttpResponse EntryOperatorEndpoints::Health(
@@ -77,11 +77,11 @@
 
 std::vector<std::string> EntryOperatorEndpoints::ReasonsNotReady() const {
   std::vector<std::string> reasons;
-  const SharedRoutingTable routes = parts_.engine.Routes();
+  const SharedRoutingTable routes = dependencies_.engine.Routes();
   if (!routes) {
     reasons.emplace_back("routes: none received from steerd yet");
   } else if (!HasAnyShare(*routes)) {
-    reasons.emplace_back(parts_.capacity.HasSeat()
+    reasons.emplace_back(dependencies_.capacity.HasSeat()
                              ? "capacity: no slot may be used yet"
                              : "capacity: no seat held");
   }
@@ -98,21 +98,22 @@
 
 HttpResponse EntryOperatorEndpoints::Status(
     const HttpRequest& /*request*/) const {
-  const SharedRoutingTable routes = parts_.engine.Routes();
+  const SharedRoutingTable routes = dependencies_.engine.Routes();
   const std::vector<std::string> reasons = ReasonsNotReady();
-  Json body = {{"host", parts_.host.Value()},
-               {"ready", reasons.empty()},
-               {"not_ready_because", reasons},
-               {"steerd_connected", parts_.follower.IsConnected()},
-               {"snapshot", routes ? routes->number : 0},
-               {"revision", routes ? routes->catalogue_revision : 0},
-               {"in_flight", parts_.engine.InFlight()},
-               {"ledger",
-                {{"entries", parts_.keys.LedgerEntries()},
-                 {"running", parts_.keys.LedgerRunning()},
-                 {"bytes", parts_.keys.LedgerBytes()}}}};
+  Json body = {
+      {"host", dependencies_.host.Value()},
+      {"ready", reasons.empty()},
+      {"not_ready_because", reasons},
+      {"steerd_connected", dependencies_.routing_synchronizer.IsConnected()},
+      {"snapshot", routes ? routes->number : 0},
+      {"revision", routes ? routes->catalogue_revision : 0},
+      {"in_flight", dependencies_.engine.InFlight()},
+      {"ledger",
+       {{"entries", dependencies_.keys.LedgerEntries()},
+        {"running", dependencies_.keys.LedgerRunning()},
+        {"bytes", dependencies_.keys.LedgerBytes()}}}};
   body["seats"] = Json::array();
-  for (const capacity::SeatStatus& seat : parts_.capacity.Status()) {
+  for (const capacity::SeatStatus& seat : dependencies_.capacity.Status()) {
     Json item = {
         {"failure_domain", seat.failure_domain.Value()},
         {"standing", kStandingNames.at(static_cast<std::size_t>(seat.state))}};
@@ -126,7 +127,7 @@
 
 HttpResponse EntryOperatorEndpoints::Explain(const HttpRequest& request) const {
   const ServiceName service(request.FindQuery("service").value_or(""));
-  const auto explanation = parts_.engine.Explain(service);
+  const auto explanation = dependencies_.engine.Explain(service);
   if (!explanation) {
     return MakeProblem(ProblemCode::kUnknownService,
                        decision::RunState::kNotRun);
@@ -159,7 +160,7 @@
 
 HttpResponse EntryOperatorEndpoints::Metrics(
     const HttpRequest& /*request*/) const {
-  return MakeMetricsResponse(parts_.metrics());
+  return MakeMetricsResponse(dependencies_.metrics());
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/entry/entry_operator_endpoints.h
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_operator_endpoints.h
@@ -16,24 +16,26 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief entryd's pages for operators: status, explain, health, metrics.
-class EntryOperatorEndpoints final : public EntryHandler::Pages {
+/// @brief HTTP endpoints of entryd for operators: status, explain, health and
+/// metrics.
+class EntryOperatorEndpoints final : public EntryHandler::OperatorEndpoints {
  public:
-  struct Parts {
+  struct Dependencies {
     HostName host;
     const RequestEngine& engine;
     const IdempotencyGuard& keys;
-    const RoutingSynchronizer& follower;
+    const RoutingSynchronizer& routing_synchronizer;
     const capacity::CapacityManager& capacity;
     std::function<std::string()> metrics;  ///< Prometheus text.
   };
 
-  explicit EntryOperatorEndpoints(Parts parts) : parts_(std::move(parts)) {}
+  explicit EntryOperatorEndpoints(Dependencies dependencies)
+      : dependencies_(std::move(dependencies)) {}
 
   std::optional<HttpResponse> Find(const HttpRequest& request) override;
 
  private:
-  static const Page<EntryOperatorEndpoints> kPages[];
+  static const Page<EntryOperatorEndpoints> kEndpoints[];
 
   [[nodiscard]] HttpResponse Health(const HttpRequest& request) const;
   [[nodiscard]] HttpResponse Readiness(const HttpRequest& request) const;
@@ -43,7 +45,7 @@
 
   [[nodiscard]] std::vector<std::string> ReasonsNotReady() const;
 
-  const Parts parts_;
+  const Dependencies dependencies_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/entry/entry_telemetry.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_telemetry.cc
@@ -29,12 +29,12 @@
     "Connections found open with nothing coming through."};
 
 /// In the order of `decision::AttemptOutcome`.
-constexpr std::array<std::string_view, 10> kAttemptNames = {
+constexpr std::array<std::string_view, 10> kAttemptOutcomeNames = {
     "answered",  "server-error",    "never-sent", "shed",   "leaving",
     "truncated", "connection-lost", "timed-out",  "silent", "cancelled"};
 
-constexpr std::array<std::string_view, 3> kDispatchNames = {"first", "retry",
-                                                            "hedge"};
+constexpr std::array<std::string_view, 3> kDispatchKindNames = {
+    "first", "retry", "hedge"};
 
 }  // namespace
 
@@ -59,7 +59,7 @@
 void EntryTelemetry::EndRequest(const ServiceRequest& request,
                                 const RequestResult& result,
                                 Duration latency) {
-  const std::string_view outcome = OutcomeName(result.run_state);
+  const std::string_view outcome = FormatRunState(result.run_state);
   metrics_
       .CounterOf(kRequests,
                  {request.service, Label::OfConstant("outcome", outcome)})
@@ -82,7 +82,7 @@
                                             const TargetName& target,
                                             decision::DispatchKind kind) {
   const std::string_view kind_name =
-      kDispatchNames.at(static_cast<std::size_t>(kind));
+      kDispatchKindNames.at(static_cast<std::size_t>(kind));
   metrics_
       .CounterOf(kDispatches,
                  {request.service, Label::OfConstant("kind", kind_name)})
@@ -104,7 +104,7 @@
 
 void EntryTelemetry::OnAttemptEnd(const AttemptEvent& event) {
   const std::string_view outcome =
-      kAttemptNames.at(static_cast<std::size_t>(event.outcome));
+      kAttemptOutcomeNames.at(static_cast<std::size_t>(event.outcome));
   metrics_
       .CounterOf(kAttempts, {event.target, Label::OfConstant("end", outcome)})
       .Add();
--- a/lib/libmedlarcroft/source/adapters/entry/entry_telemetry.h
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_telemetry.h
@@ -12,18 +12,19 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Metrics and spans of the request path.
+/// @brief Metrics and trace spans of request processing.
 class EntryTelemetry final : public RequestEvents {
  public:
   EntryTelemetry(telemetry::MetricsRegistry& metrics, telemetry::Tracer& tracer)
       : metrics_(metrics), tracer_(tracer) {}
 
-  /// @brief Begins this hop's span from what the caller sent.
+  /// @brief Starts this hop's span as a child of the trace context that the
+  /// caller sent, if it is valid.
   [[nodiscard]] std::shared_ptr<telemetry::ActiveSpan> StartRequest(
       const ServiceRequest& request,
       std::string_view trace_parent);
 
-  /// @brief Notes a request's final answer.
+  /// @brief Records a request's final answer and ends its span.
   void EndRequest(const ServiceRequest& request,
                   const RequestResult& result,
                   Duration latency);
--- a/lib/libmedlarcroft/source/adapters/entry/host_forwarder.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/host_forwarder.cc
@@ -13,7 +13,8 @@
 
 const std::string kNoKey;
 
-forwarding::ForwardedRequest BoundParts(const ServiceRequest& request) {
+forwarding::ForwardedRequest AuthenticatedFields(
+    const ServiceRequest& request) {
   return {.method = request.method,
           .path = request.target_path,
           .idempotency_key = request.key_text ? *request.key_text : kNoKey};
@@ -29,21 +30,22 @@
   }
 
   ClientResponse answer = TakeValue(std::move(result));
-  RequestResult passed;
-  passed.run_state =
+  RequestResult forwarded;
+  forwarded.run_state =
       ParseRunState(answer.headers.Find(protocol::kOutcome).value_or(""));
-  passed.response.status = answer.status;
+  forwarded.response.status = answer.status;
   for (const HttpHeader& field : answer.headers.Fields()) {
-    const bool is_ours = IsSameHeaderName(field.name, protocol::kOutcome) ||
-                         IsSameHeaderName(field.name, protocol::kTarget) ||
-                         IsSameHeaderName(field.name, protocol::kHost);
-    if (is_ours || !IsStrippedHeader(field.name)) {
-      passed.response.headers.Add(field.name, field.value);
+    const bool is_own_header =
+        IsSameHeaderName(field.name, protocol::kOutcome) ||
+        IsSameHeaderName(field.name, protocol::kTarget) ||
+        IsSameHeaderName(field.name, protocol::kHost);
+    if (is_own_header || !IsStrippedHeader(field.name)) {
+      forwarded.response.headers.Add(field.name, field.value);
     }
   }
-  passed.response.body = std::move(answer.body);
-  passed.is_target_answer = passed.run_state == RunState::kRan;
-  return passed;
+  forwarded.response.body = std::move(answer.body);
+  forwarded.is_target_answer = forwarded.run_state == RunState::kRan;
+  return forwarded;
 }
 
 }  // namespace
@@ -56,43 +58,43 @@
       client_(client),
       keys_(keys),
       clock_(clock),
-      replays_(clock) {}
+      replay_guard_(clock) {}
 
-void HostForwarder::Send(const Forwarding& forwarding, ResultCallback done) {
-  client_.Send(MakeRequest(forwarding),
+void HostForwarder::Send(const ForwardRequest& forward, ResultCallback done) {
+  client_.Send(MakeRequest(forward),
                [done = std::move(done)](ClientResult result) {
                  done(ToResult(std::move(result)));
                });
 }
 
-ClientRequest HostForwarder::MakeRequest(const Forwarding& forwarding) const {
-  const ServiceRequest& request = forwarding.request;
+ClientRequest HostForwarder::MakeRequest(const ForwardRequest& forward) const {
+  const ServiceRequest& request = forward.request;
   const forwarding::ForwardClaim claim{
-      .sender = self_, .kind = forwarding.kind, .sent_at = clock_.WallNow()};
+      .sender = self_, .kind = forward.kind, .sent_at = clock_.WallNow()};
 
   ClientRequest out;
   out.method = request.method;
-  out.url = "http://" + forwarding.address +
+  out.url = "http://" + forward.address +
             std::string(protocol::kServicesPrefix) + request.service.Value() +
             request.target_path;
   out.headers = request.headers;
   out.headers.Set(protocol::kBrand, request.brand.Value());
   out.headers.Set(protocol::kDeadline,
                   std::to_string(std::max<std::int64_t>(
-                      1, ToMilliseconds(forwarding.time_left))));
+                      1, ToMilliseconds(forward.time_left))));
   out.headers.Set(protocol::kForwardedBy,
                   forwarding::FormatForwardClaim(claim));
   out.headers.Set(protocol::kForwardProof,
-                  forwarding::SignForward(claim, BoundParts(request),
+                  forwarding::SignForward(claim, AuthenticatedFields(request),
                                           keys_.IssuingSecret()));
   if (request.span) {
     out.headers.Set(protocol::kTraceParent,
                     telemetry::FormatTraceparent(request.span->Context()));
   }
   out.body = request.body;
-  out.timeout = forwarding.time_left;
-  out.needs_fresh_connection = !forwarding.is_idempotent;
-  out.max_answer_bytes = forwarding.max_answer_bytes;
+  out.timeout = forward.time_left;
+  out.needs_fresh_connection = !forward.is_idempotent;
+  out.max_answer_bytes = forward.max_answer_bytes;
   return out;
 }
 
@@ -103,7 +105,7 @@
     return std::nullopt;
   }
   for (const std::string& secret : keys_.AcceptedSecrets()) {
-    if (forwarding::IsForwardProofValid(*claim, BoundParts(request),
+    if (forwarding::IsForwardProofValid(*claim, AuthenticatedFields(request),
                                         request.forward_proof, secret,
                                         clock_.WallNow())) {
       return claim;
@@ -114,7 +116,7 @@
 
 bool HostForwarder::AdmitOnce(const ServiceRequest& request) {
   const std::lock_guard lock(mutex_);
-  return replays_.Admit(request.forward_proof);
+  return replay_guard_.Admit(request.forward_proof);
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/entry/host_forwarder.h
+++ b/lib/libmedlarcroft/source/adapters/entry/host_forwarder.h
@@ -15,8 +15,8 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief One request to send on.
-struct Forwarding {
+/// @brief One request to forward to another entry host.
+struct ForwardRequest {
   const ServiceRequest& request;
   std::string address;  ///< The other entry host, IP:port.
   forwarding::ForwardKind kind = forwarding::ForwardKind::kShift;
@@ -25,8 +25,8 @@
   bool is_idempotent = false;
 };
 
-/// @brief Sends requests on to other entry hosts, and checks those that others
-/// send. Safe to share between threads.
+/// @brief Forwards requests to other entry hosts and verifies requests that
+/// they forward to this one. Safe to share between threads.
 class HostForwarder {
  public:
   HostForwarder(HostName self,
@@ -34,27 +34,29 @@
                 const IdempotencyGuard& keys,
                 const ports::Clock& clock);
 
-  /// @brief `done` runs once, on the client's thread. `kNotRun` in its result
-  /// is proved: the other host said so, or nothing was sent to it.
-  void Send(const Forwarding& forwarding, ResultCallback done);
+  /// @brief Forwards a request. `done` runs once, on the client's thread.
+  /// `kNotRun` in its result is certain: the other host said so, or nothing was
+  /// sent to it.
+  void Send(const ForwardRequest& forward, ResultCallback done);
 
-  /// @return how an arriving request was forwarded, or nullopt when its proof
-  /// does not hold.
+  /// @return how an incoming request was forwarded, or nullopt if its proof is
+  /// invalid.
   [[nodiscard]] std::optional<forwarding::ForwardClaim> Verify(
       const ServiceRequest& request) const;
 
-  /// @return false when this proof of a shifted request came before.
+  /// @return false if the proof of this request, which was moved here from
+  /// another failure domain, has been used before.
   [[nodiscard]] bool AdmitOnce(const ServiceRequest& request);
 
  private:
-  [[nodiscard]] ClientRequest MakeRequest(const Forwarding& forwarding) const;
+  [[nodiscard]] ClientRequest MakeRequest(const ForwardRequest& forward) const;
 
   const HostName self_;
   HttpClient& client_;
   const IdempotencyGuard& keys_;
   const ports::Clock& clock_;
   std::mutex mutex_;
-  forwarding::ForwardReplayGuard replays_;
+  forwarding::ForwardReplayGuard replay_guard_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/entry/idempotency_guard.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/idempotency_guard.cc
@@ -13,29 +13,34 @@
 using decision::RunState;
 using idempotency::LedgerRefusal;
 
-/// A duplicate that was turned away comes back when the first one is likely
-/// over.
+/// By then the first attempt is likely to have finished.
 constexpr Duration kDuplicateRetryAfter = std::chrono::seconds(1);
 
-struct RefusalRow {
+struct RefusalMapping {
   LedgerRefusal reason;
   ProblemCode code;
   Duration retry_after;
 };
 
-constexpr std::array kRefusalRows = {
-    RefusalRow{LedgerRefusal::kExpired, ProblemCode::kKeyExpired, {}},
-    RefusalRow{LedgerRefusal::kForeignHost, ProblemCode::kKeyIssuerGone, {}},
-    RefusalRow{LedgerRefusal::kForeignIncarnation,
-               ProblemCode::kKeyIssuerGone,
-               {}},
-    RefusalRow{LedgerRefusal::kRequestDiffers, ProblemCode::kKeyReused, {}},
-    RefusalRow{LedgerRefusal::kFull, ProblemCode::kLedgerFull,
-               kDuplicateRetryAfter},
-    RefusalRow{LedgerRefusal::kTooManyWaiters, ProblemCode::kTooManyDuplicates,
-               kDuplicateRetryAfter},
-    RefusalRow{LedgerRefusal::kFateUnknown, ProblemCode::kFateUnknown, {}},
-    RefusalRow{LedgerRefusal::kAnswerNotKept, ProblemCode::kAnswerNotKept, {}},
+constexpr std::array kRefusalMappings = {
+    RefusalMapping{LedgerRefusal::kExpired, ProblemCode::kKeyExpired, {}},
+    RefusalMapping{LedgerRefusal::kForeignHost,
+                   ProblemCode::kKeyIssuerUnavailable,
+                   {}},
+    RefusalMapping{LedgerRefusal::kForeignIncarnation,
+                   ProblemCode::kKeyIssuerUnavailable,
+                   {}},
+    RefusalMapping{LedgerRefusal::kRequestDiffers, ProblemCode::kKeyReused, {}},
+    RefusalMapping{LedgerRefusal::kFull, ProblemCode::kLedgerFull,
+                   kDuplicateRetryAfter},
+    RefusalMapping{LedgerRefusal::kTooManyWaiters,
+                   ProblemCode::kTooManyDuplicates, kDuplicateRetryAfter},
+    RefusalMapping{LedgerRefusal::kFateUnknown,
+                   ProblemCode::kOutcomeUnknown,
+                   {}},
+    RefusalMapping{LedgerRefusal::kAnswerNotKept,
+                   ProblemCode::kAnswerNotKept,
+                   {}},
 };
 
 RunState ToRunState(idempotency::Outcome outcome) {
@@ -58,13 +63,13 @@
 }
 
 RequestResult ToResult(const idempotency::Refused& refused) {
-  for (const RefusalRow& row : kRefusalRows) {
+  for (const RefusalMapping& row : kRefusalMappings) {
     if (row.reason == refused.reason) {
       return MakeProblemResult(row.code, ToRunState(refused.outcome),
                                row.retry_after);
     }
   }
-  return MakeProblemResult(ProblemCode::kFateUnknown, RunState::kUnknown);
+  return MakeProblemResult(ProblemCode::kOutcomeUnknown, RunState::kUnknown);
 }
 
 idempotency::SharedAnswer ToAnswer(const HttpResponse& response) {
@@ -105,14 +110,15 @@
   return idempotency::FormatKey(authority_.Issue(mode));
 }
 
-decision::RunState IdempotencyGuard::OutcomeIfRefused(
+decision::RunState IdempotencyGuard::RunStateIfRefused(
     std::optional<std::string_view> key_text) const {
   if (!key_text) {
     return RunState::kNotRun;
   }
   const auto key = idempotency::ParseKey(*key_text);
   if (!IsOk(key)) {
-    // No host ever took such a key, unless one of a later version did.
+    // No host has ever accepted a key of this form, unless a later version of
+    // the software did.
     return ErrorOf(key) == idempotency::KeyParseError::kUnknownVersion
                ? RunState::kUnknown
                : RunState::kNotRun;
@@ -134,7 +140,7 @@
   const auto parsed = idempotency::ParseKey(*request.key_text);
   if (!IsOk(parsed)) {
     return AnswerDecision{MakeProblemResult(
-        ProblemCode::kBadKey, OutcomeIfRefused(request.key_text))};
+        ProblemCode::kBadKey, RunStateIfRefused(request.key_text))};
   }
   const idempotency::Key& key = ValueOf(parsed);
   const idempotency::Fingerprint fingerprint = idempotency::ComputeFingerprint(
@@ -145,43 +151,45 @@
 
   const std::lock_guard lock(mutex_);
   if (const auto refusal = authority_.FindRefusal(key)) {
-    // An expired key may have run, and so may one that was signed with a secret
-    // no longer accepted, which cannot be told from a forged one.
+    // A request with an expired key may have run. So may one whose key was
+    // signed with a secret that is no longer accepted, which can't be told from
+    // a forged key.
     return AnswerDecision{MakeProblemResult(
         *refusal == idempotency::KeyRefusal::kForged ? ProblemCode::kBadKey
                                                      : ProblemCode::kKeyExpired,
         RunState::kUnknown)};
   }
-  const idempotency::WaiterId id = ++last_waiter_;
-  const idempotency::BeginResult begun =
+  const idempotency::WaiterId id = ++last_waiter_id_;
+  const idempotency::BeginResult begin_result =
       ledger_.Begin(key, fingerprint, max_answer_bytes, id);
-  if (std::holds_alternative<idempotency::AwaitFirstAttempt>(begun)) {
+  if (std::holds_alternative<idempotency::AwaitFirstAttempt>(begin_result)) {
     waiters_[id] = std::move(waiter);
   }
-  return Judge(key, begun);
+  return ToDecision(key, begin_result);
 }
 
-GuardDecision IdempotencyGuard::Judge(
+GuardDecision IdempotencyGuard::ToDecision(
     const idempotency::Key& key,
-    const idempotency::BeginResult& begun) const {
-  if (std::holds_alternative<idempotency::DispatchRequest>(begun)) {
+    const idempotency::BeginResult& begin_result) const {
+  if (std::holds_alternative<idempotency::DispatchRequest>(begin_result)) {
     return ProceedDecision{key};
   }
-  if (std::holds_alternative<idempotency::AwaitFirstAttempt>(begun)) {
+  if (std::holds_alternative<idempotency::AwaitFirstAttempt>(begin_result)) {
     return WaitDecision{};
   }
-  if (const auto* replay = std::get_if<idempotency::ReplayAnswer>(&begun)) {
+  if (const auto* replay =
+          std::get_if<idempotency::ReplayAnswer>(&begin_result)) {
     return AnswerDecision{ToResult(*replay->answer)};
   }
-  const auto& refused = std::get<idempotency::Refused>(begun);
+  const auto& refused = std::get<idempotency::Refused>(begin_result);
   if (refused.reason == LedgerRefusal::kForeignHost) {
     return ForwardToIssuerDecision{key.id.issuer};
   }
   return AnswerDecision{ToResult(refused)};
 }
 
-void IdempotencyGuard::Settle(const idempotency::Key& key,
-                              const RequestResult& result) {
+void IdempotencyGuard::RecordResult(const idempotency::Key& key,
+                                    const RequestResult& result) {
   std::vector<idempotency::WaiterId> ids;
   {
     const std::lock_guard lock(mutex_);
@@ -213,16 +221,16 @@
 void IdempotencyGuard::AnswerWaiters(
     const std::vector<idempotency::WaiterId>& ids,
     const RequestResult& result) {
-  std::vector<ResultCallback> to_answer;
+  std::vector<ResultCallback> callbacks;
   {
     const std::lock_guard lock(mutex_);
     for (const idempotency::WaiterId id : ids) {
       if (auto node = waiters_.extract(id)) {
-        to_answer.push_back(std::move(node.mapped()));
+        callbacks.push_back(std::move(node.mapped()));
       }
     }
   }
-  for (const ResultCallback& callback : to_answer) {
+  for (const ResultCallback& callback : callbacks) {
     callback(result);
   }
 }
--- a/lib/libmedlarcroft/source/adapters/entry/idempotency_guard.h
+++ b/lib/libmedlarcroft/source/adapters/entry/idempotency_guard.h
@@ -21,17 +21,19 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Dispatch the request, then call `IdempotencyGuard::Settle`.
+/// @brief Dispatch the request, then call `IdempotencyGuard::RecordResult`.
 struct ProceedDecision {
   idempotency::Key key;
 };
-/// @brief The callback given to `Begin` is called with the first one's result.
+/// @brief An earlier attempt is running; the callback given to `Begin` gets its
+/// result.
 struct WaitDecision {};
-/// @brief Answer with this at once.
+/// @brief Send this answer at once.
 struct AnswerDecision {
   RequestResult result;
 };
-/// @brief Only this host may dispatch the key: pass the request on to it.
+/// @brief Only the host that issued the key may dispatch the request: forward
+/// it there.
 struct ForwardToIssuerDecision {
   HostName issuer;
 };
@@ -41,9 +43,10 @@
                                    AnswerDecision,
                                    ForwardToIssuerDecision>;
 
-/// @brief Stands before every non-idempotent request: issues keys, and decides
-/// by the ledger which attempts run, wait, are replayed or refused. Safe to
-/// share between threads; callbacks run without its lock.
+/// @brief Checks every non-idempotent request before it is dispatched: issues
+/// keys and decides by the idempotency ledger whether an attempt runs, waits,
+/// gets a stored answer or is refused. Safe to share between threads; callbacks
+/// run without its lock held.
 class IdempotencyGuard {
  public:
   struct Options {
@@ -55,39 +58,43 @@
 
   IdempotencyGuard(Options options, const ports::Clock& clock);
 
-  /// @return the text form of a fresh key.
+  /// @return a new key in its text form.
   [[nodiscard]] std::string Issue(idempotency::Mode mode);
 
-  /// @brief What may be said of a request that is refused before `Begin`.
+  /// @brief The run state to report for a request that is refused before
+  /// `Begin`.
   ///
-  /// Failure: an order ran, its answer was lost, and the caller asks again
-  /// while the host is stopping, or just started without routes. Symptom: it is
-  /// told "not run", takes a new key, and the order runs twice. Only a key of
-  /// this process without an entry is proved not to have run.
-  /// @param key_text the Idempotency-Key field; none: nothing else can have run
-  /// under it.
-  [[nodiscard]] decision::RunState OutcomeIfRefused(
+  /// This prevents an order from running twice: it ran, its answer was lost,
+  /// and the caller retries while the host is stopping, or has just started and
+  /// has no routes. If the refusal then reported "not run", the caller would
+  /// retry with a new key. Only for a key that this process issued and that has
+  /// no ledger entry is it certain that the request did not run.
+  /// @param key_text the Idempotency-Key header; if absent, no other attempt
+  /// can have run under the same key.
+  [[nodiscard]] decision::RunState RunStateIfRefused(
       std::optional<std::string_view> key_text) const;
 
-  /// @param max_answer_bytes room kept for the answer, so that what ran can be
-  /// replayed.
+  /// @param max_answer_bytes space to reserve in the ledger for the answer, so
+  /// that it can be sent again to duplicates.
+  /// @param waiter gets the result if the decision is `WaitDecision`.
   [[nodiscard]] GuardDecision Begin(const ServiceRequest& request,
                                     std::size_t max_answer_bytes,
                                     ResultCallback waiter);
 
-  /// @brief Notes the end of the run that `Begin` asked for, and answers the
+  /// @brief Records the result of the run that `Begin` allowed, and answers the
   /// duplicates that waited for it.
-  void Settle(const idempotency::Key& key, const RequestResult& result);
+  void RecordResult(const idempotency::Key& key, const RequestResult& result);
 
-  /// @brief Notes that the run was not begun here after all, whatever is known
-  /// of it elsewhere: a later attempt decides anew. Answers the duplicates that
-  /// waited with `result`.
+  /// @brief Records that the run was not started on this host after all,
+  /// whatever is known of it on other hosts, so that a later attempt is decided
+  /// afresh. Answers the waiting duplicates with `result`.
   void Release(const idempotency::Key& key, const RequestResult& result);
 
   [[nodiscard]] Result<Success, idempotency::KeySecretsError> Rotate(
       idempotency::KeySecrets secrets);
 
-  /// @return the secret that signs, for proofs between hosts.
+  /// @return the secret that signs keys; it also signs the proofs of requests
+  /// forwarded between hosts.
   [[nodiscard]] std::string IssuingSecret() const;
   [[nodiscard]] std::vector<std::string> AcceptedSecrets() const;
 
@@ -96,12 +103,12 @@
   [[nodiscard]] std::size_t LedgerRunning() const;
 
  private:
-  /// @brief Answers parked duplicates, without the lock held.
+  /// @brief Answers waiting duplicates, without the lock held.
   void AnswerWaiters(const std::vector<idempotency::WaiterId>& ids,
                      const RequestResult& result);
-  [[nodiscard]] GuardDecision Judge(
+  [[nodiscard]] GuardDecision ToDecision(
       const idempotency::Key& key,
-      const idempotency::BeginResult& begun) const;
+      const idempotency::BeginResult& begin_result) const;
 
   const Options options_;
   mutable std::mutex mutex_;
@@ -109,7 +116,7 @@
   idempotency::KeyAuthority authority_;
   idempotency::Ledger ledger_;
   std::map<idempotency::WaiterId, ResultCallback> waiters_;
-  idempotency::WaiterId last_waiter_ = 0;
+  idempotency::WaiterId last_waiter_id_ = 0;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/entry/problem.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/problem.cc
@@ -82,11 +82,11 @@
       {"code", name},
       {"title", title},
       {"status", status},
-      {"outcome", OutcomeName(run_state)},
+      {"outcome", FormatRunState(run_state)},
   };
   HttpResponse response{.status = status};
   response.headers.Add("Content-Type", "application/problem+json");
-  response.headers.Add(protocol::kOutcome, OutcomeName(run_state));
+  response.headers.Add(protocol::kOutcome, FormatRunState(run_state));
   if (retry_after && *retry_after > Duration::zero()) {
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(*retry_after);
     response.headers.Add("Retry-After", std::to_string(seconds.count()));
@@ -98,7 +98,7 @@
 
 }  // namespace
 
-std::string_view OutcomeName(decision::RunState run_state) {
+std::string_view FormatRunState(decision::RunState run_state) {
   return kOutcomes.at(static_cast<std::size_t>(run_state));
 }
 
--- a/lib/libmedlarcroft/source/adapters/entry/problem.h
+++ b/lib/libmedlarcroft/source/adapters/entry/problem.h
@@ -10,8 +10,8 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Every reason for which a caller gets no answer of a target. The
-/// decision's reasons have their own type, `decision::RefusalReason`.
+/// @brief Reasons for which a caller gets no answer from a target. The reasons
+/// of the scheduler have their own type, `decision::RefusalReason`.
 enum class ProblemCode {
   kUnknownPath,
   kMissingBrand,
@@ -22,8 +22,8 @@
   kBadKey,
   kKeyExpired,
   kKeyReused,
-  kKeyIssuerGone,
-  kFateUnknown,
+  kKeyIssuerUnavailable,
+  kOutcomeUnknown,
   kAnswerNotKept,
   kLedgerFull,
   kTooManyDuplicates,
@@ -32,28 +32,28 @@
   kStopping,
   kAnswerLost,
   kAnswerUnusable,
-  kClaimUnsettled,
+  kClaimUnresolved,
 };
 
-/// @return an `application/problem+json` answer with its typed code.
-/// @param retry_after when coming back can help; rounded up to seconds in
-/// Retry-After, and exact in the body's `retry_after_ms`.
+/// @return an `application/problem+json` response with the code's name.
+/// @param retry_after set if a retry can succeed; rounded up to seconds in the
+/// Retry-After header, in milliseconds in the body's `retry_after_ms`.
 [[nodiscard]] HttpResponse MakeProblem(
     ProblemCode code,
     decision::RunState run_state,
     std::optional<Duration> retry_after = std::nullopt);
 
-/// @return the answer for a refusal of the scheduler.
+/// @return the response for a request that the scheduler refused.
 [[nodiscard]] HttpResponse MakeRefusal(const decision::Refusal& refusal);
 
-/// @return the value of the Medlar-Outcome header.
-[[nodiscard]] std::string_view OutcomeName(decision::RunState run_state);
+/// @return the value of the Medlar-Outcome header for `run_state`.
+[[nodiscard]] std::string_view FormatRunState(decision::RunState run_state);
 
-/// @return the run state that a Medlar-Outcome header claims; kUnknown for
-/// anything else.
+/// @return the run state in the value of a Medlar-Outcome header; kUnknown for
+/// any unknown value.
 [[nodiscard]] decision::RunState ParseRunState(std::string_view text);
 
-/// @return the code's name as callers and metrics see it.
+/// @return the code's name in responses and metrics.
 [[nodiscard]] std::string_view NameOf(ProblemCode code);
 [[nodiscard]] std::string_view NameOf(decision::RefusalReason reason);
 
--- a/lib/libmedlarcroft/source/adapters/entry/protocol.h
+++ b/lib/libmedlarcroft/source/adapters/entry/protocol.h
@@ -3,28 +3,30 @@
 
 #include <string_view>
 
-/// @brief Names of the HTTP interface that callers, targets and entry hosts
-/// share; docs/DESIGN.md, section 2, is their contract.
+/// @brief Header names and paths of the HTTP interface that callers, targets
+/// and entry hosts share, specified in docs/DESIGN.md, section 2.
 namespace medlarcroft::adapters::protocol {
 
 inline constexpr std::string_view kServicesPrefix = "/v1/services/";
 inline constexpr std::string_view kKeysPath = "/v1/keys";
 
 inline constexpr std::string_view kBrand = "Medlar-Brand";
-/// Milliseconds left until the caller has no use for the answer.
+/// Milliseconds until the caller's deadline, after which it can't use the
+/// answer.
 inline constexpr std::string_view kDeadline = "Medlar-Deadline-Ms";
 inline constexpr std::string_view kIdempotencyKey = "Idempotency-Key";
 inline constexpr std::string_view kTraceParent = "traceparent";
 inline constexpr std::string_view kOutcome = "Medlar-Outcome";
 inline constexpr std::string_view kHost = "Medlar-Host";
 inline constexpr std::string_view kTarget = "Medlar-Target";
-/// Names one attempt; a target may echo it, and the echo must match.
+/// ID of one attempt. A target may echo it; the echoed value must be equal.
 inline constexpr std::string_view kRequestId = "Medlar-Request-Id";
-/// A target's own word that it did not run a request.
+/// Set by a target that did not run the request.
 inline constexpr std::string_view kTargetNotRun = "Medlar-Target-Not-Run";
-/// A target's own word that it is leaving.
+/// Set by a target that is draining.
 inline constexpr std::string_view kTargetDraining = "Medlar-Target-Draining";
-/// Set between entry hosts: who sent the request on, and proof that it is one.
+/// Set on requests between entry hosts: the forwarding host, and a proof that
+/// the sender is an entry host.
 inline constexpr std::string_view kForwardedBy = "Medlar-Forwarded-By";
 inline constexpr std::string_view kForwardProof = "Medlar-Forward-Proof";
 
--- a/lib/libmedlarcroft/source/adapters/entry/request_engine.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/request_engine.cc
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// Longest sleep of the pump; a bound for a missed wake-up, not a period.
-constexpr Duration kLongestSleep = std::chrono::seconds(1);
+/// Longest sleep of the scheduler thread. Only bounds the effect of a missed
+/// wake-up; it is not a polling period.
+constexpr Duration kMaxSchedulerSleep = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -18,7 +19,7 @@
       clock_(ports.clock),
       events_(ports.events),
       scheduler_(options.scheduler, ports.random, ports.slots) {
-  pump_ = std::thread([this] { Pump(); });
+  scheduler_thread_ = std::thread([this] { RunSchedulerLoop(); });
 }
 
 RequestEngine::~RequestEngine() {
@@ -26,8 +27,8 @@
     const std::lock_guard lock(mutex_);
     is_stopping_ = true;
   }
-  pump_signal_.notify_all();
-  pump_.join();
+  scheduler_wakeup_.notify_all();
+  scheduler_thread_.join();
 }
 
 void RequestEngine::ApplyRoutes(SharedRoutingTable routes) {
@@ -43,7 +44,7 @@
     routes_ = std::move(routes);
     RunDueActions(replies);
   }
-  Deliver(std::move(replies));
+  RunCallbacks(std::move(replies));
 }
 
 SharedRoutingTable RequestEngine::Routes() const {
@@ -80,9 +81,9 @@
                                std::move(submission.done)};
       Send(dispatch);
     }
-    WakePumpIfEarlier();
+    WakeSchedulerIfEarlier();
   }
-  Deliver(std::move(replies));
+  RunCallbacks(std::move(replies));
   return ticket;
 }
 
@@ -98,7 +99,7 @@
   }
   CancelAttempts(scheduler_.Cancel(ticket, clock_.Now()));
   found->second.done = nullptr;
-  EraseIfOver(ticket);
+  EraseIfFinished(ticket);
 }
 
 void RequestEngine::OnTargetReport(const TargetName& target,
@@ -114,10 +115,10 @@
 }
 
 void RequestEngine::MarkStaying(const TargetName& target,
-                                MonotonicTime asked_at) {
+                                MonotonicTime requested_at) {
   const std::lock_guard lock(mutex_);
-  scheduler_.MarkStaying(target, asked_at, clock_.Now());
-  WakePumpIfEarlier();
+  scheduler_.MarkStaying(target, requested_at, clock_.Now());
+  WakeSchedulerIfEarlier();
 }
 
 std::size_t RequestEngine::InFlight() const {
@@ -142,38 +143,38 @@
   return scheduler_.Explain(service, clock_.Now());
 }
 
-void RequestEngine::Deliver(Replies replies) {
+void RequestEngine::RunCallbacks(Replies replies) {
   for (Reply& reply : replies) {
     reply.done(std::move(reply.result));
   }
 }
 
-void RequestEngine::Pump() {
+void RequestEngine::RunSchedulerLoop() {
   std::unique_lock lock(mutex_);
   while (!is_stopping_) {
     Replies replies;
     RunDueActions(replies);
     if (!replies.empty()) {
       lock.unlock();
-      Deliver(std::move(replies));
+      RunCallbacks(std::move(replies));
       lock.lock();
       continue;
     }
 
     const MonotonicTime now = clock_.Now();
     const MonotonicTime wake =
-        std::min(scheduler_.NextWake().value_or(now + kLongestSleep),
-                 now + kLongestSleep);
-    pump_sleeps_until_ = wake;
-    pump_signal_.wait_for(lock, std::max(Duration::zero(), wake - now));
-    pump_sleeps_until_.reset();
+        std::min(scheduler_.NextWake().value_or(now + kMaxSchedulerSleep),
+                 now + kMaxSchedulerSleep);
+    scheduler_sleeps_until_ = wake;
+    scheduler_wakeup_.wait_for(lock, std::max(Duration::zero(), wake - now));
+    scheduler_sleeps_until_.reset();
   }
 }
 
-void RequestEngine::WakePumpIfEarlier() {
+void RequestEngine::WakeSchedulerIfEarlier() {
   const auto wake = scheduler_.NextWake();
-  if (wake && pump_sleeps_until_ && *wake < *pump_sleeps_until_) {
-    pump_signal_.notify_one();
+  if (wake && scheduler_sleeps_until_ && *wake < *scheduler_sleeps_until_) {
+    scheduler_wakeup_.notify_one();
   }
 }
 
@@ -204,10 +205,10 @@
     replies.push_back({std::move(in_flight.done), std::move(result)});
     in_flight.done = nullptr;
   }
-  EraseIfOver(ticket);
+  EraseIfFinished(ticket);
 }
 
-void RequestEngine::EraseIfOver(decision::RequestTicket ticket) {
+void RequestEngine::EraseIfFinished(decision::RequestTicket ticket) {
   const auto found = in_flight_.find(ticket.id);
   if (found != in_flight_.end() && !found->second.done &&
       found->second.attempts.empty()) {
--- a/lib/libmedlarcroft/source/adapters/entry/request_engine.h
+++ b/lib/libmedlarcroft/source/adapters/entry/request_engine.h
@@ -25,27 +25,28 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief What became of one request: its final answer.
+/// @brief Final result of one request.
 struct RequestResult {
   decision::RunState run_state = decision::RunState::kUnknown;
   HttpResponse response;
-  /// The response is a target's whole answer, not a problem of ours.
+  /// The response is a target's complete answer, not a problem response of this
+  /// host.
   bool is_target_answer = false;
 };
 
 using ResultCallback = std::function<void(RequestResult)>;
 
-/// @brief One request given to the engine.
+/// @brief One request submitted to the engine.
 struct Submission {
   std::shared_ptr<const ServiceRequest> request;
   Duration time_left{0};
   bool is_shifted_in = false;
-  ResultCallback done;  ///< Runs once, possibly before `Submit` returns.
+  ResultCallback done;  ///< Called once, possibly before `Submit` returns.
 };
 
 /// @brief Carries out the scheduler's decisions: sends attempts to targets,
-/// reports their ends, wakes the scheduler in time. Safe to share between
-/// threads; callbacks run without a lock held.
+/// reports their results, and runs the scheduler when its next action is due.
+/// Safe to share between threads; callbacks run without a lock held.
 class RequestEngine {
  public:
   struct Options {
@@ -57,7 +58,7 @@
   struct Ports {
     HttpClient& client;
     const ports::Clock& clock;
-    ports::RandomSource& random;  ///< Used under the engine's lock only.
+    ports::RandomSource& random;  ///< Used only with the engine's lock held.
     RequestEvents& events;
     ports::SlotSource& slots;
   };
@@ -68,25 +69,30 @@
   RequestEngine& operator=(const RequestEngine&) = delete;
 
   void ApplyRoutes(SharedRoutingTable routes);
-  /// @return the routes in force, or nullptr before the first.
+  /// @return the current routes, or nullptr before the first are applied.
   [[nodiscard]] SharedRoutingTable Routes() const;
 
-  /// @return the request's ticket; id 0 when it was answered at once.
+  /// @return the request's ticket; its ID is 0 if the request was refused at
+  /// once.
   decision::RequestTicket Submit(Submission submission);
 
-  /// @brief The caller went away: `done` will not run.
-  /// @param is_kept_if_dispatched leaves a dispatched request running, and
-  /// `done` with it; for a non-idempotent one, whose result a retry asks for.
+  /// @brief Cancels the request of a caller that disconnected; `done` will not
+  /// run.
+  /// @param is_kept_if_dispatched leaves a dispatched request running and still
+  /// calls `done`. Set it for non-idempotent requests, because a retry asks for
+  /// the result.
   void Cancel(decision::RequestTicket ticket, bool is_kept_if_dispatched);
 
-  /// @brief A target's own count of its requests, taken `age` ago.
+  /// @brief Applies a target's own count of its outstanding requests, taken
+  /// `age` ago.
   void OnTargetReport(const TargetName& target,
                       std::uint32_t outstanding,
                       Duration age);
-  /// @brief The target said that it leaves: it gets no new work.
+  /// @brief The target announced that it is draining: it gets no new requests.
   void MarkLeaving(const TargetName& target);
-  /// @brief The target, asked at `asked_at`, said that it stays.
-  void MarkStaying(const TargetName& target, MonotonicTime asked_at);
+  /// @brief The target, polled at `requested_at`, reported that it is not
+  /// draining.
+  void MarkStaying(const TargetName& target, MonotonicTime requested_at);
 
   [[nodiscard]] std::size_t InFlight() const;
   [[nodiscard]] std::vector<ServiceLoad> Loads() const;
@@ -119,10 +125,10 @@
   };
   using Replies = std::vector<Reply>;
 
-  static void Deliver(Replies replies);
+  static void RunCallbacks(Replies replies);
 
-  void Pump();
-  void WakePumpIfEarlier();
+  void RunSchedulerLoop();
+  void WakeSchedulerIfEarlier();
 
   void Send(const decision::Dispatch& dispatch);
   [[nodiscard]] ClientRequest MakeClientRequest(
@@ -131,20 +137,20 @@
       const Attempt& attempt,
       const ServiceRoute& route) const;
   void OnClientResult(decision::AttemptId attempt, ClientResult result);
-  void NoteSigns(const Attempt& attempt, const AttemptResult& result);
-  void TakeStep(decision::RequestTicket ticket,
-                const decision::NextStep& step,
-                const TargetName& target,
-                AttemptResult result,
-                Replies& replies);
+  void ReportTargetState(const Attempt& attempt, const AttemptResult& result);
+  void ApplyNextStep(decision::RequestTicket ticket,
+                     const decision::NextStep& step,
+                     const TargetName& target,
+                     AttemptResult result,
+                     Replies& replies);
   void FinishRefused(decision::RequestTicket ticket,
                      const decision::Refusal& refusal,
                      Replies& replies);
   void RunDueActions(Replies& replies);
   void CancelAttempts(const std::vector<decision::AttemptId>& attempts);
-  /// Forgets a request that is answered and has no attempt left.
-  void EraseIfOver(decision::RequestTicket ticket);
-  [[nodiscard]] std::string AttemptName(decision::AttemptId attempt) const;
+  /// Removes a request that is answered and has no running attempt.
+  void EraseIfFinished(decision::RequestTicket ticket);
+  [[nodiscard]] std::string FormatAttemptId(decision::AttemptId attempt) const;
 
   const Options options_;
   HttpClient& client_;
@@ -156,10 +162,10 @@
   SharedRoutingTable routes_;
   std::unordered_map<std::uint64_t, InFlightRequest> in_flight_;
 
-  std::condition_variable pump_signal_;
-  std::optional<MonotonicTime> pump_sleeps_until_;
+  std::condition_variable scheduler_wakeup_;
+  std::optional<MonotonicTime> scheduler_sleeps_until_;
   bool is_stopping_ = false;
-  std::thread pump_;
+  std::thread scheduler_thread_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/entry/request_engine_attempts.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/request_engine_attempts.cc
@@ -1,4 +1,5 @@
-// The part of RequestEngine that sends attempts and takes their results.
+// Member functions of RequestEngine that send attempts and process their
+// results.
 #include <algorithm>
 #include <utility>
 
@@ -10,8 +11,9 @@
 
 namespace {
 
-/// A target whose deadline is this near gets no header of zero.
-constexpr std::int64_t kLeastDeadlineMs = 1;
+/// Lower bound of the deadline header, in milliseconds, so that a deadline less
+/// than a millisecond away is not sent as zero.
+constexpr std::int64_t kMinDeadlineMs = 1;
 
 HttpResponse ToResponse(ClientResponse answer,
                         decision::RunState run_state,
@@ -22,7 +24,7 @@
       response.headers.Add(field.name, field.value);
     }
   }
-  response.headers.Set(protocol::kOutcome, OutcomeName(run_state));
+  response.headers.Set(protocol::kOutcome, FormatRunState(run_state));
   response.headers.Set(protocol::kTarget, target.Value());
   response.body = std::move(answer.body);
   return response;
@@ -33,7 +35,7 @@
 void RequestEngine::Send(const decision::Dispatch& dispatch) {
   InFlightRequest& in_flight = in_flight_.at(dispatch.attempt.ticket.id);
   const ServiceRequest& request = *in_flight.request;
-  // The scheduler only dispatches what the routes in force name.
+  // The scheduler dispatches only to targets in the current routes.
   const ServiceRoute& route = *routes_->Find(request.service);
 
   Attempt& attempt = in_flight.attempts[dispatch.attempt.number];
@@ -56,21 +58,22 @@
     const decision::Dispatch& dispatch,
     const Attempt& attempt,
     const ServiceRoute& route) const {
-  const Duration left = dispatch.deadline - attempt.started;
-  const std::int64_t left_ms = std::max(kLeastDeadlineMs, ToMilliseconds(left));
+  const Duration time_left = dispatch.deadline - attempt.started;
+  const std::int64_t time_left_ms =
+      std::max(kMinDeadlineMs, ToMilliseconds(time_left));
 
   ClientRequest out;
   out.method = request.method;
   out.url = "http://" + attempt.address + request.target_path;
   out.headers = request.headers;
   out.headers.Set(protocol::kBrand, request.brand.Value());
-  out.headers.Set(protocol::kDeadline, std::to_string(left_ms));
-  out.headers.Set(protocol::kRequestId, AttemptName(dispatch.attempt));
+  out.headers.Set(protocol::kDeadline, std::to_string(time_left_ms));
+  out.headers.Set(protocol::kRequestId, FormatAttemptId(dispatch.attempt));
   if (!attempt.trace.trace_parent.empty()) {
     out.headers.Set(protocol::kTraceParent, attempt.trace.trace_parent);
   }
   out.body = request.body;
-  out.timeout = std::max<Duration>(left, std::chrono::milliseconds(1));
+  out.timeout = std::max<Duration>(time_left, std::chrono::milliseconds(1));
   out.needs_fresh_connection = !route.config.request_class.IsIdempotent();
   out.max_answer_bytes = route.config.request_class.max_answer_bytes;
   return out;
@@ -86,7 +89,7 @@
       return;
     }
     AttemptResult result =
-        ClassifyAttempt(std::move(client_result), AttemptName(id));
+        ClassifyAttempt(std::move(client_result), FormatAttemptId(id));
     const auto node = found->second.attempts.extract(id.number);
     if (node.empty()) {
       return;
@@ -98,41 +101,42 @@
                           .outcome = result.outcome,
                           .latency = now - attempt.started,
                           .trace = attempt.trace});
-    NoteSigns(attempt, result);
+    ReportTargetState(attempt, result);
 
     const decision::NextStep step =
         scheduler_.OnAttemptEnd(id, result.outcome, now);
     found->second.was_answer_unusable |=
         result.outcome == decision::AttemptOutcome::kTruncated ||
-        result.is_crossed;
-    TakeStep(id.ticket, step, attempt.target, std::move(result), replies);
+        result.is_id_mismatched;
+    ApplyNextStep(id.ticket, step, attempt.target, std::move(result), replies);
     RunDueActions(replies);
-    WakePumpIfEarlier();
+    WakeSchedulerIfEarlier();
   }
-  Deliver(std::move(replies));
+  RunCallbacks(std::move(replies));
 }
 
-void RequestEngine::NoteSigns(const Attempt& attempt,
-                              const AttemptResult& result) {
+void RequestEngine::ReportTargetState(const Attempt& attempt,
+                                      const AttemptResult& result) {
   const MonotonicTime now = clock_.Now();
   if (result.is_target_leaving) {
     scheduler_.MarkLeaving(attempt.target, now);
   }
   if (result.outcome == decision::AttemptOutcome::kSilentConnection) {
-    // Failure: a middlebox forgot the connection. Symptom: requests on it time
-    // out while the target is well. All connections as old are put out of use,
-    // so the next attempt opens a new one and shows how the target really is.
+    // When a middlebox has dropped its state of the connection, requests on it
+    // time out although the target is healthy. All currently open connections
+    // to the target are retired, so the next attempt opens a new one and shows
+    // the actual state of the target.
     client_.RetireConnections("http://" + attempt.address);
     scheduler_.OnSilentConnection(attempt.target, now);
     events_.OnSilentConnection(attempt.target);
   }
 }
 
-void RequestEngine::TakeStep(decision::RequestTicket ticket,
-                             const decision::NextStep& step,
-                             const TargetName& target,
-                             AttemptResult result,
-                             Replies& replies) {
+void RequestEngine::ApplyNextStep(decision::RequestTicket ticket,
+                                  const decision::NextStep& step,
+                                  const TargetName& target,
+                                  AttemptResult result,
+                                  Replies& replies) {
   if (const auto* finished = std::get_if<decision::Finished>(&step)) {
     CancelAttempts(finished->to_cancel);
     InFlightRequest& in_flight = in_flight_.at(ticket.id);
@@ -149,7 +153,7 @@
   } else if (const auto* refusal = std::get_if<decision::Refusal>(&step)) {
     FinishRefused(ticket, *refusal, replies);
   }
-  EraseIfOver(ticket);
+  EraseIfFinished(ticket);
 }
 
 void RequestEngine::CancelAttempts(
@@ -163,7 +167,7 @@
   }
 }
 
-std::string RequestEngine::AttemptName(decision::AttemptId attempt) const {
+std::string RequestEngine::FormatAttemptId(decision::AttemptId attempt) const {
   return options_.host.Value() + "-" + std::to_string(options_.incarnation) +
          "-" + std::to_string(attempt.ticket.id) + "-" +
          std::to_string(attempt.number);
--- a/lib/libmedlarcroft/source/adapters/entry/request_events.h
+++ b/lib/libmedlarcroft/source/adapters/entry/request_events.h
@@ -13,9 +13,10 @@
 
 struct ServiceRequest;
 
-/// @brief What one attempt carries for tracing.
+/// @brief Trace context and span of one attempt.
 struct AttemptTrace {
-  /// Value of the traceparent header for the next hop; empty: none is sent.
+  /// Value of the traceparent header for the next hop; if empty, the header is
+  /// not sent.
   std::string trace_parent;
   std::shared_ptr<telemetry::ActiveSpan> span;
 };
@@ -29,20 +30,20 @@
   const AttemptTrace& trace;
 };
 
-/// @brief Hears what happens to requests: metrics, traces and logs subscribe.
-/// Called with the engine's lock held, so implementations must be quick.
+/// @brief Observer of request processing, for metrics, traces and logs. Called
+/// with the engine's lock held, so implementations must be fast.
 class RequestEvents {
  public:
   virtual ~RequestEvents() = default;
 
-  /// @return the trace context that the attempt passes on.
+  /// @return the trace context to send with the attempt.
   virtual AttemptTrace OnAttemptStart(const ServiceRequest& request,
                                       const TargetName& target,
                                       decision::DispatchKind kind) = 0;
   virtual void OnAttemptEnd(const AttemptEvent& event) = 0;
   virtual void OnRefused(const ServiceRequest& request,
                          const decision::Refusal& refusal) = 0;
-  /// A connection was found silent: open, but nothing came through.
+  /// A connection was open but carried no data until the timeout.
   virtual void OnSilentConnection(const TargetName& target) = 0;
 };
 
--- a/lib/libmedlarcroft/source/adapters/entry/request_parser.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/request_parser.cc
@@ -12,26 +12,29 @@
 
 namespace {
 
-/// Names of services and brands; they become labels and map keys.
+/// Limit for names of services and brands, which are used as metric labels and
+/// map keys.
 constexpr std::size_t kMaxNameBytes = 64;
 
-/// An hour: the longest class is answered within the school day, by polling.
+/// One hour. Requests of the slowest class are answered within the school day,
+/// and callers poll for those answers.
 constexpr std::int64_t kMaxDeadlineMs = 3'600'000;
 
-constexpr std::array<std::string_view, 12> kHopFields = {"Connection",
-                                                         "Keep-Alive",
-                                                         "Proxy-Authenticate",
-                                                         "TE",
-                                                         "Trailer",
-                                                         "Transfer-Encoding",
-                                                         "Upgrade",
-                                                         "Host",
-                                                         "Content-Length",
-                                                         "Proxy-Connection",
-                                                         "Expect",
-                                                         "Proxy-Authorization"};
-
-bool IsName(std::string_view text) {
+constexpr std::array<std::string_view, 12> kHopByHopHeaders = {
+    "Connection",
+    "Keep-Alive",
+    "Proxy-Authenticate",
+    "TE",
+    "Trailer",
+    "Transfer-Encoding",
+    "Upgrade",
+    "Host",
+    "Content-Length",
+    "Proxy-Connection",
+    "Expect",
+    "Proxy-Authorization"};
+
+bool IsValidName(std::string_view text) {
   const auto is_allowed = [](unsigned char c) {
     return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
   };
@@ -67,7 +70,7 @@
   const bool is_own =
       name.size() >= kOwnPrefix.size() &&
       IsSameHeaderName(name.substr(0, kOwnPrefix.size()), kOwnPrefix);
-  return is_own || std::any_of(kHopFields.begin(), kHopFields.end(),
+  return is_own || std::any_of(kHopByHopHeaders.begin(), kHopByHopHeaders.end(),
                                [name](std::string_view hop) {
                                  return IsSameHeaderName(hop, name);
                                });
@@ -81,7 +84,7 @@
   const std::string_view rest =
       raw_target.substr(protocol::kServicesPrefix.size());
   const std::string_view service = rest.substr(0, rest.find_first_of("/?"));
-  if (!IsName(service)) {
+  if (!IsValidName(service)) {
     return std::nullopt;
   }
   return service;
@@ -96,7 +99,7 @@
   if (!brand) {
     return ProblemCode::kMissingBrand;
   }
-  if (!IsName(*brand)) {
+  if (!IsValidName(*brand)) {
     return ProblemCode::kBadBrand;
   }
 
--- a/lib/libmedlarcroft/source/adapters/entry/request_parser.h
+++ b/lib/libmedlarcroft/source/adapters/entry/request_parser.h
@@ -15,7 +15,7 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief A caller's request for a service, its head checked.
+/// @brief A caller's request for a service, with validated headers.
 struct ServiceRequest {
   ServiceName service;
   BrandName brand;
@@ -25,23 +25,24 @@
   std::optional<std::string> key_text;
   std::optional<std::string> forwarded_by;
   std::string forward_proof;
-  HttpHeaders headers;  ///< Those that go on to the target.
+  HttpHeaders headers;  ///< Headers to forward to the target.
   std::string body;
-  /// This hop's span, the parent of the attempts' spans; may be null.
+  /// Span of this hop, the parent of the spans of its attempts; may be null.
   std::shared_ptr<telemetry::ActiveSpan> span;
 };
 
-/// @return the service that a raw request target names, if it is of the form
-/// /v1/services/{service}/...
+/// @return the service name in a raw request target of the form
+/// /v1/services/{service}/..., or nullopt for any other target.
 [[nodiscard]] std::optional<std::string_view> ExtractServiceName(
     std::string_view raw_target);
 
-/// @brief Checks a request's head; consumes the request.
+/// @brief Validates a request's target and headers; consumes the request.
 [[nodiscard]] Result<ServiceRequest, ProblemCode> ParseServiceRequest(
     HttpRequest&& request);
 
-/// @return whether a field concerns one connection only, or is ours to set, and
-/// so is not passed on.
+/// @return whether a header is removed from forwarded messages: a hop-by-hop
+/// header, one that the HTTP client sets itself, or one that is reserved for
+/// this system.
 [[nodiscard]] bool IsStrippedHeader(std::string_view name);
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/entry/routing_synchronizer.h
+++ b/lib/libmedlarcroft/source/adapters/entry/routing_synchronizer.h
@@ -16,20 +16,20 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Keeps entryd's routes as steerd has them, and tells steerd what this
-/// host's requests show. While steerd is down the last routes stay in force;
-/// shares in them end by their own leases.
+/// @brief Keeps entryd's routes equal to steerd's, and reports this host's load
+/// and its observations of targets to steerd. While steerd is down, the last
+/// routes stay in force; the slot shares in them expire with their own leases.
 class RoutingSynchronizer {
  public:
   struct Options {
     std::string routing_address;  ///< steerd's loopback listener, IP:port.
-    std::string entry_address;    ///< Where callers reach this host, IP:port.
-    std::string share_address;    ///< Where other entryds borrow slots.
+    std::string entry_address;    ///< Address for callers, IP:port.
+    std::string share_address;    ///< Address for hosts that borrow slots.
     std::uint64_t incarnation = 0;
     FailureDomainName failure_domain;
   };
 
-  struct Parts {
+  struct Dependencies {
     RequestEngine& engine;
     ShiftChooser& shifts;
     IdempotencyGuard& keys;
@@ -37,36 +37,38 @@
     const ports::Clock& clock;
   };
 
-  RoutingSynchronizer(const Options& options, const Parts& parts);
+  RoutingSynchronizer(const Options& options, const Dependencies& dependencies);
 
-  /// @brief Reports, then asks for routes; blocks for at most two timeouts.
-  /// Call it a few times a second.
-  void Exchange();
+  /// @brief Sends a report, then fetches routes; blocks for at most two call
+  /// timeouts. Call it a few times a second.
+  void Synchronize();
 
-  /// @brief Brings the engine's shares up to what this host holds now; without
-  /// new routes. Call it a few times a second.
+  /// @brief Updates the engine's slot shares to those that this host holds now,
+  /// without fetching routes. Call it a few times a second.
   void RefreshShares();
 
-  /// @return targets whose slots are used up here while requests wait.
-  [[nodiscard]] std::vector<TargetName> PressedTargets() const;
+  /// @return targets of services that have demand, and queued requests or no
+  /// free slot, on this host.
+  [[nodiscard]] std::vector<TargetName> SaturatedTargets() const;
 
-  /// @brief From now on the reports say that this host leaves.
-  void Announce() { is_leaving_ = true; }
+  /// @brief From now on, reports say that this host is leaving.
+  void AnnounceLeaving() { is_leaving_ = true; }
 
-  /// @return whether steerd answered the last exchange.
+  /// @return whether steerd answered the last synchronization.
   [[nodiscard]] bool IsConnected() const { return is_connected_; }
 
  private:
   [[nodiscard]] wire::EntryReport MakeReport();
   [[nodiscard]] bool HaveSharesChanged(const RoutingTable& routes) const;
-  [[nodiscard]] SharedRoutingTable WithShares(const RoutingTable& routes) const;
+  [[nodiscard]] SharedRoutingTable WithCurrentShares(
+      const RoutingTable& routes) const;
 
   const Options options_;
-  const Parts parts_;
+  const Dependencies dependencies_;
   ThriftChannel<wire::RoutingClient> channel_;
   std::atomic<bool> is_leaving_{false};
   std::atomic<bool> is_connected_{false};
-  std::int64_t number_ = 0;
+  std::int64_t snapshot_number_ = 0;
   std::int32_t wanted_local_keys_ = 0;
   std::int32_t wanted_durable_keys_ = 0;
 };
--- a/lib/libmedlarcroft/source/adapters/entry/routing_table.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/routing_table.cc
@@ -82,12 +82,13 @@
              MonotonicTime requested_at,
              capacity::CapacityPlan& plan) {
   const FailureDomainName domain(host.failure_domain);
-  const bool is_concerned = std::ranges::any_of(
+  const bool is_known_domain = std::ranges::any_of(
       domains, [&domain](const capacity::SeatDomainPlan& each) {
         return each.failure_domain == domain;
       });
-  // A host of which only the name is known counts as one of the domain's.
-  if (!is_concerned && !domain.IsEmpty()) {
+  // A host of which only the name is known is treated as a member of one of
+  // these failure domains.
+  if (!is_known_domain && !domain.IsEmpty()) {
     return;
   }
   const auto seats = ToSeats(host.seats);
--- a/lib/libmedlarcroft/source/adapters/entry/routing_table.h
+++ b/lib/libmedlarcroft/source/adapters/entry/routing_table.h
@@ -17,35 +17,35 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Where part of a service's demand goes instead of this domain.
+/// @brief Another failure domain that takes part of a service's demand.
 struct ShiftRoute {
   FailureDomainName failure_domain;
   std::vector<std::string> entry_addresses;
-  double share = 0;  ///< Part of the domain's demand, 0 to 1.
-  double rate = 0;   ///< Of the whole domain, requests a second.
+  double share = 0;  ///< Fraction of the domain's demand, 0 to 1.
+  double rate = 0;   ///< Whole domain's, in requests per second.
 };
 
-/// @brief A service as this host may serve it. The shares of its targets are
-/// filled in from what this host holds.
+/// @brief A service with its targets as seen by this host. The slot shares of
+/// the targets are filled in from what this host holds.
 struct ServiceRoute {
   decision::ServiceConfig config;
   std::map<TargetName, std::string> target_addresses;
   std::vector<ShiftRoute> shifts;
 };
 
-/// @brief Another entry host.
+/// @brief Addresses of another entry host.
 struct HostRoute {
   std::string entry_address;
   std::string share_address;
 };
 
-/// @brief One numbered set of routes from steerd; immutable.
+/// @brief One numbered snapshot of the routes from steerd; immutable.
 struct RoutingTable {
   std::int64_t number = 0;
   std::int64_t catalogue_revision = 0;
   std::map<ServiceName, ServiceRoute> services;
   std::map<HostName, HostRoute> hosts;
-  /// Capacity of each link out of this domain, requests a second.
+  /// Capacity of each link from this failure domain, in requests per second.
   std::map<FailureDomainName, double> links;
   capacity::CapacityPlan capacity;
 
@@ -55,8 +55,8 @@
 
 using SharedRoutingTable = std::shared_ptr<const RoutingTable>;
 
-/// @param requested_at when this host asked for the snapshot, by its own clock;
-/// ages in the snapshot count from then.
+/// @param requested_at time at which this host requested the snapshot, by its
+/// own clock; ages in the snapshot are relative to it.
 [[nodiscard]] RoutingTable ToRoutingTable(const wire::RoutingSnapshot& snapshot,
                                           MonotonicTime requested_at);
 
--- a/lib/libmedlarcroft/source/adapters/entry/service_request_handler.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/service_request_handler.cc
@@ -13,18 +13,18 @@
 
 using decision::RunState;
 
-/// A caller that needs more asks again.
-constexpr std::size_t kMaxKeysAtOnce = 64;
+/// A caller that needs more keys sends another request.
+constexpr std::size_t kMaxKeysPerRequest = 64;
 
-/// A stopping host is replaced by another at once; the caller takes the next
-/// host of its look-up.
+/// Other hosts can serve at once: the caller tries the next host in its lookup
+/// result.
 constexpr Duration kStoppingRetryAfter = std::chrono::milliseconds(100);
 
-/// How soon a fresh host usually has its routes.
+/// Time in which a newly started host usually receives its routes.
 constexpr Duration kNotReadyRetryAfter = std::chrono::seconds(1);
 
-/// A claim that could not be settled is worth another try when the platform
-/// has had time to come back.
+/// Gives the platform time to recover before the caller retries a claim that
+/// could not be resolved.
 constexpr Duration kClaimRetryAfter = std::chrono::seconds(1);
 
 std::size_t ParseCount(std::optional<std::string_view> text) {
@@ -32,7 +32,7 @@
   if (text) {
     std::from_chars(text->data(), text->data() + text->size(), count);
   }
-  return std::clamp<std::size_t>(count, 1, kMaxKeysAtOnce);
+  return std::clamp<std::size_t>(count, 1, kMaxKeysPerRequest);
 }
 
 idempotency::Mode ModeOf(const ServiceRoute& service) {
@@ -48,98 +48,102 @@
     const std::shared_ptr<Responder>& responder) {
   const std::string trace_parent(
       request.headers.Find(protocol::kTraceParent).value_or(""));
-  const RunState if_refused = parts_.keys.OutcomeIfRefused(
+  const RunState run_state_if_refused = dependencies_.keys.RunStateIfRefused(
       request.headers.Find(protocol::kIdempotencyKey));
   auto parsed = ParseServiceRequest(std::move(request));
   if (!IsOk(parsed)) {
-    return MakeProblem(ErrorOf(parsed), if_refused);
+    return MakeProblem(ErrorOf(parsed), run_state_if_refused);
   }
   const auto service_request =
       std::make_shared<ServiceRequest>(TakeValue(std::move(parsed)));
   service_request->span =
-      parts_.telemetry.StartRequest(*service_request, trace_parent);
-
-  Passage passage;
-  passage.request = service_request;
-  passage.responder = responder;
-  passage.done = AnswerTo(service_request, responder);
-  if (const auto problem = Admit(passage)) {
-    return MakeProblem(*problem, if_refused, kNotReadyRetryAfter);
+      dependencies_.telemetry.StartRequest(*service_request, trace_parent);
+
+  RequestContext context;
+  context.request = service_request;
+  context.responder = responder;
+  context.done = MakeResponseCallback(service_request, responder);
+  if (const auto problem = PrepareRequest(context)) {
+    return MakeProblem(*problem, run_state_if_refused, kNotReadyRetryAfter);
   }
 
-  const bool is_guarded_elsewhere =
-      passage.forward &&
-      passage.forward->kind == forwarding::ForwardKind::kShift;
-  if (passage.service->config.request_class.IsIdempotent()) {
-    Place(std::move(passage));
-  } else if (!is_guarded_elsewhere) {
-    RunGuardedRequest(std::move(passage));
-  } else if (parts_.forwarder.AdmitOnce(*passage.request)) {
-    PlaceHere(std::move(passage));
+  const bool is_guarded_by_sender =
+      context.forward &&
+      context.forward->kind == forwarding::ForwardKind::kShift;
+  if (context.service->config.request_class.IsIdempotent()) {
+    PlaceOrShift(std::move(context));
+  } else if (!is_guarded_by_sender) {
+    RunNonIdempotent(std::move(context));
+  } else if (dependencies_.forwarder.AdmitOnce(*context.request)) {
+    PlaceLocally(std::move(context));
   } else {
-    // The first arrival may have run.
-    return MakeProblem(ProblemCode::kFateUnknown, RunState::kUnknown);
+    // The first delivery of the same forwarded request may have run.
+    return MakeProblem(ProblemCode::kOutcomeUnknown, RunState::kUnknown);
   }
   return std::nullopt;
 }
 
-std::optional<ProblemCode> ServiceRequestHandler::Admit(
-    Passage& passage) const {
-  passage.routes = parts_.engine.Routes();
-  if (!passage.routes) {
+std::optional<ProblemCode> ServiceRequestHandler::PrepareRequest(
+    RequestContext& context) const {
+  context.routes = dependencies_.engine.Routes();
+  if (!context.routes) {
     return ProblemCode::kNotReady;
   }
-  passage.service = passage.routes->Find(passage.request->service);
-  if (passage.service == nullptr) {
+  context.service = context.routes->Find(context.request->service);
+  if (context.service == nullptr) {
     return ProblemCode::kUnknownService;
   }
-  if (passage.request->forwarded_by) {
-    passage.forward = parts_.forwarder.Verify(*passage.request);
-    if (!passage.forward) {
+  if (context.request->forwarded_by) {
+    context.forward = dependencies_.forwarder.Verify(*context.request);
+    if (!context.forward) {
       return ProblemCode::kBadForward;
     }
   }
-  const Duration time_left = passage.request->time_left.value_or(
-      passage.service->config.request_class.deadline);
-  passage.deadline = parts_.clock.Now() + std::min(time_left, parts_.max_work);
+  const Duration time_left = context.request->time_left.value_or(
+      context.service->config.request_class.deadline);
+  context.deadline =
+      dependencies_.clock.Now() + std::min(time_left, dependencies_.max_work);
   return std::nullopt;
 }
 
-void ServiceRequestHandler::RunGuardedRequest(Passage passage) {
-  GuardDecision verdict = parts_.keys.Begin(
-      *passage.request, passage.service->config.request_class.max_answer_bytes,
-      passage.done);
-  if (auto* answer = std::get_if<AnswerDecision>(&verdict)) {
-    passage.done(std::move(answer->result));
+void ServiceRequestHandler::RunNonIdempotent(RequestContext context) {
+  GuardDecision guard_decision = dependencies_.keys.Begin(
+      *context.request, context.service->config.request_class.max_answer_bytes,
+      context.done);
+  if (auto* answer = std::get_if<AnswerDecision>(&guard_decision)) {
+    context.done(std::move(answer->result));
     return;
   }
-  if (const auto* elsewhere = std::get_if<ForwardToIssuerDecision>(&verdict)) {
-    PassOn(passage, *elsewhere);
+  if (const auto* elsewhere =
+          std::get_if<ForwardToIssuerDecision>(&guard_decision)) {
+    ForwardToHost(context, *elsewhere);
     return;
   }
-  const auto* run = std::get_if<ProceedDecision>(&verdict);
+  const auto* run = std::get_if<ProceedDecision>(&guard_decision);
   if (run == nullptr) {
     return;
   }
 
   const idempotency::Key key = run->key;
   if (key.mode == idempotency::Mode::kDurable) {
-    RunClaimed(std::move(passage), key);
+    RunAfterClaim(std::move(context), key);
     return;
   }
-  passage.done = SettleThen(key, std::move(passage.done));
-  Place(std::move(passage));
+  context.done = RecordResultThen(key, std::move(context.done));
+  PlaceOrShift(std::move(context));
 }
 
-ResultCallback ServiceRequestHandler::SettleThen(const idempotency::Key& key,
-                                                 ResultCallback done) {
+ResultCallback ServiceRequestHandler::RecordResultThen(
+    const idempotency::Key& key,
+    ResultCallback done) {
   return [this, key, done = std::move(done)](RequestResult result) {
-    // The ledger first: a retry that follows the answer must find it there.
+    // Update the ledger before answering: a retry that follows the answer must
+    // find the result there.
     if (key.mode == idempotency::Mode::kDurable &&
         result.run_state != RunState::kNotRun) {
-      parts_.claims->MarkDispatched(key);
+      dependencies_.claims->MarkDispatched(key);
     }
-    parts_.keys.Settle(key, result);
+    dependencies_.keys.RecordResult(key, result);
     done(std::move(result));
   };
 }
@@ -147,160 +151,178 @@
 ResultCallback ServiceRequestHandler::ReleaseThen(const idempotency::Key& key,
                                                   ResultCallback done) {
   return [this, key, done = std::move(done)](RequestResult result) {
-    parts_.keys.Release(key, result);
+    dependencies_.keys.Release(key, result);
     done(std::move(result));
   };
 }
 
-void ServiceRequestHandler::RunClaimed(Passage passage,
-                                       const idempotency::Key& key) {
-  const auto shared = std::make_shared<Passage>(std::move(passage));
-  const auto on_claim = [this, shared, key](idempotency::ClaimResult result) {
+void ServiceRequestHandler::RunAfterClaim(RequestContext context,
+                                          const idempotency::Key& key) {
+  const auto shared_context =
+      std::make_shared<RequestContext>(std::move(context));
+  const auto on_claim = [this, shared_context,
+                         key](idempotency::ClaimResult result) {
     if (std::holds_alternative<idempotency::Claimed>(result)) {
-      shared->done = SettleThen(key, std::move(shared->done));
-      Place(std::move(*shared));
+      shared_context->done =
+          RecordResultThen(key, std::move(shared_context->done));
+      PlaceOrShift(std::move(*shared_context));
       return;
     }
 
-    shared->done = ReleaseThen(key, std::move(shared->done));
-    const auto* rival = std::get_if<idempotency::ClaimedElsewhere>(&result);
-    if (rival != nullptr && rival->claimant) {
-      // A duplicate reached this host; the claimant knows what became of it.
-      PassOn(*shared, ForwardToIssuerDecision{rival->claimant->host});
+    shared_context->done = ReleaseThen(key, std::move(shared_context->done));
+    const auto* other_claim =
+        std::get_if<idempotency::ClaimedElsewhere>(&result);
+    if (other_claim != nullptr && other_claim->claimant) {
+      // This request is a duplicate; the host that claimed the key knows its
+      // result.
+      ForwardToHost(*shared_context,
+                    ForwardToIssuerDecision{other_claim->claimant->host});
     } else if (std::holds_alternative<idempotency::Fenced>(result)) {
-      Fail(*shared, ProblemCode::kClaimUnsettled, RunState::kNotRun);
+      RespondWithProblem(*shared_context, ProblemCode::kClaimUnresolved,
+                         RunState::kNotRun);
     } else {
-      Fail(*shared, ProblemCode::kClaimUnsettled, RunState::kUnknown);
+      RespondWithProblem(*shared_context, ProblemCode::kClaimUnresolved,
+                         RunState::kUnknown);
     }
   };
 
-  if (parts_.claims == nullptr || !parts_.claims->Claim(key, on_claim)) {
-    // Nothing was written here, but another host may have run a duplicate.
-    shared->done = ReleaseThen(key, std::move(shared->done));
-    Fail(*shared, ProblemCode::kClaimUnsettled, RunState::kUnknown);
+  if (dependencies_.claims == nullptr ||
+      !dependencies_.claims->Claim(key, on_claim)) {
+    // This host wrote no claim, but another host may have run a duplicate.
+    shared_context->done = ReleaseThen(key, std::move(shared_context->done));
+    RespondWithProblem(*shared_context, ProblemCode::kClaimUnresolved,
+                       RunState::kUnknown);
   }
 }
 
-void ServiceRequestHandler::PassOn(const Passage& passage,
-                                   const ForwardToIssuerDecision& verdict) {
-  // Whether it is still the process that issued the key, the host itself says.
-  const auto host = passage.routes->hosts.find(verdict.issuer);
-  const bool is_known = host != passage.routes->hosts.end() &&
+void ServiceRequestHandler::ForwardToHost(
+    const RequestContext& context,
+    const ForwardToIssuerDecision& destination) {
+  // The host itself reports whether it is still the process that issued the
+  // key.
+  const auto host = context.routes->hosts.find(destination.issuer);
+  const bool is_known = host != context.routes->hosts.end() &&
                         !host->second.entry_address.empty();
-  // A request that was passed on once already is not sent round in circles.
-  if (!is_known || passage.forward) {
-    Fail(passage, ProblemCode::kKeyIssuerGone, RunState::kUnknown);
+  // A request that was already forwarded is not forwarded again, which prevents
+  // loops.
+  if (!is_known || context.forward) {
+    RespondWithProblem(context, ProblemCode::kKeyIssuerUnavailable,
+                       RunState::kUnknown);
     return;
   }
 
   const catalogue::RequestClass& request_class =
-      passage.service->config.request_class;
-  parts_.forwarder.Send(
-      {.request = *passage.request,
+      context.service->config.request_class;
+  dependencies_.forwarder.Send(
+      {.request = *context.request,
        .address = host->second.entry_address,
        .kind = forwarding::ForwardKind::kIssuer,
-       .time_left = passage.deadline - parts_.clock.Now(),
+       .time_left = context.deadline - dependencies_.clock.Now(),
        .max_answer_bytes = request_class.max_answer_bytes,
        .is_idempotent = false},
-      [done = passage.done](RequestResult result) {
+      [done = context.done](RequestResult result) {
         if (result.run_state == RunState::kNotRun && !result.is_target_answer) {
           // An earlier attempt with this key may have run at the issuer, so a
-          // failed connection proves nothing here.
-          const bool is_issuers_word =
+          // failed connection does not prove that the request did not run.
+          const bool is_issuer_response =
               result.response.headers.Find(protocol::kHost).has_value();
-          if (!is_issuers_word) {
-            result = {.run_state = RunState::kUnknown,
-                      .response = MakeProblem(ProblemCode::kKeyIssuerGone,
-                                              RunState::kUnknown)};
+          if (!is_issuer_response) {
+            result = {
+                .run_state = RunState::kUnknown,
+                .response = MakeProblem(ProblemCode::kKeyIssuerUnavailable,
+                                        RunState::kUnknown)};
           }
         }
         done(std::move(result));
       });
 }
 
-void ServiceRequestHandler::Place(Passage passage) {
-  const auto shift =
-      passage.forward ? std::nullopt : parts_.shifts.Choose(*passage.service);
+void ServiceRequestHandler::PlaceOrShift(RequestContext context) {
+  const auto shift = context.forward
+                         ? std::nullopt
+                         : dependencies_.shifts.Choose(*context.service);
   if (!shift) {
-    PlaceHere(std::move(passage));
+    PlaceLocally(std::move(context));
     return;
   }
 
-  const auto shared = std::make_shared<Passage>(std::move(passage));
+  const auto shared_context =
+      std::make_shared<RequestContext>(std::move(context));
   const catalogue::RequestClass& request_class =
-      shared->service->config.request_class;
-  parts_.forwarder.Send(
-      {.request = *shared->request,
+      shared_context->service->config.request_class;
+  dependencies_.forwarder.Send(
+      {.request = *shared_context->request,
        .address = shift->entry_address,
        .kind = forwarding::ForwardKind::kShift,
-       .time_left = shared->deadline - parts_.clock.Now(),
+       .time_left = shared_context->deadline - dependencies_.clock.Now(),
        .max_answer_bytes = request_class.max_answer_bytes,
        .is_idempotent = request_class.IsIdempotent()},
-      [this, shared, to = shift->failure_domain](RequestResult result) {
+      [this, shared_context, to = shift->failure_domain](RequestResult result) {
         const bool may_run_here =
             result.run_state == RunState::kNotRun ||
             (result.run_state == RunState::kUnknown &&
-             shared->service->config.request_class.IsIdempotent());
-        parts_.shifts.OnAnswer(shared->request->service, to,
-                               result.run_state != RunState::kNotRun);
+             shared_context->service->config.request_class.IsIdempotent());
+        dependencies_.shifts.OnAnswer(shared_context->request->service, to,
+                                      result.run_state != RunState::kNotRun);
         if (!may_run_here) {
-          shared->done(std::move(result));
+          shared_context->done(std::move(result));
           return;
         }
-        PlaceHere(std::move(*shared));
+        PlaceLocally(std::move(*shared_context));
       });
 }
 
-void ServiceRequestHandler::PlaceHere(Passage passage) {
-  const Duration time_left = passage.deadline - parts_.clock.Now();
+void ServiceRequestHandler::PlaceLocally(RequestContext context) {
+  const Duration time_left = context.deadline - dependencies_.clock.Now();
   const bool is_shifted_in =
-      passage.forward &&
-      passage.forward->kind == forwarding::ForwardKind::kShift;
+      context.forward &&
+      context.forward->kind == forwarding::ForwardKind::kShift;
   const decision::RequestTicket ticket =
-      parts_.engine.Submit({.request = passage.request,
-                            .time_left = time_left,
-                            .is_shifted_in = is_shifted_in,
-                            .done = std::move(passage.done)});
+      dependencies_.engine.Submit({.request = context.request,
+                                   .time_left = time_left,
+                                   .is_shifted_in = is_shifted_in,
+                                   .done = std::move(context.done)});
   const bool is_idempotent =
-      passage.service->config.request_class.IsIdempotent();
+      context.service->config.request_class.IsIdempotent();
   if (ticket.id != 0) {
-    parts_.callers.Add(ticket, passage.responder, !is_idempotent);
+    dependencies_.caller_monitor.Add(ticket, context.responder, !is_idempotent);
   }
 }
 
-ResultCallback ServiceRequestHandler::AnswerTo(
+ResultCallback ServiceRequestHandler::MakeResponseCallback(
     const SharedRequest& request,
     const std::shared_ptr<Responder>& responder) const {
   return [this, request, responder,
-          arrived = parts_.clock.Now()](RequestResult result) {
-    parts_.telemetry.EndRequest(*request, result, parts_.clock.Now() - arrived);
+          arrived_at = dependencies_.clock.Now()](RequestResult result) {
+    dependencies_.telemetry.EndRequest(*request, result,
+                                       dependencies_.clock.Now() - arrived_at);
     if (!result.response.headers.Find(protocol::kHost)) {
-      result.response.headers.Add(protocol::kHost, parts_.host.Value());
+      result.response.headers.Add(protocol::kHost, dependencies_.host.Value());
     }
     responder->Send(std::move(result.response));
   };
 }
 
-void ServiceRequestHandler::Fail(const Passage& passage,
-                                 ProblemCode code,
-                                 RunState run_state) {
-  passage.done({.run_state = run_state,
+void ServiceRequestHandler::RespondWithProblem(const RequestContext& context,
+                                               ProblemCode code,
+                                               RunState run_state) {
+  context.done({.run_state = run_state,
                 .response = MakeProblem(code, run_state,
-                                        code == ProblemCode::kClaimUnsettled
+                                        code == ProblemCode::kClaimUnresolved
                                             ? kClaimRetryAfter
                                             : Duration::zero())});
 }
 
-HttpResponse ServiceRequestHandler::RefuseStopping(
+HttpResponse ServiceRequestHandler::RefuseWhileStopping(
     const HttpRequest& request) const {
   return MakeProblem(ProblemCode::kStopping,
-                     parts_.keys.OutcomeIfRefused(
+                     dependencies_.keys.RunStateIfRefused(
                          request.headers.Find(protocol::kIdempotencyKey)),
                      kStoppingRetryAfter);
 }
 
 HttpResponse ServiceRequestHandler::IssueKeys(const HttpRequest& request) {
-  const SharedRoutingTable routes = parts_.engine.Routes();
+  const SharedRoutingTable routes = dependencies_.engine.Routes();
   if (!routes) {
     return MakeProblem(ProblemCode::kNotReady, RunState::kNotRun,
                        kNotReadyRetryAfter);
@@ -314,11 +336,11 @@
   nlohmann::json keys = nlohmann::json::array();
   const std::size_t count = ParseCount(request.FindQuery("count"));
   for (std::size_t i = 0; i < count; ++i) {
-    keys.push_back(parts_.keys.Issue(ModeOf(*service)));
+    keys.push_back(dependencies_.keys.Issue(ModeOf(*service)));
   }
   HttpResponse response{.status = 201};
   response.headers.Add("Content-Type", "application/json");
-  response.headers.Add(protocol::kHost, parts_.host.Value());
+  response.headers.Add(protocol::kHost, dependencies_.host.Value());
   response.body = nlohmann::json{{"idempotency_keys", keys}}.dump() + "\n";
   return response;
 }
--- a/lib/libmedlarcroft/source/adapters/entry/service_request_handler.h
+++ b/lib/libmedlarcroft/source/adapters/entry/service_request_handler.h
@@ -16,40 +16,45 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief The request path: from a caller's bytes to its final answer.
+/// @brief Handles callers' requests for services, from parsing to the final
+/// answer.
 class ServiceRequestHandler {
  public:
-  struct Parts {
+  struct Dependencies {
     HostName host;
     const ports::Clock& clock;
-    /// Longest time that work may use a slot: leases of slots count on its end.
+    /// Longest time for which a request may use a slot; the leases of slots
+    /// rely on this limit.
     Duration max_work{0};
     RequestEngine& engine;
     IdempotencyGuard& keys;
     HostForwarder& forwarder;
     ShiftChooser& shifts;
-    CallerDisconnectMonitor& callers;
+    CallerDisconnectMonitor& caller_monitor;
     EntryTelemetry& telemetry;
-    ClaimWorker* claims = nullptr;  ///< None: durable keys are refused.
+    ClaimWorker* claims = nullptr;  ///< If null, durable keys are refused.
   };
 
-  explicit ServiceRequestHandler(const Parts& parts) : parts_(parts) {}
+  explicit ServiceRequestHandler(const Dependencies& dependencies)
+      : dependencies_(dependencies) {}
 
   [[nodiscard]] std::optional<HttpResponse> Serve(
       HttpRequest request,
       const std::shared_ptr<Responder>& responder);
 
-  /// @return answer to a request that comes while nothing new is taken.
-  [[nodiscard]] HttpResponse RefuseStopping(const HttpRequest& request) const;
+  /// @return the response to a request that arrives while this host accepts no
+  /// new ones.
+  [[nodiscard]] HttpResponse RefuseWhileStopping(
+      const HttpRequest& request) const;
 
-  /// @return answer to POST /v1/keys.
+  /// @return the response to POST /v1/keys.
   [[nodiscard]] HttpResponse IssueKeys(const HttpRequest& request);
 
  private:
   using SharedRequest = std::shared_ptr<const ServiceRequest>;
 
-  /// What one request needs on its way.
-  struct Passage {
+  /// State of one request while it is handled.
+  struct RequestContext {
     SharedRequest request;
     SharedRoutingTable routes;
     const ServiceRoute* service = nullptr;
@@ -59,26 +64,30 @@
     MonotonicTime deadline;
   };
 
-  [[nodiscard]] std::optional<ProblemCode> Admit(Passage& passage) const;
-  void RunGuardedRequest(Passage passage);
-  void RunClaimed(Passage passage, const idempotency::Key& key);
-  /// @return a callback that notes the result of a run in the ledger first.
-  [[nodiscard]] ResultCallback SettleThen(const idempotency::Key& key,
-                                          ResultCallback done);
-  /// @return a callback that lets a later attempt decide anew.
+  [[nodiscard]] std::optional<ProblemCode> PrepareRequest(
+      RequestContext& context) const;
+  void RunNonIdempotent(RequestContext context);
+  void RunAfterClaim(RequestContext context, const idempotency::Key& key);
+  /// @return a callback that records the result in the idempotency ledger and
+  /// then calls `done`.
+  [[nodiscard]] ResultCallback RecordResultThen(const idempotency::Key& key,
+                                                ResultCallback done);
+  /// @return a callback that releases the key, so that a later attempt is
+  /// decided afresh, and then calls `done`.
   [[nodiscard]] ResultCallback ReleaseThen(const idempotency::Key& key,
                                            ResultCallback done);
-  void PassOn(const Passage& passage, const ForwardToIssuerDecision& verdict);
-  void Place(Passage passage);
-  void PlaceHere(Passage passage);
-  [[nodiscard]] ResultCallback AnswerTo(
+  void ForwardToHost(const RequestContext& context,
+                     const ForwardToIssuerDecision& destination);
+  void PlaceOrShift(RequestContext context);
+  void PlaceLocally(RequestContext context);
+  [[nodiscard]] ResultCallback MakeResponseCallback(
       const SharedRequest& request,
       const std::shared_ptr<Responder>& responder) const;
-  static void Fail(const Passage& passage,
-                   ProblemCode code,
-                   decision::RunState run_state);
+  static void RespondWithProblem(const RequestContext& context,
+                                 ProblemCode code,
+                                 decision::RunState run_state);
 
-  const Parts parts_;
+  const Dependencies dependencies_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/entry/share_lending.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/share_lending.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Inside a domain, or to a sibling 0.5 ms away.
+/// The lender is in the same failure domain or in a sibling 0.5 ms away.
 constexpr Duration kCallTimeout = std::chrono::milliseconds(150);
 
 capacity::ShareRequest FromWire(const wire::ShareRequest& request) {
@@ -41,10 +41,10 @@
   keeper_.AcceptReturn(FromWire(request));
 }
 
-void ShareBorrower::Round(const RoutingTable& routes,
-                          const std::vector<TargetName>& pressed) {
+void ShareBorrower::SendDueMessages(const RoutingTable& routes,
+                                    const std::vector<TargetName>& saturated) {
   const capacity::CapacityManager::DueRequests due =
-      keeper_.CollectDueRequests(pressed);
+      keeper_.CollectDueRequests(saturated);
   for (const capacity::OutgoingShareRequest& ask : due.requests) {
     Channel* channel = ChannelTo(routes, ask.lender);
     if (channel == nullptr) {
@@ -66,7 +66,8 @@
   }
   for (const capacity::OutgoingShareRequest& ask : due.returns) {
     if (Channel* channel = ChannelTo(routes, ask.lender)) {
-      // A lost return costs the lender one lease, no more.
+      // If the message is lost, the lender gets the slots back when the lease
+      // ends.
       static_cast<void>(channel->Invoke([&ask](wire::SharesClient& client) {
         client.return_share(ToWire(ask.request));
         return true;
--- a/lib/libmedlarcroft/source/adapters/entry/share_lending.h
+++ b/lib/libmedlarcroft/source/adapters/entry/share_lending.h
@@ -14,7 +14,7 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Lends this host's free slots to other entryds.
+/// @brief Lends this host's free slots to entryd on other hosts.
 class ShareService final : public wire::SharesIf {
  public:
   ShareService(HostName self, capacity::CapacityManager& keeper)
@@ -30,15 +30,16 @@
   capacity::CapacityManager& keeper_;
 };
 
-/// @brief Carries this host's requests for loans to their lenders. Calls block,
-/// so it runs on a thread of its own.
+/// @brief Sends this host's loan requests to lenders. Calls block, so it runs
+/// on its own thread.
 class ShareBorrower {
  public:
   explicit ShareBorrower(capacity::CapacityManager& keeper) : keeper_(keeper) {}
 
-  /// @brief Sends what is due: asks, renewals and returns.
-  void Round(const RoutingTable& routes,
-             const std::vector<TargetName>& pressed);
+  /// @brief Sends the loan requests, renewals and returns that are due.
+  /// @param saturated targets for which this host needs more slots.
+  void SendDueMessages(const RoutingTable& routes,
+                       const std::vector<TargetName>& saturated);
 
  private:
   using Channel = ThriftChannel<wire::SharesClient>;
--- a/lib/libmedlarcroft/source/adapters/entry/shift_chooser.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/shift_chooser.cc
@@ -9,17 +9,18 @@
                            ports::RandomSource& random)
     : random_(random), limiter_(clock) {}
 
-void ShiftChooser::ApplyRoutes(const RoutingTable& routes, double part) {
+void ShiftChooser::ApplyRoutes(const RoutingTable& routes,
+                               double host_fraction) {
   std::vector<steering::LinkAllowance> links;
   for (const auto& [domain, capacity] : routes.links) {
-    links.push_back({.to = domain, .capacity_share = capacity * part});
+    links.push_back({.to = domain, .capacity_share = capacity * host_fraction});
   }
   std::vector<steering::ShiftAllowance> shifts;
   for (const auto& [name, service] : routes.services) {
     for (const ShiftRoute& shift : service.shifts) {
       shifts.push_back({.service = name,
                         .to = shift.failure_domain,
-                        .rate = shift.rate * part});
+                        .rate = shift.rate * host_fraction});
     }
   }
   const std::lock_guard lock(mutex_);
@@ -50,9 +51,9 @@
 
 void ShiftChooser::OnAnswer(const ServiceName& service,
                             const FailureDomainName& to,
-                            bool is_taken) {
+                            bool is_accepted) {
   const std::lock_guard lock(mutex_);
-  limiter_.OnAnswer(service, to, is_taken);
+  limiter_.OnAnswer(service, to, is_accepted);
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/entry/shift_chooser.h
+++ b/lib/libmedlarcroft/source/adapters/entry/shift_chooser.h
@@ -12,29 +12,31 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Where one request is sent on to.
+/// @brief Destination of one request that is sent to another failure domain.
 struct ShiftChoice {
   FailureDomainName failure_domain;
   std::string entry_address;
 };
 
-/// @brief Picks the requests that the shift plan sends to other domains, within
-/// the caps. Safe to share between threads.
+/// @brief Selects the requests to send to other failure domains according to
+/// the plan in the routes and within its rate limits. Safe to share between
+/// threads.
 class ShiftChooser {
  public:
   ShiftChooser(const ports::Clock& clock, ports::RandomSource& random);
 
-  /// @param part this host's part of a rate of its domain, 0 to 1.
-  void ApplyRoutes(const RoutingTable& routes, double part);
+  /// @param host_fraction this host's fraction of its failure domain's rates, 0
+  /// to 1.
+  void ApplyRoutes(const RoutingTable& routes, double host_fraction);
 
-  /// @return where to send the next request of the service, or nullopt: it
-  /// stays here.
+  /// @return destination of the next request of the service, or nullopt if it
+  /// stays in this failure domain.
   [[nodiscard]] std::optional<ShiftChoice> Choose(const ServiceRoute& service);
 
-  /// @brief Tells whether the receiving side took a request.
+  /// @brief Records whether the receiving side accepted a request.
   void OnAnswer(const ServiceName& service,
                 const FailureDomainName& to,
-                bool is_taken);
+                bool is_accepted);
 
  private:
   std::mutex mutex_;
--- a/lib/libmedlarcroft/source/adapters/entry/target_poller.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/target_poller.cc
@@ -9,25 +9,27 @@
 
 namespace {
 
-/// Targets are 0.5 ms away; a report later than this is of no use to placing.
+/// Targets are 0.5 ms away; a later report is too old to place requests by.
 constexpr Duration kPollTimeout = std::chrono::milliseconds(300);
 
 constexpr std::size_t kMaxReportBytes = 4096;
 
-/// One poll a second for each target, from all hosts of its domain together:
-/// with 3 to 8 slots a target's work is to answer requests, not 52 hosts.
-constexpr Duration kPeriodPerHost = std::chrono::seconds(1);
+/// Each target gets about one poll a second from all hosts of its failure
+/// domain together. A target with 3 to 8 slots should spend its time on
+/// requests, not on polls of up to 52 hosts.
+constexpr Duration kPollPeriodPerHost = std::chrono::seconds(1);
 
-/// Above it, one host alone would not know its targets' load any more.
-constexpr std::size_t kMostHostsCounted = 20;
+/// Caps the period: with a longer one, a single host would no longer know the
+/// load of its targets.
+constexpr std::size_t kMaxHostsCounted = 20;
 
-/// New routes are looked for at least so often.
-constexpr Duration kLongestPause = std::chrono::milliseconds(500);
-constexpr Duration kShortestPause = std::chrono::milliseconds(20);
+/// Limits the delay until targets in new routes are polled.
+constexpr Duration kMaxPause = std::chrono::milliseconds(500);
+constexpr Duration kMinPause = std::chrono::milliseconds(20);
 
 constexpr int kDrainingStatus = 503;
 
-std::optional<std::uint32_t> ReadCount(const nlohmann::json& value) {
+std::optional<std::uint32_t> ParseUint32(const nlohmann::json& value) {
   if (!value.is_number_unsigned() ||
       value.get<std::uint64_t>() > std::numeric_limits<std::uint32_t>::max()) {
     return std::nullopt;
@@ -53,7 +55,7 @@
   if (!document.is_object() || !document.contains("outstanding")) {
     return std::nullopt;
   }
-  const auto outstanding = ReadCount(document["outstanding"]);
+  const auto outstanding = ParseUint32(document["outstanding"]);
   if (!outstanding) {
     return std::nullopt;
   }
@@ -67,7 +69,7 @@
     report.is_draining = draining->get<bool>();
   }
   if (const auto age = document.find("age_ms"); age != document.end()) {
-    const auto milliseconds = ReadCount(*age);
+    const auto milliseconds = ParseUint32(*age);
     if (!milliseconds) {
       return std::nullopt;
     }
@@ -89,17 +91,18 @@
 }
 
 Duration PollPeriodFor(std::size_t hosts) {
-  return kPeriodPerHost * std::clamp<std::size_t>(hosts, 1, kMostHostsCounted);
+  return kPollPeriodPerHost *
+         std::clamp<std::size_t>(hosts, 1, kMaxHostsCounted);
 }
 
-Duration TargetPoller::Round() {
-  const SharedRoutingTable routes = parts_.engine.Routes();
+Duration TargetPoller::PollDueTargets() {
+  const SharedRoutingTable routes = dependencies_.engine.Routes();
   if (!routes) {
-    return kLongestPause;
+    return kMaxPause;
   }
-  const auto periods = PeriodsOf(*routes);
-  const MonotonicTime now = parts_.clock.Now();
-  MonotonicTime next = now + kLongestPause;
+  const auto periods = PollPeriodsByDomain(*routes);
+  const MonotonicTime now = dependencies_.clock.Now();
+  MonotonicTime next = now + kMaxPause;
   std::map<TargetName, MonotonicTime> due;
   for (const capacity::SlotLimit& limit : routes->capacity.limits) {
     const auto period = periods.find(limit.failure_domain);
@@ -109,77 +112,80 @@
       continue;
     }
 
-    // Jitter keeps the domain's hosts from asking all at the same moment; the
-    // first poll may come at any time of a period, as after a restart of many.
-    const double unit = parts_.random.NextUnit();
-    const auto known = due_.find(limit.target);
-    MonotonicTime at = known == due_.end()
-                           ? now + FromSeconds(ToSeconds(period->second) * unit)
-                           : known->second;
-    if (at <= now) {
-      AskLoad(limit.target, *address);
-      at = now + FromSeconds(ToSeconds(period->second) * (0.75 + 0.5 * unit));
+    // Jitter prevents the failure domain's hosts from polling at the same
+    // moment. The first poll is at a random time within one period, since many
+    // hosts may restart together.
+    const double unit = dependencies_.random.NextUnit();
+    const auto known = next_poll_at_.find(limit.target);
+    MonotonicTime poll_at =
+        known == next_poll_at_.end()
+            ? now + FromSeconds(ToSeconds(period->second) * unit)
+            : known->second;
+    if (poll_at <= now) {
+      PollLoad(limit.target, *address);
+      poll_at =
+          now + FromSeconds(ToSeconds(period->second) * (0.75 + 0.5 * unit));
     }
-    at = std::min(at, now + period->second * 5 / 4);
-    due[limit.target] = at;
-    next = std::min(next, at);
+    poll_at = std::min(poll_at, now + period->second * 5 / 4);
+    due[limit.target] = poll_at;
+    next = std::min(next, poll_at);
   }
-  due_ = std::move(due);
-  return std::max<Duration>(next - now, kShortestPause);
+  next_poll_at_ = std::move(due);
+  return std::max<Duration>(next - now, kMinPause);
 }
 
-std::map<FailureDomainName, Duration> TargetPoller::PeriodsOf(
+std::map<FailureDomainName, Duration> TargetPoller::PollPeriodsByDomain(
     const RoutingTable& routes) const {
-  std::map<FailureDomainName, std::set<HostName>> holders;
-  for (const auto& [domain, seat] : parts_.capacity.Seats()) {
-    holders[domain].insert(parts_.host);
+  std::map<FailureDomainName, std::set<HostName>> hosts_by_domain;
+  for (const auto& [domain, seat] : dependencies_.capacity.Seats()) {
+    hosts_by_domain[domain].insert(dependencies_.host);
   }
-  holders[parts_.failure_domain].insert(parts_.host);
+  hosts_by_domain[dependencies_.failure_domain].insert(dependencies_.host);
   for (const capacity::Lender& lender : routes.capacity.lenders) {
     for (const auto& [domain, seat] : lender.seats) {
-      const auto served = holders.find(domain);
-      if (served != holders.end()) {
+      const auto served = hosts_by_domain.find(domain);
+      if (served != hosts_by_domain.end()) {
         served->second.insert(lender.host);
       }
     }
   }
 
   std::map<FailureDomainName, Duration> periods;
-  for (const auto& [domain, hosts] : holders) {
+  for (const auto& [domain, hosts] : hosts_by_domain) {
     periods[domain] = PollPeriodFor(hosts.size());
   }
   return periods;
 }
 
-void TargetPoller::AskLoad(const TargetName& target,
-                           const std::string& address) {
-  const MonotonicTime asked_at = parts_.clock.Now();
-  parts_.client.Send(
+void TargetPoller::PollLoad(const TargetName& target,
+                            const std::string& address) {
+  const MonotonicTime requested_at = dependencies_.clock.Now();
+  dependencies_.client.Send(
       {.url = "http://" + address + "/load",
        .timeout = kPollTimeout,
        .max_answer_bytes = kMaxReportBytes},
-      [this, target, address, asked_at](const ClientResult& result) {
-        OnLoad(target, address, asked_at, result);
+      [this, target, address, requested_at](const ClientResult& result) {
+        OnLoadResponse(target, address, requested_at, result);
       });
 }
 
-void TargetPoller::AskHealth(const TargetName& target,
-                             const std::string& address) {
-  parts_.client.Send(
+void TargetPoller::PollHealth(const TargetName& target,
+                              const std::string& address) {
+  dependencies_.client.Send(
       {.url = "http://" + address + "/health",
        .timeout = kPollTimeout,
        .max_answer_bytes = kMaxReportBytes},
       [this, target](const ClientResult& result) {
         if (IsOk(result) && IsDrainingResponse(ValueOf(result))) {
-          parts_.engine.MarkLeaving(target);
+          dependencies_.engine.MarkLeaving(target);
         }
       });
 }
 
-void TargetPoller::OnLoad(const TargetName& target,
-                          const std::string& address,
-                          MonotonicTime asked_at,
-                          const ClientResult& result) {
+void TargetPoller::OnLoadResponse(const TargetName& target,
+                                  const std::string& address,
+                                  MonotonicTime requested_at,
+                                  const ClientResult& result) {
   if (!IsOk(result)) {
     return;
   }
@@ -187,17 +193,17 @@
   const auto report = answer.status == 200 ? ParseTargetReport(answer.body)
                                            : std::optional<TargetReport>();
   if (report) {
-    // The count was taken somewhere on the way there and back.
-    const Duration round_trip = parts_.clock.Now() - asked_at;
-    parts_.engine.OnTargetReport(target, report->outstanding,
-                                 report->age.value_or(round_trip / 2));
+    // The target took the count at an unknown time during the round trip.
+    const Duration round_trip = dependencies_.clock.Now() - requested_at;
+    dependencies_.engine.OnTargetReport(target, report->outstanding,
+                                        report->age.value_or(round_trip / 2));
   }
   if (!report || !report->is_draining) {
-    AskHealth(target, address);
+    PollHealth(target, address);
   } else if (*report->is_draining) {
-    parts_.engine.MarkLeaving(target);
+    dependencies_.engine.MarkLeaving(target);
   } else {
-    parts_.engine.MarkStaying(target, asked_at);
+    dependencies_.engine.MarkStaying(target, requested_at);
   }
 }
 
--- a/lib/libmedlarcroft/source/adapters/entry/target_poller.h
+++ b/lib/libmedlarcroft/source/adapters/entry/target_poller.h
@@ -20,68 +20,72 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief What a target says of itself in answer to GET /load.
+/// @brief A target's response to GET /load.
 struct TargetReport {
-  std::uint32_t outstanding = 0;    ///< Its requests from all hosts.
-  std::optional<bool> is_draining;  ///< Missing: GET /health has to tell.
-  std::optional<Duration> age;      ///< How old the count is, if it says so.
+  std::uint32_t outstanding = 0;  ///< Its unfinished requests, from all hosts.
+  std::optional<bool> is_draining;  ///< If absent, GET /health is asked.
+  std::optional<Duration> age;      ///< Age of the count, if given.
 };
 
-/// @return nullopt when the answer can't be understood.
+/// @return nullopt if the response is malformed.
 [[nodiscard]] std::optional<TargetReport> ParseTargetReport(
     std::string_view json);
 
-/// @return whether an answer to GET /health says that the target drains. A 503
-/// alone could come from anything in between, so the state must be named too.
+/// @return whether a response to GET /health says that the target is draining.
+/// The body must name the state, because any proxy on the path can answer 503.
 [[nodiscard]] bool IsDrainingResponse(const ClientResponse& health);
 
-/// @return how long one host waits between two polls of one target.
-/// @param hosts how many hosts of the domain hold a seat, this one included.
+/// @return time between two polls of one target by one host.
+/// @param hosts number of hosts that hold a seat in the failure domain, this
+/// one included.
 [[nodiscard]] Duration PollPeriodFor(std::size_t hosts);
 
-/// @brief Asks targets for their load and whether they drain, whether or not
-/// requests go to them.
+/// @brief Polls targets for their load and draining state, even if no requests
+/// are sent to them.
 ///
-/// Failure: a target begins to drain while it has no traffic. Symptom: the
-/// first requests after it are refused there, each by each host, and cost a
-/// retry. Polled about once a second by its domain, the sign is known before.
-/// What one host learns reaches the domain's others with its observations. A
-/// report that is missing or malformed changes nothing: what this host sees of
-/// its own requests goes on counting.
+/// If a target starts draining while it has no traffic, no response informs the
+/// hosts of that. Without polling, the first request that each host sends to it
+/// afterwards would be refused, and each would cost a retry. About one poll a
+/// second from its failure domain reports the state before that. What one host
+/// learns reaches the other hosts of the failure domain with its observations.
+/// A missing or malformed report changes nothing: the load that this host sees
+/// from its own requests stays in use.
 class TargetPoller {
  public:
-  /// All must outlive the poller; it must outlive the client's callbacks.
-  struct Parts {
+  /// All must outlive the poller, and the poller must outlive the client's
+  /// callbacks.
+  struct Dependencies {
     HostName host;
     FailureDomainName failure_domain;
     RequestEngine& engine;
     HttpClient& client;
     const capacity::CapacityManager& capacity;
-    ports::RandomSource& random;  ///< Used by `Round` only.
+    ports::RandomSource& random;  ///< Used by `PollDueTargets` only.
     const ports::Clock& clock;
   };
 
-  explicit TargetPoller(const Parts& parts) : parts_(parts) {}
+  explicit TargetPoller(const Dependencies& dependencies)
+      : dependencies_(dependencies) {}
   TargetPoller(const TargetPoller&) = delete;
   TargetPoller& operator=(const TargetPoller&) = delete;
 
-  /// @brief Sends the polls that are due; does not wait for their answers. Runs
-  /// on one thread.
-  /// @return the pause until the next round.
-  Duration Round();
+  /// @brief Sends the polls that are due, without waiting for their responses.
+  /// Must run on one thread only.
+  /// @return time until the next call.
+  Duration PollDueTargets();
 
  private:
-  [[nodiscard]] std::map<FailureDomainName, Duration> PeriodsOf(
+  [[nodiscard]] std::map<FailureDomainName, Duration> PollPeriodsByDomain(
       const RoutingTable& routes) const;
-  void AskLoad(const TargetName& target, const std::string& address);
-  void AskHealth(const TargetName& target, const std::string& address);
-  void OnLoad(const TargetName& target,
-              const std::string& address,
-              MonotonicTime asked_at,
-              const ClientResult& result);
+  void PollLoad(const TargetName& target, const std::string& address);
+  void PollHealth(const TargetName& target, const std::string& address);
+  void OnLoadResponse(const TargetName& target,
+                      const std::string& address,
+                      MonotonicTime requested_at,
+                      const ClientResult& result);
 
-  const Parts parts_;
-  std::map<TargetName, MonotonicTime> due_;
+  const Dependencies dependencies_;
+  std::map<TargetName, MonotonicTime> next_poll_at_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/tests/unit/adapters/entry/attempt_result_test.cc
+++ b/tests/unit/adapters/entry/attempt_result_test.cc
@@ -9,7 +9,7 @@
 
 constexpr std::string_view kName = "host-1-2-3";
 
-struct JudgeCase {
+struct ClassifyCase {
   const char* name;
   ClientResult result;
   AttemptOutcome outcome;
@@ -17,9 +17,9 @@
   bool is_leaving = false;
 };
 
-class ClassifyAttemptTest : public testing::TestWithParam<JudgeCase> {};
+class ClassifyAttemptTest : public testing::TestWithParam<ClassifyCase> {};
 
-TEST_P(ClassifyAttemptTest, SaysWhatIsProved) {
+TEST_P(ClassifyAttemptTest, ReturnsOutcomeAndAnswer) {
   const AttemptResult result = ClassifyAttempt(GetParam().result, kName);
   EXPECT_EQ(result.outcome, GetParam().outcome);
   EXPECT_EQ(result.answer.has_value(), GetParam().has_answer);
@@ -42,46 +42,46 @@
     Table,
     ClassifyAttemptTest,
     testing::Values(
-        JudgeCase{"whole", Answer(200), AttemptOutcome::kAnswered, true},
-        JudgeCase{"client_error", Answer(404), AttemptOutcome::kAnswered, true},
-        JudgeCase{"server_error", Answer(500), AttemptOutcome::kServerError,
-                  true},
-        JudgeCase{"shed", Answer(503, {{"Medlar-Target-Not-Run", "1"}}),
-                  AttemptOutcome::kShed},
-        JudgeCase{"leaving",
-                  Answer(503,
-                         {{"Medlar-Target-Not-Run", "1"},
-                          {"Medlar-Target-Draining", "1"}}),
-                  AttemptOutcome::kTargetLeaving, false, true},
-        JudgeCase{"last_answer_of_a_leaving_target",
-                  Answer(200, {{"Medlar-Target-Draining", "1"}}),
-                  AttemptOutcome::kAnswered, true, true},
-        JudgeCase{"echo_matches",
-                  Answer(200, {{"medlar-request-id", std::string(kName)}}),
-                  AttemptOutcome::kAnswered, true},
-        JudgeCase{"echo_of_another",
-                  Answer(200, {{"Medlar-Request-Id", "host-1-2-4"}}),
-                  AttemptOutcome::kConnectionLost},
-        JudgeCase{"refused", Failure(TransportFailure::kCannotConnect, true),
-                  AttemptOutcome::kNeverSent},
-        JudgeCase{"timeout_while_connecting",
-                  Failure(TransportFailure::kTimedOut, true),
-                  AttemptOutcome::kNeverSent},
-        JudgeCase{"timeout_after_sending",
-                  Failure(TransportFailure::kTimedOut, false),
-                  AttemptOutcome::kTimedOut},
-        JudgeCase{"timeout_on_an_old_connection",
-                  Failure(TransportFailure::kTimedOut, false, true),
-                  AttemptOutcome::kSilentConnection},
-        JudgeCase{"truncated", Failure(TransportFailure::kTruncated, false),
-                  AttemptOutcome::kTruncated},
-        JudgeCase{"without_announced_end",
-                  Failure(TransportFailure::kUnframed, false),
-                  AttemptOutcome::kTruncated},
-        JudgeCase{"broken", Failure(TransportFailure::kBroken, false),
-                  AttemptOutcome::kConnectionLost},
-        JudgeCase{"cancelled", Failure(TransportFailure::kCancelled, true),
-                  AttemptOutcome::kCancelled}),
+        ClassifyCase{"whole", Answer(200), AttemptOutcome::kAnswered, true},
+        ClassifyCase{"client_error", Answer(404), AttemptOutcome::kAnswered,
+                     true},
+        ClassifyCase{"server_error", Answer(500), AttemptOutcome::kServerError,
+                     true},
+        ClassifyCase{"shed", Answer(503, {{"Medlar-Target-Not-Run", "1"}}),
+                     AttemptOutcome::kShed},
+        ClassifyCase{"leaving",
+                     Answer(503,
+                            {{"Medlar-Target-Not-Run", "1"},
+                             {"Medlar-Target-Draining", "1"}}),
+                     AttemptOutcome::kTargetLeaving, false, true},
+        ClassifyCase{"answer_of_a_draining_target",
+                     Answer(200, {{"Medlar-Target-Draining", "1"}}),
+                     AttemptOutcome::kAnswered, true, true},
+        ClassifyCase{"matching_request_id",
+                     Answer(200, {{"medlar-request-id", std::string(kName)}}),
+                     AttemptOutcome::kAnswered, true},
+        ClassifyCase{"mismatched_request_id",
+                     Answer(200, {{"Medlar-Request-Id", "host-1-2-4"}}),
+                     AttemptOutcome::kConnectionLost},
+        ClassifyCase{"refused", Failure(TransportFailure::kCannotConnect, true),
+                     AttemptOutcome::kNeverSent},
+        ClassifyCase{"timeout_while_connecting",
+                     Failure(TransportFailure::kTimedOut, true),
+                     AttemptOutcome::kNeverSent},
+        ClassifyCase{"timeout_after_sending",
+                     Failure(TransportFailure::kTimedOut, false),
+                     AttemptOutcome::kTimedOut},
+        ClassifyCase{"timeout_on_reused_connection",
+                     Failure(TransportFailure::kTimedOut, false, true),
+                     AttemptOutcome::kSilentConnection},
+        ClassifyCase{"truncated", Failure(TransportFailure::kTruncated, false),
+                     AttemptOutcome::kTruncated},
+        ClassifyCase{"unframed", Failure(TransportFailure::kUnframed, false),
+                     AttemptOutcome::kTruncated},
+        ClassifyCase{"broken", Failure(TransportFailure::kBroken, false),
+                     AttemptOutcome::kConnectionLost},
+        ClassifyCase{"cancelled", Failure(TransportFailure::kCancelled, true),
+                     AttemptOutcome::kCancelled}),
     [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
--- a/tests/unit/adapters/entry/idempotency_guard_test.cc
+++ b/tests/unit/adapters/entry/idempotency_guard_test.cc
@@ -30,23 +30,23 @@
     return request;
   }
 
-  /// Begins the order, which must be let run, and ends it.
+  /// Begins the order, expects that it may run, and records its result.
   void Run(const std::string& key, RunState run_state) {
-    const GuardDecision verdict =
+    const GuardDecision guard_decision =
         guard_.Begin(Order(key), 1000, [](const RequestResult&) {});
-    const auto* run = std::get_if<ProceedDecision>(&verdict);
+    const auto* run = std::get_if<ProceedDecision>(&guard_decision);
     ASSERT_NE(run, nullptr);
-    guard_.Settle(run->key, {.run_state = run_state});
+    guard_.RecordResult(run->key, {.run_state = run_state});
   }
 
   fakes::ManualClock clock_;
   IdempotencyGuard guard_{OptionsOf(1, kSecret), clock_};
 };
 
-// An order ran and its answer was lost. The caller asks again with its key
-// while the host is stopping, or has just started and has no routes. It must
-// not hear "not run", or it takes a new key and the order runs a second time.
-TEST_F(IdempotencyGuardTest, RefusalBeforeTheLedgerNeverDeniesARun) {
+// An order ran and its answer was lost. The caller retries with the same key
+// while the host is stopping, or has just started and has no routes. If it were
+// told "not run", it would take a new key and the order would run twice.
+TEST_F(IdempotencyGuardTest, RefusalBeforeLedgerLookupDoesNotReportNotRun) {
   const std::string ran = guard_.Issue(idempotency::Mode::kLocal);
   const std::string lost = guard_.Issue(idempotency::Mode::kLocal);
   const std::string fresh = guard_.Issue(idempotency::Mode::kLocal);
@@ -54,41 +54,41 @@
   Run(ran, RunState::kRan);
   Run(lost, RunState::kUnknown);
 
-  EXPECT_NE(guard_.OutcomeIfRefused(ran), RunState::kNotRun);
-  EXPECT_NE(guard_.OutcomeIfRefused(lost), RunState::kNotRun);
-  EXPECT_NE(guard_.OutcomeIfRefused(durable), RunState::kNotRun);
-  EXPECT_EQ(guard_.OutcomeIfRefused(fresh), RunState::kNotRun);
+  EXPECT_NE(guard_.RunStateIfRefused(ran), RunState::kNotRun);
+  EXPECT_NE(guard_.RunStateIfRefused(lost), RunState::kNotRun);
+  EXPECT_NE(guard_.RunStateIfRefused(durable), RunState::kNotRun);
+  EXPECT_EQ(guard_.RunStateIfRefused(fresh), RunState::kNotRun);
 
   const IdempotencyGuard restarted(OptionsOf(2, kSecret), clock_);
-  EXPECT_EQ(restarted.OutcomeIfRefused(ran), RunState::kUnknown);
-  EXPECT_EQ(restarted.OutcomeIfRefused(fresh), RunState::kUnknown);
+  EXPECT_EQ(restarted.RunStateIfRefused(ran), RunState::kUnknown);
+  EXPECT_EQ(restarted.RunStateIfRefused(fresh), RunState::kUnknown);
 }
 
-// The secret was replaced everywhere at once after a leak. A key of the old one
-// looks forged, but its order may have run before.
-TEST_F(IdempotencyGuardTest, KeyOfAnOldSecretIsNotDenied) {
+// The secret was replaced on all hosts at once after a leak. A key signed with
+// the old secret looks forged, but its order may have run.
+TEST_F(IdempotencyGuardTest, KeySignedWithReplacedSecretIsReportedUnknown) {
   const std::string key = guard_.Issue(idempotency::Mode::kLocal);
   IdempotencyGuard other(OptionsOf(1, "fedcba9876543210"), clock_);
 
-  const GuardDecision verdict =
+  const GuardDecision guard_decision =
       other.Begin(Order(key), 1000, [](const RequestResult&) {});
-  const auto* answer = std::get_if<AnswerDecision>(&verdict);
+  const auto* answer = std::get_if<AnswerDecision>(&guard_decision);
   ASSERT_NE(answer, nullptr);
   EXPECT_EQ(answer->result.run_state, RunState::kUnknown);
 }
 
-TEST_F(IdempotencyGuardTest, NoKeyAndNoKeyOfOursAreProvedNotRun) {
-  EXPECT_EQ(guard_.OutcomeIfRefused(std::nullopt), RunState::kNotRun);
-  EXPECT_EQ(guard_.OutcomeIfRefused("any text"), RunState::kNotRun);
+TEST_F(IdempotencyGuardTest, MissingAndMalformedKeysAreReportedNotRun) {
+  EXPECT_EQ(guard_.RunStateIfRefused(std::nullopt), RunState::kNotRun);
+  EXPECT_EQ(guard_.RunStateIfRefused("any text"), RunState::kNotRun);
 }
 
-// A claim could not be settled, so nothing was dispatched here. A later attempt
-// with the same key must be let try again.
+// A claim could not be resolved, so nothing was dispatched on this host. A
+// later attempt with the same key must be allowed to run.
 TEST_F(IdempotencyGuardTest, ReleasedKeyMayRunLater) {
   const std::string key = guard_.Issue(idempotency::Mode::kDurable);
-  const GuardDecision verdict =
+  const GuardDecision guard_decision =
       guard_.Begin(Order(key), 1000, [](const RequestResult&) {});
-  guard_.Release(std::get<ProceedDecision>(verdict).key,
+  guard_.Release(std::get<ProceedDecision>(guard_decision).key,
                  {.run_state = RunState::kUnknown});
   Run(key, RunState::kRan);
 }
--- a/tests/unit/adapters/entry/request_parser_test.cc
+++ b/tests/unit/adapters/entry/request_parser_test.cc
@@ -13,7 +13,7 @@
   return request;
 }
 
-TEST(RequestParser, KeepsThePathAsSentAndDropsHopFields) {
+TEST(RequestParser, KeepsPathAsSentAndDropsHopByHopHeaders) {
   const auto parsed =
       ParseServiceRequest(MakeRequest("/v1/services/swap-ledger/a%2Fb?x=%20y",
                                       {{"Medlar-Brand", "uwimana"},
@@ -35,16 +35,17 @@
   EXPECT_FALSE(request.headers.Find("Medlar-Forward-Proof"));
 }
 
-struct FaultCase {
+struct InvalidRequestCase {
   const char* name;
   const char* target;
   HttpHeaders headers;
   ProblemCode code;
 };
 
-class RequestParserFaults : public testing::TestWithParam<FaultCase> {};
+class RequestParserErrorTest
+    : public testing::TestWithParam<InvalidRequestCase> {};
 
-TEST_P(RequestParserFaults, AreTyped) {
+TEST_P(RequestParserErrorTest, ReturnsProblemCode) {
   const auto parsed =
       ParseServiceRequest(MakeRequest(GetParam().target, GetParam().headers));
   ASSERT_FALSE(IsOk(parsed));
@@ -53,34 +54,38 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    RequestParserFaults,
+    RequestParserErrorTest,
     testing::Values(
-        FaultCase{"no_service", "/v1/services/", {}, ProblemCode::kUnknownPath},
-        FaultCase{"bad_service",
-                  "/v1/services/a%20b/x",
-                  {},
-                  ProblemCode::kUnknownPath},
-        FaultCase{"no_brand",
-                  "/v1/services/s/x",
-                  {},
-                  ProblemCode::kMissingBrand},
-        FaultCase{"bad_brand",
-                  "/v1/services/s/x",
-                  {{"Medlar-Brand", "a b"}},
-                  ProblemCode::kBadBrand},
-        FaultCase{"zero_deadline",
-                  "/v1/services/s/x",
-                  {{"Medlar-Brand", "b"}, {"Medlar-Deadline-Ms", "0"}},
-                  ProblemCode::kBadDeadline},
-        FaultCase{"deadline_with_unit",
-                  "/v1/services/s/x",
-                  {{"Medlar-Brand", "b"}, {"Medlar-Deadline-Ms", "5s"}},
-                  ProblemCode::kBadDeadline},
-        FaultCase{"huge_deadline",
-                  "/v1/services/s/x",
-                  {{"Medlar-Brand", "b"},
-                   {"Medlar-Deadline-Ms", "99999999999999999999"}},
-                  ProblemCode::kBadDeadline}),
+        InvalidRequestCase{"no_service",
+                           "/v1/services/",
+                           {},
+                           ProblemCode::kUnknownPath},
+        InvalidRequestCase{"bad_service",
+                           "/v1/services/a%20b/x",
+                           {},
+                           ProblemCode::kUnknownPath},
+        InvalidRequestCase{"no_brand",
+                           "/v1/services/s/x",
+                           {},
+                           ProblemCode::kMissingBrand},
+        InvalidRequestCase{"bad_brand",
+                           "/v1/services/s/x",
+                           {{"Medlar-Brand", "a b"}},
+                           ProblemCode::kBadBrand},
+        InvalidRequestCase{"zero_deadline",
+                           "/v1/services/s/x",
+                           {{"Medlar-Brand", "b"}, {"Medlar-Deadline-Ms", "0"}},
+                           ProblemCode::kBadDeadline},
+        InvalidRequestCase{
+            "deadline_with_unit",
+            "/v1/services/s/x",
+            {{"Medlar-Brand", "b"}, {"Medlar-Deadline-Ms", "5s"}},
+            ProblemCode::kBadDeadline},
+        InvalidRequestCase{"huge_deadline",
+                           "/v1/services/s/x",
+                           {{"Medlar-Brand", "b"},
+                            {"Medlar-Deadline-Ms", "99999999999999999999"}},
+                           ProblemCode::kBadDeadline}),
     [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
--- a/tests/unit/adapters/entry/target_poller_test.cc
+++ b/tests/unit/adapters/entry/target_poller_test.cc
@@ -5,49 +5,52 @@
 namespace medlarcroft::adapters {
 namespace {
 
-struct BadReport {
+struct InvalidReportCase {
   std::string_view name;
   std::string_view text;
 };
 
-class BadTargetReport : public testing::TestWithParam<BadReport> {};
+class InvalidTargetReportTest
+    : public testing::TestWithParam<InvalidReportCase> {};
 
-// A target's load page is broken or not its own. A wrong number would move
-// requests to or from it, so nothing of such a report may be taken.
-TEST_P(BadTargetReport, FeedsNothing) {
+// The response to a load poll is malformed or comes from something other than
+// the target. A wrong number would move requests to or away from the target, so
+// no part of such a report may be used.
+TEST_P(InvalidTargetReportTest, IsRejected) {
   EXPECT_FALSE(ParseTargetReport(GetParam().text).has_value());
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Reports,
-    BadTargetReport,
+    InvalidTargetReportTest,
     testing::Values(
-        BadReport{"Empty", ""},
-        BadReport{"NotJson", "<html>busy</html>"},
-        BadReport{"CutOff", R"({"outstanding":3,"slo)"},
-        BadReport{"List", "[3]"},
-        BadReport{"NoCount", R"({"slots":3,"draining":true})"},
-        BadReport{"Negative", R"({"outstanding":-1})"},
-        BadReport{"Fraction", R"({"outstanding":1.5})"},
-        BadReport{"TooLarge", R"({"outstanding":4294967296})"},
-        BadReport{"Text", R"({"outstanding":"3"})"},
-        BadReport{"DrainingText", R"({"outstanding":3,"draining":"no"})"},
-        BadReport{"NegativeAge", R"({"outstanding":3,"age_ms":-5})"}),
+        InvalidReportCase{"Empty", ""},
+        InvalidReportCase{"NotJson", "<html>busy</html>"},
+        InvalidReportCase{"Truncated", R"({"outstanding":3,"slo)"},
+        InvalidReportCase{"List", "[3]"},
+        InvalidReportCase{"NoCount", R"({"slots":3,"draining":true})"},
+        InvalidReportCase{"Negative", R"({"outstanding":-1})"},
+        InvalidReportCase{"Fraction", R"({"outstanding":1.5})"},
+        InvalidReportCase{"TooLarge", R"({"outstanding":4294967296})"},
+        InvalidReportCase{"Text", R"({"outstanding":"3"})"},
+        InvalidReportCase{"DrainingText",
+                          R"({"outstanding":3,"draining":"no"})"},
+        InvalidReportCase{"NegativeAge", R"({"outstanding":3,"age_ms":-5})"}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(TargetReport, IsReadWithWhatItLeavesOut) {
-  const auto whole = ParseTargetReport(
+TEST(TargetReport, ParsesOptionalFields) {
+  const auto complete = ParseTargetReport(
       R"({"outstanding":3,"slots":4,"draining":true,"age_ms":250})");
-  ASSERT_TRUE(whole.has_value());
-  EXPECT_EQ(whole->outstanding, 3U);
-  EXPECT_EQ(whole->is_draining, std::optional(true));
-  EXPECT_EQ(whole->age,
+  ASSERT_TRUE(complete.has_value());
+  EXPECT_EQ(complete->outstanding, 3U);
+  EXPECT_EQ(complete->is_draining, std::optional(true));
+  EXPECT_EQ(complete->age,
             std::optional<Duration>(std::chrono::milliseconds(250)));
 
-  const auto least = ParseTargetReport(R"({"outstanding":0})");
-  ASSERT_TRUE(least.has_value());
-  EXPECT_FALSE(least->is_draining.has_value());
-  EXPECT_FALSE(least->age.has_value());
+  const auto minimal = ParseTargetReport(R"({"outstanding":0})");
+  ASSERT_TRUE(minimal.has_value());
+  EXPECT_FALSE(minimal->is_draining.has_value());
+  EXPECT_FALSE(minimal->age.has_value());
 }
 
 struct HealthCase {
@@ -57,9 +60,9 @@
   bool is_draining;
 };
 
-class HealthAnswer : public testing::TestWithParam<HealthCase> {};
+class HealthResponseTest : public testing::TestWithParam<HealthCase> {};
 
-TEST_P(HealthAnswer, SaysDrainingOnlyInItsOwnWords) {
+TEST_P(HealthResponseTest, IsDrainingOnlyWithStatusAndState) {
   EXPECT_EQ(IsDrainingResponse({.status = GetParam().status,
                                 .body = std::string(GetParam().body)}),
             GetParam().is_draining);
@@ -67,17 +70,18 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Answers,
-    HealthAnswer,
+    HealthResponseTest,
     testing::Values(HealthCase{"Drains", 503, R"({"state":"draining"})", true},
                     HealthCase{"Serves", 200, R"({"state":"serving"})", false},
-                    HealthCase{"ByAProxy", 503, "<html>", false},
+                    HealthCase{"FromProxy", 503, "<html>", false},
                     HealthCase{"OtherState", 503, R"({"state":"cold"})", false},
                     HealthCase{"NoState", 503, "{}", false}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// A domain of 52 hosts would ask a target of 3 slots 52 times a second; the
-// period grows with the hosts, so that a target is asked about once.
-TEST(PollPeriod, GrowsWithTheHostsOfTheDomainWithinBounds) {
+// With a fixed period, the 52 hosts of a failure domain would poll a target of
+// 3 slots 52 times a second. The period grows with the number of hosts, so that
+// a target gets about one poll a second.
+TEST(PollPeriod, ScalesWithHostCountWithinBounds) {
   EXPECT_EQ(PollPeriodFor(0), std::chrono::seconds(1));
   EXPECT_EQ(PollPeriodFor(1), std::chrono::seconds(1));
   EXPECT_EQ(PollPeriodFor(2), std::chrono::seconds(2));
