--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_poller.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_poller.h
@@ -12,33 +12,34 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief Why a host reads the catalogue from the platform just now.
-enum class WatchReason {
-  kNone,         ///< Peers bring what is new.
-  kRelay,        ///< It watches the head for its domain.
-  kPeersSilent,  ///< No peer has been heard for a while.
-  kBehind,       ///< Peers told of a revision and did not deliver it.
+/// @brief Why a host currently polls the catalogue from the platform.
+enum class PollReason {
+  kNone,         ///< Not polling; peers deliver changes.
+  kDutyHost,     ///< Polls the head on behalf of its domain.
+  kPeersSilent,  ///< No contact with any peer for some time.
+  kBehind,       ///< Peers announced a revision but did not deliver it.
 };
 
-/// @brief Brings the platform's newest revision to this host's replica.
+/// @brief Updates this host's replica to the latest revision on the platform.
 ///
-/// A few hosts of each failure domain watch the head; the others learn from
-/// peers and read the platform only when peers fail them. `Step` blocks on the
-/// platform, so it has a thread of its own and a slow platform delays nothing
-/// but itself.
+/// A few duty hosts of each failure domain poll the head. The other hosts
+/// receive changes from peers and read the platform only when their peers fail
+/// to deliver. `Step` blocks on the platform, so it needs its own thread; a
+/// slow platform then delays nothing else.
 class CataloguePoller {
  public:
   struct Options {
-    /// Two relays in each of 17 domains at 1 s are 34 reads a second. A change
-    /// must be in force everywhere within 18 s.
+    /// Two duty hosts in each of 17 domains make 34 reads per second at a
+    /// period of 1 s. A change must be in force everywhere within 18 s.
     Duration poll_period = std::chrono::seconds(1);
-    /// How often a host that isn't needed looks whether it is.
+    /// How often a host that does not poll checks whether it needs to.
     Duration idle_period = std::chrono::milliseconds(500);
-    /// Peers exchange every second or so; five missed exchanges are silence.
-    Duration peer_patience = std::chrono::seconds(5);
+    /// Time without contact after which peers count as silent. Peers exchange
+    /// about once per second, so this is five missed exchanges.
+    Duration peer_timeout = std::chrono::seconds(5);
     Duration first_backoff = std::chrono::seconds(1);
-    /// Bounds the time from the platform's return to a change in force: with
-    /// the spread between peers it stays within 18 s.
+    /// Bounds the time from the platform's recovery until a change is in force:
+    /// together with the propagation between peers it stays within 18 s.
     Duration max_backoff = std::chrono::seconds(8);
   };
 
@@ -51,29 +52,31 @@
 
   CataloguePoller(Options options, Ports ports);
 
-  /// @brief Reads the platform if this host is needed to.
-  /// @param is_relay whether this host watches the head for its domain.
+  /// @brief Reads from the platform if this host needs to.
+  /// @param is_duty_host whether this host polls the head on behalf of its
+  /// domain.
   /// @return how long to wait before the next step.
-  Duration Step(bool is_relay);
+  Duration Step(bool is_duty_host);
 
-  [[nodiscard]] WatchReason Reason() const { return reason_; }
+  [[nodiscard]] PollReason Reason() const { return reason_; }
   [[nodiscard]] std::uint64_t FailedSteps() const { return failed_steps_; }
 
  private:
-  [[nodiscard]] WatchReason FindReason(bool is_relay) const;
+  [[nodiscard]] PollReason FindPollReason(bool is_duty_host) const;
   [[nodiscard]] bool ReadPlatform();
-  [[nodiscard]] bool ReadMissing(std::uint64_t head);
-  [[nodiscard]] Duration Jittered(Duration duration);
+  [[nodiscard]] bool ReadMissingRevisions(std::uint64_t head);
+  [[nodiscard]] Duration AddJitter(Duration duration);
 
   const Options options_;
   const Ports ports_;
   const MonotonicTime started_at_;
-  /// Drawn once a host, so that hosts which lost their peers together don't
-  /// turn to the platform together.
-  const Duration patience_;
+  /// `Options::peer_timeout` times a random factor from 1 to 2 that is drawn
+  /// once per host, so that hosts that lose their peers at the same time do not
+  /// all start polling the platform at the same time.
+  const Duration peer_timeout_;
 
-  WatchReason reason_ = WatchReason::kNone;
-  std::uint64_t failures_in_row_ = 0;
+  PollReason reason_ = PollReason::kNone;
+  std::uint64_t consecutive_failures_ = 0;
   std::uint64_t failed_steps_ = 0;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_reader.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_reader.h
@@ -13,16 +13,16 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief Why the platform gave no catalogue.
+/// @brief Reasons why the catalogue could not be read from the platform.
 enum class CatalogueReadFailure {
-  kNoAnswer,    ///< Down, slow or cut off; asking again may help.
-  kDamagedRow,  ///< A row can't be understood; people have to look.
+  kNoAnswer,    ///< Down, slow or unreachable; a retry may succeed.
+  kDamagedRow,  ///< A row cannot be parsed; an operator must intervene.
 };
 
-/// @brief The head row as read.
+/// @brief Contents of the head row.
 struct Head {
-  std::uint64_t revision = 0;     ///< 0: nothing was ever accepted.
-  std::uint64_t row_version = 0;  ///< For the condition of the next change.
+  std::uint64_t revision = 0;     ///< 0: no change was ever accepted.
+  std::uint64_t row_version = 0;  ///< Condition for committing the next change.
 };
 
 /// @brief Reads the catalogue from the platform. Calls block.
@@ -32,19 +32,19 @@
 
   [[nodiscard]] Result<Head, CatalogueReadFailure> ReadHead();
 
-  /// @return changes after `revision` without a gap, at most one page; none
-  /// when there is nothing newer.
+  /// @return up to one page of consecutive changes after `revision`; empty if
+  /// there are none.
   [[nodiscard]] Result<Delta, CatalogueReadFailure> ReadChanges(
       std::uint64_t revision);
 
-  /// @return the newest good snapshot; a damaged one is passed over for the
-  /// one before it, and nullopt means that none can be used.
+  /// @return the latest valid snapshot; a damaged snapshot is skipped in favor
+  /// of the previous one. nullopt if no snapshot is usable.
   [[nodiscard]] Result<std::optional<Delta>, CatalogueReadFailure>
   ReadSnapshot();
 
-  /// @brief Brings `state` to `revision` or beyond: from a snapshot when it
-  /// holds nothing, then change by change. What was applied before a failure
-  /// stays, so that asking again goes on from there.
+  /// @brief Advances `state` to at least `revision`: an empty state starts from
+  /// a snapshot, then changes are applied one by one. Changes applied before a
+  /// failure are kept, so a retry continues from there.
   [[nodiscard]] Result<Success, CatalogueReadFailure> CatchUp(
       CatalogueState& state,
       std::uint64_t revision);
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_replica.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_replica.h
@@ -18,57 +18,63 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief Who showed a revision or sent a delta.
+/// @brief Origin of a revision number or delta.
 enum class RevisionSource { kPeer, kPlatform };
 
-/// @brief Why a delta was refused; what came before the fault in it is applied.
+/// @brief Why a delta was rejected; the changes before the faulty one are
+/// applied.
 enum class DeltaFault {
-  kGap,        ///< Ask again from the revision held.
-  kMalformed,  ///< Ask another host.
+  kGap,        ///< Request changes from the held revision again.
+  kMalformed,  ///< Request the changes from another host.
 };
 
-/// @brief Why a host must not answer from this catalogue yet.
+/// @brief Why a host must not answer requests from its replica yet.
 enum class NotReadyReason {
-  /// Neither the platform nor a peer that holds a catalogue has answered.
+  /// No response from the platform or from a peer that holds a catalogue.
   kNoRevisionReceived,
-  kBehindHighestSeen,  ///< A higher revision was shown and is not held.
+  kBehindHighestSeen,  ///< A higher revision is known but not held.
 };
 
-/// @brief How long the newest revision took to arrive on this host.
+/// @brief When a revision was first seen and when it was applied on this host.
 struct RevisionTiming {
   std::uint64_t revision = 0;
-  MonotonicTime first_shown;  ///< When this host first knew that it exists.
+  MonotonicTime first_seen;  ///< When this host learned of the revision.
   MonotonicTime applied;
 };
 
-/// @brief A replica's state for people.
+/// @brief Replica state for display to operators.
 struct ReplicaStatus {
   std::uint64_t revision = 0;
   std::uint64_t highest_seen = 0;
   bool is_ready = false;
   std::vector<NotReadyReason> not_ready_reasons;
-  Duration time_in_force{};            ///< Since the revision was applied here.
-  std::optional<Duration> since_peer;  ///< nullopt: never heard.
-  std::optional<Duration> since_platform;  ///< nullopt: never heard.
-  std::vector<EntryName> not_understood;
+  Duration time_in_force{};  ///< Since the revision was applied on this host.
+  /// nullopt: no contact yet.
+  std::optional<Duration> time_since_peer_contact;
+  /// nullopt: no contact yet.
+  std::optional<Duration> time_since_platform_contact;
+  std::vector<EntryName> unparsed_entries;
   std::uint64_t refused_deltas = 0;
-  /// The newest head that the platform showed this host; lower than
-  /// `revision` for long means that the platform has lost accepted changes.
+  /// Latest head revision reported by the platform; if it stays lower than
+  /// `revision`, the platform has lost accepted changes.
   std::optional<std::uint64_t> platform_revision;
 };
 
-/// @brief One host's copy of the catalogue. Deltas may come from any source in
-/// any order and any number of times; the revision only grows, whatever a
-/// lagging peer or a stale read of the platform says. Safe to use from any
-/// thread; `View` never waits for a change being applied.
+/// @brief A host's copy of the catalogue. Deltas may arrive from any source, in
+/// any order and repeatedly; the revision only increases, even if a lagging
+/// peer or a stale platform read shows an older one. Thread-safe; `View` never
+/// waits for a change being applied.
 class CatalogueReplica {
  public:
   struct Options {
-    /// Changes kept for peers that are a little behind: 12 hours of a busy day.
+    /// Changes kept for peers that are slightly behind; covers 12 hours of a
+    /// busy day.
     std::size_t kept_changes = 512;
-    /// Bounds their memory; control may take 64 MB in all.
+    /// Memory limit for these changes; the control process may use 64 MB in
+    /// total.
     std::size_t kept_change_bytes = std::size_t{4} * 1024 * 1024;
-    /// Largest incremental delta, so that one answer to a peer stays short.
+    /// Maximum size of an incremental delta, which keeps responses to peers
+    /// short.
     std::size_t max_delta_bytes = std::size_t{256} * 1024;
     std::size_t max_delta_changes = 256;
     std::size_t kept_timings = 64;
@@ -76,11 +82,12 @@
 
   CatalogueReplica(Options options, const ports::Clock& clock);
 
-  /// @brief A peer or the platform says that `revision` exists.
+  /// @brief Records that `source` reported that `revision` exists.
   void NoteRevision(std::uint64_t revision, RevisionSource source);
 
-  /// @brief Applies what is new in `delta`.
-  /// @return the revision held now, or why the delta ended early.
+  /// @brief Applies the changes in `delta` that are newer than the held
+  /// revision.
+  /// @return the revision held afterwards, or why the delta was rejected.
   Result<std::uint64_t, DeltaFault> Apply(const Delta& delta,
                                           RevisionSource source);
 
@@ -88,28 +95,31 @@
   [[nodiscard]] std::uint64_t Revision() const { return View()->Revision(); }
   [[nodiscard]] std::uint64_t HighestSeen() const;
 
-  /// @return whether this host has held the highest revision that it was shown.
-  /// A fresh host must not answer from an old catalogue that a peer happened to
-  /// send first. Once true it stays true: a host that serves goes on serving
-  /// with what it has while the next revision is on its way, or out of reach.
+  /// @return whether this host has ever held the highest revision known to it.
+  /// A newly started host must not answer from an older catalogue that a peer
+  /// happened to send first. Once true, it stays true: a host that serves
+  /// requests continues with the revision it holds while a newer one is in
+  /// transit or unreachable.
   [[nodiscard]] bool IsReady() const;
 
-  /// @return whether the highest revision shown is held now.
+  /// @return whether the highest known revision is held now.
   [[nodiscard]] bool IsCurrent() const;
 
-  /// @brief What a peer at `revision` lacks: changes, or a snapshot when they
-  /// are no longer kept. Empty when the peer is not behind.
+  /// @brief Returns what a peer at `revision` is missing: changes, or a
+  /// snapshot if the changes are no longer kept. Empty if the peer is not
+  /// behind.
   [[nodiscard]] Delta ChangesSince(std::uint64_t revision,
                                    std::size_t limit) const;
 
-  /// @return when this host last heard from `source`.
-  [[nodiscard]] std::optional<MonotonicTime> LastHeard(
+  /// @return the time of the last contact with `source`.
+  [[nodiscard]] std::optional<MonotonicTime> LastContact(
       RevisionSource source) const;
 
-  /// @return since when this host has known of a revision that it lacks.
+  /// @return since when this host has known of a revision that it does not
+  /// hold.
   [[nodiscard]] std::optional<MonotonicTime> BehindSince() const;
 
-  /// @return the newest timings, oldest first.
+  /// @return the most recent timings, oldest first.
   [[nodiscard]] std::vector<RevisionTiming> Timings() const;
 
   [[nodiscard]] ReplicaStatus Status() const;
@@ -120,7 +130,7 @@
   ApplyResult ApplyChangesLocked(const Delta& delta);
   void KeepChangeLocked(const Change& change);
   void PublishLocked();
-  [[nodiscard]] bool KnowsARevisionLocked() const;
+  [[nodiscard]] bool HasKnownRevisionLocked() const;
   void UpdateReadinessLocked();
 
   const Options options_;
@@ -131,12 +141,12 @@
   CatalogueState state_;
   std::uint64_t highest_seen_ = 0;
   bool is_ready_ = false;
-  std::optional<MonotonicTime> last_peer_;
-  std::optional<MonotonicTime> last_platform_;
+  std::optional<MonotonicTime> last_peer_contact_;
+  std::optional<MonotonicTime> last_platform_contact_;
   std::optional<std::uint64_t> platform_revision_;
   std::optional<MonotonicTime> behind_since_;
-  /// Without a gap, up to the revision held.
-  std::deque<Change> kept_;
+  /// Consecutive changes up to the held revision.
+  std::deque<Change> kept_changes_;
   std::size_t kept_bytes_ = 0;
   std::deque<RevisionTiming> timings_;
   MonotonicTime applied_at_;
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_state.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_state.h
@@ -13,31 +13,33 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief What became of a change offered to a state.
+/// @brief Outcome of applying a change to a state.
 enum class ApplyResult {
   kApplied,
-  kAlreadyKnown,  ///< Its revision is not newer; nothing was changed.
-  kGap,           ///< Revisions between are missing; nothing was changed.
-  kMalformed,     ///< No JSON object; nothing was changed.
+  kAlreadyKnown,  ///< The revision is not newer; no effect.
+  kGap,           ///< Intermediate revisions are missing; no effect.
+  kMalformed,     ///< Not a JSON object; no effect.
 };
 
-/// @brief All entries at one revision, as documents and parsed. Changes apply
-/// in the order of their revisions and never backwards.
+/// @brief All entries at one revision, as documents and in parsed form. Changes
+/// are applied strictly in the order of their revisions.
 class CatalogueState {
  public:
-  /// @brief One entry as stored.
+  /// @brief A stored entry.
   struct StoredEntry {
     std::string document;
-    /// The newest document of this entry that this version understood. A kind
-    /// or field value of a newer version leaves the one before it in force:
-    /// dropping the entry would refuse its callers for a whole upgrade.
-    std::optional<Entry> understood;
-    bool is_understood = false;  ///< `understood` is from `document`.
+    /// The latest document of this entry that this version could parse. If a
+    /// newer version introduces a kind or field value that this one cannot
+    /// parse, the previous document stays in force: dropping the entry would
+    /// reject its callers for the whole duration of an upgrade.
+    std::optional<Entry> last_parsed;
+    bool is_parsed = false;  ///< `last_parsed` was parsed from `document`.
   };
 
   ApplyResult Apply(const Change& change);
 
-  /// @brief Takes over a snapshot; anything but a newer one changes nothing.
+  /// @brief Replaces the state with a snapshot; a snapshot that is not newer
+  /// has no effect.
   ApplyResult Replace(const Delta& snapshot);
 
   [[nodiscard]] std::uint64_t Revision() const { return revision_; }
@@ -47,11 +49,11 @@
 
   [[nodiscard]] SharedCatalogueView MakeView() const;
 
-  /// @return the state as a delta from nothing.
+  /// @return the state as a delta from revision 0.
   [[nodiscard]] Delta MakeSnapshot() const;
 
-  /// @return entries whose newest document this version can't read.
-  [[nodiscard]] std::vector<EntryName> NotUnderstood() const;
+  /// @return the entries whose latest document this version cannot parse.
+  [[nodiscard]] std::vector<EntryName> UnparsedEntries() const;
 
  private:
   std::uint64_t revision_ = 0;
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_store.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_store.h
@@ -21,34 +21,37 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief An entry as the platform holds it now.
-struct EntryReading {
-  std::uint64_t version = 0;  ///< 0: there is no such entry.
+/// @brief An entry as currently stored on the platform.
+struct EntryReadResult {
+  std::uint64_t version = 0;  ///< 0: the entry does not exist.
   std::string document;
 };
 
-/// @brief Accepts changes of the catalogue by one transaction each, and reads
-/// entries and their history. Calls block on the platform; they may come from
-/// any thread.
+/// @brief Accepts catalogue changes, each in one transaction, and reads entries
+/// and their history. Calls block on the platform and may come from any thread.
 ///
-/// A transaction requires the entry's row, the head row and the change-id row
-/// to be as they were read, so of two operators who race exactly one wins, and
-/// validation has seen the very revision that the change follows. When the
-/// answer to a commit is lost, the change-id row tells what became of it. A
-/// retry under the same conditions is safe meanwhile: either the first attempt
-/// lands and the retry's condition on the change-id row fails, or the retry
-/// lands and the first one's conditions fail.
+/// A transaction requires that the entry row, the head row and the change-id
+/// row are unchanged since they were read. So exactly one of two concurrent
+/// changes of an entry wins, and a change is validated against the very
+/// revision that it follows. If the response to a commit is lost, the change-id
+/// row shows whether the change was made. Retrying with the same conditions is
+/// safe meanwhile: if the first attempt takes effect, the retry fails on the
+/// change-id row, and if the retry takes effect, the first attempt fails on its
+/// conditions.
 class CatalogueStore {
  public:
   struct Options {
-    /// Attempts at one change. 730 changes a day meet a rival for the head row
-    /// very rarely; eight outlast a burst of a few scripts at once.
+    /// Maximum number of attempts for one change. At 730 changes a day,
+    /// conflicts on the head row are rare; eight attempts are enough for a
+    /// burst of several concurrent scripts.
     int max_attempts = 8;
     Duration first_backoff = std::chrono::milliseconds(20);
     Duration max_backoff = std::chrono::seconds(1);
-    /// No attempt starts later than this; an operator waits for the answer.
+    /// No attempt starts after this time, because an operator waits for the
+    /// response.
     Duration time_limit = std::chrono::seconds(10);
-    /// A cold start reads one snapshot and at most so many changes: one page.
+    /// Revisions between snapshots. A cold start reads one snapshot and at most
+    /// this many changes, which fit one page.
     std::uint64_t snapshot_interval = 64;
     std::size_t kept_snapshots = 3;
   };
@@ -57,7 +60,7 @@
     ports::TableStore& table;
     ports::ObjectStore& objects;
     const ports::Clock& clock;
-    ports::RandomSource& random;  ///< Used under the store's lock only.
+    ports::RandomSource& random;  ///< Used only while holding the store's lock.
     std::function<void(Duration duration)> sleep;
   };
 
@@ -65,18 +68,18 @@
 
   [[nodiscard]] ChangeResult Accept(const ChangeRequest& request);
 
-  [[nodiscard]] Result<EntryReading, CatalogueReadFailure> Read(
+  [[nodiscard]] Result<EntryReadResult, CatalogueReadFailure> Read(
       const EntryName& entry);
 
-  /// @return the newest changes of `entry`, newest first.
+  /// @return the most recent changes of `entry`, newest first.
   [[nodiscard]] Result<std::vector<HistoryItem>, CatalogueReadFailure> History(
       const EntryName& entry,
       std::size_t limit);
 
-  /// @brief Writes a snapshot when the newest is `snapshot_interval` revisions
-  /// behind. `Accept` does so by itself after a change; its failure is no
-  /// failure of the change, and the next change tries again.
-  /// @return whether one was written.
+  /// @brief Writes a snapshot if the latest one is at least `snapshot_interval`
+  /// revisions old. `Accept` calls this after each change; a failure does not
+  /// fail the change, and the next change tries again.
+  /// @return whether a snapshot was written.
   bool WriteSnapshotIfDue();
 
  private:
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_view.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_view.h
@@ -10,7 +10,7 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief The catalogue at one revision; immutable once shared, so readers need
+/// @brief The catalogue at one revision. Immutable once shared, so readers need
 /// no lock.
 class CatalogueView {
  public:
@@ -22,7 +22,7 @@
     return entries_;
   }
 
-  /// @return the entry of that name, or nullptr.
+  /// @return the entry with that name, or nullptr.
   [[nodiscard]] const Entry* Find(const EntryName& name) const;
   /// @return the service's body, or nullptr.
   [[nodiscard]] const ServiceEntry* FindService(
@@ -30,11 +30,11 @@
   /// @return the failure domain's body, or nullptr.
   [[nodiscard]] const FailureDomainEntry* FindFailureDomain(
       const FailureDomainName& name) const;
-  /// @return the link of that direction, or nullptr: nothing may be shifted
-  /// without one.
+  /// @return the link in that direction, or nullptr. Without a link, no load
+  /// may be shifted.
   [[nodiscard]] const LinkEntry* FindLink(const FailureDomainName& from,
                                           const FailureDomainName& to) const;
-  /// @return whether an operator drains that subject.
+  /// @return whether a drain entry exists for that subject.
   [[nodiscard]] bool IsDrained(DrainSubject subject,
                                const std::string& name) const;
 
@@ -45,7 +45,8 @@
  private:
   std::uint64_t revision_ = 0;
   std::map<EntryName, Entry> entries_;
-  // Point into `entries_`; std::map nodes stay put when the map is moved.
+  // Point into `entries_`; moving a std::map does not invalidate pointers to
+  // its elements.
   std::map<ServiceName, const ServiceEntry*> services_;
   std::map<FailureDomainName, const FailureDomainEntry*> failure_domains_;
   std::map<std::pair<FailureDomainName, FailureDomainName>, const LinkEntry*>
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/change_request.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/change_request.h
@@ -13,63 +13,66 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief A change that an operator asks for.
+/// @brief A change requested by an operator.
 struct ChangeRequest {
-  /// Chosen by the operator; asking again with the same id never makes a second
-  /// change. A name by `IsEntryName`.
+  /// Chosen by the operator. Repeating a request with the same id never makes a
+  /// second change. Must satisfy `IsEntryName`.
   std::string change_id;
-  OwnerName owner;  ///< Who asks, as authenticated by the caller.
+  OwnerName owner;  ///< The requester, as authenticated by the caller.
   EntryName entry;
   std::optional<EntryBody> body;  ///< nullopt: delete the entry.
-  /// The version that the operator has seen; 0: there is no such entry.
+  /// The version last seen by the operator; 0: the entry does not exist.
   std::uint64_t expected_version = 0;
-  /// The revision that the accepting host holds. Every host ignores a change
-  /// below what it holds, so one that the platform would number lower must not
-  /// be accepted: it would never be in force.
+  /// The revision held by the accepting host. Hosts ignore changes with a
+  /// revision not above the one they hold, so a change that the platform would
+  /// give a lower revision must be rejected: it would never come into force.
   std::uint64_t held_revision = 0;
 };
 
-/// @brief The change is committed and will be in force everywhere.
+/// @brief The change is committed and will come into force on all hosts.
 struct AcceptedResult {
   std::uint64_t revision = 0;
   std::uint64_t version = 0;
-  /// An earlier attempt with this id had been accepted already.
+  /// An earlier attempt with this change id had already been accepted.
   bool was_already_accepted = false;
 };
 
-/// @brief Another operator was first. The change was not made.
+/// @brief Another operator changed the entry first. The change was not made.
 struct VersionConflict {
-  std::uint64_t current_version = 0;  ///< 0: there is no such entry.
-  std::string current_document;       ///< Empty when there is none.
+  std::uint64_t current_version = 0;  ///< 0: the entry does not exist.
+  std::string current_document;       ///< Empty if the entry does not exist.
 };
 
-/// @brief The change does not fit. It was not made.
+/// @brief The change failed validation. It was not made.
 struct InvalidChange {
   FieldFaults faults;
 };
 
-/// @brief The id belongs to an earlier, different change. This one was not
-/// made.
+/// @brief The change id was already used for a different change. This change
+/// was not made.
 struct ChangeIdReused {
   std::uint64_t revision = 0;
 };
 
-/// @brief The platform could not be asked. It is proved that the change was not
-/// made and won't be.
+/// @brief The platform is unavailable. It is certain that the change was not
+/// made and will not be made.
 struct StoreUnavailable {};
 
-/// @brief The platform's newest revision is below what hosts hold, as after a
-/// restored backup. The change was not made; people have to act.
+/// @brief The latest revision on the platform is lower than the one held by
+/// hosts, for example after a backup was restored. The change was not made; an
+/// operator must intervene.
 struct PlatformBehind {
   std::uint64_t platform_revision = 0;
   std::uint64_t held_revision = 0;
 };
 
-/// @brief Too many other changes went first. The change was not made.
-struct TooContended {};
+/// @brief Too many concurrent changes were committed first. The change was not
+/// made.
+struct TooMuchContention {};
 
-/// @brief The change may have been made, or may still be: the platform's answer
-/// was lost and it can't be asked. Asking again with the same id settles it.
+/// @brief The change may have been made or may still take effect: the
+/// platform's response was lost and the platform cannot be read. Repeating the
+/// request with the same change id determines the outcome.
 struct ChangeOutcomeUnknown {
   std::string change_id;
 };
@@ -79,7 +82,7 @@
                                    ChangeIdReused,
                                    StoreUnavailable,
                                    PlatformBehind,
-                                   TooContended,
+                                   TooMuchContention,
                                    ChangeOutcomeUnknown>;
 
 using ChangeResult = Result<AcceptedResult, ChangeFailure>;
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/delta.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/delta.h
@@ -9,23 +9,24 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief One accepted change, as it is stored and passed between hosts. The
-/// document stays the text that was accepted, so that a host of an older
-/// version passes on fields that it does not know.
+/// @brief An accepted change as it is stored and exchanged between hosts. The
+/// document is kept as the accepted text, so that a host running an older
+/// version forwards fields it does not know.
 struct Change {
-  std::uint64_t revision = 0;  ///< Each revision is exactly one change.
+  std::uint64_t revision =
+      0;  ///< Each revision consists of exactly one change.
   EntryName entry;
-  std::string document;   ///< Empty: the entry was deleted.
+  std::string document;   ///< Empty if the entry was deleted.
   std::string change_id;  ///< Chosen by the operator.
 
   friend bool operator==(const Change&, const Change&) = default;
 };
 
-/// @brief What leads from one revision to a later one.
+/// @brief The changes between two revisions.
 struct Delta {
   std::uint64_t from_revision = 0;
   std::uint64_t to_revision = 0;
-  /// `changes` are then all entries as they stand at `to_revision`.
+  /// If true, `changes` contains all entries as of `to_revision`.
   bool is_snapshot = false;
   std::vector<Change> changes;
 };
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/entry_rules.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/entry_rules.h
@@ -7,15 +7,18 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief Checks `changed` against the other entries: references resolve, names
-/// that others look up by are unique, and no owner changes. A drain of an
-/// unknown target or failure domain is a fault, because a misspelt drain would
-/// silently drain nothing; hosts are not in the catalogue and can't be checked.
-/// @return all faults; none when the change may be accepted at `view`.
+/// @brief Validates `changed` against the other entries: its references
+/// resolve, names used for lookup are unique, and the owner does not change. A
+/// drain of an unknown target or failure domain is a fault, because a drain
+/// with a misspelt name would have no effect and report no error. Host names
+/// cannot be checked because hosts are not in the catalogue.
+/// @return all faults; empty if the change may be accepted at `view`.
 [[nodiscard]] FieldFaults CheckChange(const CatalogueView& view,
                                       const Entry& changed);
 
-/// @brief Checks that nothing refers to the entry that `owner` deletes.
+/// @brief Checks that `owner` owns the entry `name` and that no other entry
+/// refers to it, so that it can be deleted.
+/// @return all faults; empty if the entry may be deleted.
 [[nodiscard]] FieldFaults CheckDeletion(const CatalogueView& view,
                                         const EntryName& name,
                                         const OwnerName& owner);
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/field_fault.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/field_fault.h
@@ -7,7 +7,7 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief What is wrong with one field.
+/// @brief Kind of a validation fault.
 enum class FaultCode {
   kNotJson,
   kTooLarge,
@@ -18,21 +18,22 @@
   kBadFormat,
   kDuplicate,
   kUnknownChoice,
-  kUnknownReference,  ///< Names something that the catalogue does not hold.
-  kStillReferenced,   ///< A deletion would leave a reference without its end.
+  kUnknownReference,  ///< Refers to something not in the catalogue.
+  kStillReferenced,   ///< A deletion would leave a dangling reference.
   kOwnerChange,
   kNameMismatch,
 };
 
-/// @return the code as written in answers to operators, for example
+/// @return the code as written in responses to operators, for example
 /// "out-of-range".
 [[nodiscard]] std::string_view NameOf(FaultCode code);
 
-/// @brief One fault of an entry; a check reports all of them at once.
+/// @brief A validation fault of an entry; validation reports all faults at
+/// once.
 struct FieldFault {
-  std::string path;  ///< For example "targets[3].slots"; empty: the whole.
+  std::string path;  ///< For example "targets[3].slots"; empty: the document.
   FaultCode code = FaultCode::kNotJson;
-  std::string allowed;  ///< What would be accepted, for people.
+  std::string allowed;  ///< Human-readable description of valid values.
 
   friend bool operator==(const FieldFault&, const FieldFault&) = default;
 };
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/json_schema.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/json_schema.h
@@ -17,20 +17,21 @@
 #include "medlarcroft/core/time.h"
 
 /// @file
-/// @brief Field descriptors: a struct's JSON form is a tuple of them, and the
-/// same tuple reads, checks and writes it, so that the three can't disagree.
+/// @brief Field descriptors for the JSON form of structs. The schema of a
+/// struct is a tuple of descriptors that is used to read, validate and write
+/// it, which keeps the three consistent.
 
 namespace medlarcroft::catalogue {
 
 using Json = nlohmann::ordered_json;
 
-/// @brief What becomes of fields that this version does not know.
+/// @brief How fields that this version does not know are handled.
 enum class UnknownFields {
-  kRefuse,  ///< Operator input: a misspelt limit must not pass unnoticed.
-  kIgnore,  ///< Stored data: a newer version may have written it.
+  kRefuse,  ///< For operator input: a misspelt limit must be reported.
+  kIgnore,  ///< For stored data: a newer version may have written the field.
 };
 
-/// @brief Collects faults while a document is read.
+/// @brief Collects the faults found while a document is read.
 class FaultSink {
  public:
   explicit FaultSink(UnknownFields policy) : policy_(policy) {}
@@ -45,23 +46,25 @@
   FieldFaults faults_;
 };
 
-/// @brief Which texts a field accepts.
+/// @brief Validation rule of a text field, with a description of what it
+/// allows.
 struct TextRule {
   bool (*accepts)(std::string_view text);
   std::string_view allowed;
 };
 
-/// @return `path` extended by a member of an object.
+/// @return `path` with the object member `key` appended.
 [[nodiscard]] std::string JoinPath(const std::string& path,
                                    std::string_view key);
 
-/// @return the text at `value`, or nullptr after reporting why not.
+/// @return the text in `value`, or nullptr after reporting a fault.
 const std::string* ReadText(const Json& value,
                             const std::string& path,
                             const TextRule& rule,
                             FaultSink& sink);
 
-/// @brief Reads an integer within bounds; reports and returns false otherwise.
+/// @brief Reads an integer within bounds.
+/// @return false after reporting a fault.
 bool ReadInteger(const Json& value,
                  const std::string& path,
                  std::int64_t minimum,
@@ -77,13 +80,15 @@
               FaultSink& sink,
               double& out);
 
-/// @brief Reads true or false.
+/// @brief Reads a boolean.
+/// @return false after reporting a fault.
 bool ReadFlag(const Json& value,
               const std::string& path,
               FaultSink& sink,
               bool& out);
 
-/// @brief Reads one of `names`; on success `index` says which.
+/// @brief Reads one of `names` and sets `index` to its position.
+/// @return false after reporting a fault.
 bool ReadChoice(const Json& value,
                 const std::string& path,
                 std::span<const std::string_view> names,
@@ -99,7 +104,7 @@
   return identifier.Value();
 }
 
-/// @brief A string or an identifier.
+/// @brief Field for a string or an identifier.
 template <typename Struct, typename Value>
 struct TextField {
   std::string_view key;
@@ -120,7 +125,7 @@
   }
 };
 
-/// @brief A duration, written as a whole number of `unit`.
+/// @brief Field for a duration, written as an integral number of `unit`.
 template <typename Struct>
 struct DurationField {
   std::string_view key;
@@ -144,7 +149,7 @@
   }
 };
 
-/// @brief A whole number.
+/// @brief Field for an integer.
 template <typename Struct, typename Integer>
 struct CountField {
   std::string_view key;
@@ -165,7 +170,7 @@
   [[nodiscard]] Json Write(const Struct& in) const { return in.*member; }
 };
 
-/// @brief A real number.
+/// @brief Field for a floating-point number.
 template <typename Struct>
 struct RealField {
   std::string_view key;
@@ -186,7 +191,7 @@
   [[nodiscard]] Json Write(const Struct& in) const { return in.*member; }
 };
 
-/// @brief True or false.
+/// @brief Field for a boolean.
 template <typename Struct>
 struct FlagField {
   std::string_view key;
@@ -202,7 +207,8 @@
   [[nodiscard]] Json Write(const Struct& in) const { return in.*member; }
 };
 
-/// @brief An enumerator; `names` are in the order of its values from 0.
+/// @brief Field for an enumerator; `names` are in the order of its values,
+/// which start at 0.
 template <typename Struct, typename Enum>
 struct ChoiceField {
   std::string_view key;
@@ -236,7 +242,7 @@
                  const std::tuple<Fields...>& schema,
                  Json& out);
 
-/// @brief An object inside the object.
+/// @brief Field for a nested object.
 template <typename Struct, typename Inner, typename Schema>
 struct ObjectField {
   std::string_view key;
@@ -257,7 +263,7 @@
   }
 };
 
-/// @brief A list of objects.
+/// @brief Field for a list of objects.
 template <typename Struct, typename Inner, typename Schema>
 struct ListField {
   std::string_view key;
@@ -298,7 +304,8 @@
   }
 };
 
-// Deduction guides: Clang before 17 deduces none for aggregates by itself.
+// Explicit deduction guides: Clang before version 17 does not deduce template
+// arguments of aggregates.
 template <typename Struct, typename Value, typename... Rest>
 TextField(std::string_view, Value Struct::*, Rest...)
     -> TextField<Struct, Value>;
@@ -319,8 +326,9 @@
 ListField(std::string_view, std::vector<Inner> Struct::*, Schema, Rest...)
     -> ListField<Struct, Inner, Schema>;
 
-/// @brief Reports every member of `value` that is not in `known`.
-void RefuseUnknownFields(const Json& value,
+/// @brief Reports every member of `value` that is not in `known`, unless the
+/// sink ignores unknown fields.
+void ReportUnknownFields(const Json& value,
                          const std::string& path,
                          std::span<const std::string_view> known,
                          FaultSink& sink);
@@ -357,7 +365,7 @@
         (ReadField(value, path, fields, out, sink), ...);
         const std::array<std::string_view, sizeof...(Fields)> known{
             fields.key...};
-        RefuseUnknownFields(value, path, known, sink);
+        ReportUnknownFields(value, path, known, sink);
       },
       schema);
 }
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/operator_api.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/operator_api.h
@@ -17,27 +17,27 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief What an operator requires of the entry before a change.
+/// @brief Required state of the entry before a change.
 struct Precondition {
   enum class Kind {
-    kNone,          ///< Said nothing: only good for an entry that isn't there.
-    kMustNotExist,  ///< Create.
-    kVersion,       ///< Exactly `version`.
+    kNone,          ///< Not specified: succeeds only if there is no such entry.
+    kMustNotExist,  ///< The entry is created.
+    kVersion,       ///< The entry has exactly `version`.
   };
   Kind kind = Kind::kNone;
   std::uint64_t version = 0;
 };
 
-/// @brief A change as asked for over the operators' interface.
+/// @brief A change requested through the operator interface.
 struct OperatorChange {
   OwnerName owner;  ///< As authenticated.
   EntryName entry;
   std::string document;  ///< Unused for a deletion.
   Precondition precondition;
-  std::string change_id;  ///< Empty: one is made up and returned.
+  std::string change_id;  ///< Empty: generated and returned.
 };
 
-/// @brief Why an operator's request came to nothing.
+/// @brief Why an operator's request failed.
 enum class OperatorFailureCode {
   kBadEntryName,
   kBadChangeId,
@@ -53,16 +53,17 @@
   kOutcomeUnknown,
 };
 
-/// @brief A failure with what helps to go on.
+/// @brief A failure with the details needed to correct the request.
 struct OperatorFailure {
   OperatorFailureCode code = OperatorFailureCode::kNotFound;
-  std::string change_id;              ///< Set for changes.
-  FieldFaults faults;                 ///< kInvalidEntry, kNotOwner.
-  std::uint64_t current_version = 0;  ///< kVersionConflict, kPrecondition….
+  std::string change_id;  ///< Set for changes.
+  FieldFaults faults;     ///< kInvalidEntry, kNotOwner.
+  std::uint64_t current_version =
+      0;  ///< kVersionConflict, kPreconditionRequired.
   std::string current_document;
 };
 
-/// @brief A change that was accepted.
+/// @brief Result of an accepted change.
 struct ChangeAnswer {
   std::string change_id;
   std::uint64_t revision = 0;
@@ -71,15 +72,15 @@
   bool was_already_accepted = false;
 };
 
-/// @brief An entry as read.
+/// @brief Result of reading an entry.
 struct EntryAnswer {
   std::string document;
   std::uint64_t version = 0;
-  /// The platform could not be asked; this is what is in force on this host.
+  /// The platform could not be read; this is the entry in force on this host.
   bool is_from_replica = false;
 };
 
-/// @brief One line of a listing.
+/// @brief An entry in a listing.
 struct ListedEntry {
   EntryName name;
   std::string kind;
@@ -88,14 +89,15 @@
   std::uint64_t revision = 0;
 };
 
-/// @brief What is in force on this host.
+/// @brief The entries in force on this host.
 struct ListAnswer {
   std::uint64_t revision = 0;
   std::vector<ListedEntry> entries;
 };
 
-/// @brief What operators can do with the catalogue, without a transport. Calls
-/// but `List` block on the platform and belong on a worker thread.
+/// @brief Operator interface of the catalogue, independent of the transport.
+/// All calls except `List` block on the platform and must run on a worker
+/// thread.
 class OperatorApi {
  public:
   struct Ports {
@@ -115,7 +117,7 @@
   [[nodiscard]] Result<std::vector<HistoryItem>, OperatorFailure> History(
       const EntryName& entry,
       std::size_t limit);
-  /// @param kind only entries of that kind; empty: all.
+  /// @param kind limits the list to entries of this kind; empty: all entries.
   [[nodiscard]] ListAnswer List(std::string_view kind) const;
 
  private:
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/platform_poll_schedule.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/platform_poll_schedule.h
@@ -9,54 +9,53 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief What a host reads from the platform by itself.
+/// @brief Data that a host polls from the platform independently of its peers.
 enum class PlatformPoll { kCatalogueHead, kHostList, kBlockMap };
 
-/// @brief When each reading is due. Each has a time of its own.
+/// @brief Keeps a separate due time for each poll of the platform.
 ///
-/// Failure: one reading waits for the steps of another. Symptom: the host list
-/// is read when the head's next step happens to come, up to a step and a
-/// quarter late and much later while the head's calls back off, and a leaving
-/// target gets new work past its promise. So the pause ends at whichever is due
-/// first.
+/// Prevents one poll from waiting for another. If the host list were read only
+/// together with the catalogue head, it would be read up to one and a quarter
+/// head poll periods late, and much later while the head polls back off, so a
+/// leaving target would get new requests for longer than allowed. Waiting until
+/// the earliest due time of all polls is therefore sufficient.
 class PlatformPollSchedule {
  public:
-  static constexpr std::size_t kReadings = 3;
+  static constexpr std::size_t kPollCount = 3;
 
-  [[nodiscard]] bool IsDue(PlatformPoll reading, MonotonicTime now) const {
-    return now >= due_[Index(reading)];
+  [[nodiscard]] bool IsDue(PlatformPoll poll, MonotonicTime now) const {
+    return now >= due_[Index(poll)];
   }
-  void SetDue(PlatformPoll reading, MonotonicTime at) {
-    due_[Index(reading)] = at;
-  }
-  /// @return how long until the first reading is due; zero when one is.
+  void SetDue(PlatformPoll poll, MonotonicTime at) { due_[Index(poll)] = at; }
+  /// @return the time until the first poll is due; zero if one is due now.
   [[nodiscard]] Duration TimeUntilNextDue(MonotonicTime now) const;
 
  private:
-  static std::size_t Index(PlatformPoll reading) {
-    return static_cast<std::size_t>(reading);
+  static std::size_t Index(PlatformPoll poll) {
+    return static_cast<std::size_t>(poll);
   }
 
-  std::array<MonotonicTime, kReadings> due_{};
+  std::array<MonotonicTime, kPollCount> due_{};
 };
 
-/// @brief How long after one read of the host list the next one begins.
+/// @brief Computes the interval from one read of the host list to the next.
 ///
-/// Load: 880 hosts that all read it. Harm prevented: their reads crowd out the
-/// catalogue's, and a read that failed once costs a leaving target's promise.
+/// Up to 880 hosts read the list. The interval keeps their reads from crowding
+/// out reads of the catalogue, and keeps a single failed read from delaying the
+/// removal of a leaving target beyond its limit.
 class HostListPollTiming {
  public:
-  /// @param entry_hosts in the list that was read.
+  /// @param entry_hosts number of entry hosts in the list that was read.
   [[nodiscard]] Duration AfterRead(std::size_t entry_hosts);
-  /// @brief The list could not be had: asked for again sooner at first, then
-  /// as rarely as when it can.
+  /// @brief Returns the retry interval after a failed read: short at first,
+  /// then growing to the regular interval.
   [[nodiscard]] Duration AfterFailure();
 
  private:
   [[nodiscard]] Duration Period() const;
 
   std::size_t entry_hosts_ = 0;
-  std::uint32_t failures_in_row_ = 0;
+  std::uint32_t consecutive_failures_ = 0;
 };
 
 }  // namespace medlarcroft::catalogue
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/platform_rate_limiter.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/platform_rate_limiter.h
@@ -12,29 +12,30 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief How many calls a host made to the platform, and how they ended.
+/// @brief Number of calls that a host made to the platform, by outcome.
 struct PlatformCallCounts {
   std::uint64_t reads = 0;
   std::uint64_t writes = 0;
-  std::uint64_t refused_reads = 0;  ///< Over the budget, never sent.
+  std::uint64_t refused_reads = 0;  ///< Above the rate limit; never sent.
   std::uint64_t refused_writes = 0;
-  std::uint64_t failures = 0;  ///< Sent, but without a usable answer.
+  std::uint64_t failures = 0;  ///< Sent, but without a usable response.
 };
 
-/// @brief Whether the platform answered this host's last call.
+/// @brief Whether the platform answered the last call of this host.
 struct PlatformReachability {
   bool is_reachable = false;
-  Duration since{};  ///< Since when it has been so.
+  Duration since{};  ///< How long this state has lasted.
 };
 
-/// @brief A token bucket each for reads and writes of one host.
+/// @brief Limits the reads and writes of one host with a token bucket for each.
 ///
-/// Load: all hosts at once after a region or the platform comes back. Harm
-/// prevented: 880 hosts that poll and retry together would keep the table
-/// service (about 2,000 reads and several hundred writes a second for all) from
-/// recovering. Limits: 880 hosts at 2 reads and 0.25 writes a second are 1,760
-/// and 220 a second even when every host uses up its budget; the burst lets a
-/// cold start or one operator's script through.
+/// Protects the platform when a region or the platform itself recovers and all
+/// hosts poll and retry at once. Without the limit, 880 hosts would keep the
+/// table service, which handles about 2,000 reads and several hundred writes
+/// per second in total, from recovering. With 2 reads and 0.25 writes per
+/// second, 880 hosts make at most 1,760 reads and 220 writes per second even if
+/// each uses its full rate. The burst is sufficient for a cold start or for a
+/// script of one operator.
 class PlatformRateLimiter {
  public:
   struct Options {
@@ -60,23 +61,24 @@
     double tokens;
   };
 
-  [[nodiscard]] bool TakeLocked(Bucket& bucket);
+  [[nodiscard]] bool TryAcquireLocked(Bucket& bucket);
 
   const ports::Clock& clock_;
   mutable std::mutex mutex_;
   Bucket reads_;
   Bucket writes_;
-  MonotonicTime filled_at_;
+  MonotonicTime refilled_at_;
   PlatformCallCounts counts_;
   bool is_reachable_ = false;
   MonotonicTime reachability_since_;
 };
 
-/// @brief A table service that spends a budget; a call beyond it is refused as
-/// unavailable, which is true: it had no effect.
+/// @brief Table store decorator that applies the rate limit. A call above the
+/// limit fails as unavailable, which is accurate because it had no effect.
 class RateLimitedTableStore final : public ports::TableStore {
  public:
-  RateLimitedTableStore(ports::TableStore& table, PlatformRateLimiter& budget);
+  RateLimitedTableStore(ports::TableStore& table,
+                        PlatformRateLimiter& rate_limiter);
 
   [[nodiscard]] Result<ports::Row, ports::StoreFailure> Read(
       std::string_view key) override;
@@ -89,14 +91,14 @@
 
  private:
   ports::TableStore& table_;
-  PlatformRateLimiter& budget_;
+  PlatformRateLimiter& rate_limiter_;
 };
 
-/// @brief An object store that spends the same budget.
+/// @brief Object store decorator that applies the same rate limit.
 class RateLimitedObjectStore final : public ports::ObjectStore {
  public:
   RateLimitedObjectStore(ports::ObjectStore& objects,
-                         PlatformRateLimiter& budget);
+                         PlatformRateLimiter& rate_limiter);
 
   [[nodiscard]] Result<std::optional<std::string>, ports::StoreFailure> Get(
       std::string_view name) override;
@@ -106,7 +108,7 @@
 
  private:
   ports::ObjectStore& objects_;
-  PlatformRateLimiter& budget_;
+  PlatformRateLimiter& rate_limiter_;
 };
 
 }  // namespace medlarcroft::catalogue
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/snapshot_codec.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/snapshot_codec.h
@@ -9,16 +9,17 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief Why a snapshot can't be used.
+/// @brief Reasons why a snapshot cannot be decoded.
 enum class SnapshotFault {
   kUnknownFormat,
-  kBadChecksum,  ///< Cut short or altered.
+  kBadChecksum,  ///< Truncated or modified.
   kBadContent,
 };
 
-/// @brief A snapshot's bytes: one line with format and checksum, then JSON.
-/// The checksum (XXH3, 64 bits) finds damage, not malice: the object store is
-/// trusted with the catalogue anyway.
+/// @brief Serializes a snapshot: one header line with format and checksum,
+/// followed by JSON. The checksum (64-bit XXH3) detects corruption but is no
+/// protection against tampering; the object store is trusted with the catalogue
+/// anyway.
 [[nodiscard]] std::string EncodeSnapshot(const Delta& snapshot);
 
 [[nodiscard]] Result<Delta, SnapshotFault> DecodeSnapshot(
--- a/lib/libmedlarcroft/source/catalogue/catalogue_poller.cc
+++ b/lib/libmedlarcroft/source/catalogue/catalogue_poller.cc
@@ -6,12 +6,13 @@
 
 namespace {
 
-constexpr double kLeastJitter = 0.75;
-constexpr double kJitterSpread = 0.5;
-/// 2^16 times the first back-off is beyond any maximum.
-constexpr std::uint64_t kMostDoublings = 16;
-/// Below it the changes themselves are one page, as cheap as a snapshot.
-constexpr std::uint64_t kSnapshotWorthwhile = 64;
+constexpr double kMinJitterFactor = 0.75;
+constexpr double kJitterRange = 0.5;
+/// Prevents overflow: 2^16 times the first backoff exceeds any maximum.
+constexpr std::uint64_t kMaxDoublings = 16;
+/// Up to this revision, the changes fit one page and cost no more to read than
+/// a snapshot.
+constexpr std::uint64_t kMinSnapshotRevision = 64;
 
 Duration ScaleBy(Duration duration, double factor) {
   return FromSeconds(ToSeconds(duration) * factor);
@@ -23,41 +24,42 @@
     : options_(options),
       ports_(ports),
       started_at_(ports.clock.Now()),
-      patience_(ScaleBy(options.peer_patience, 1.0 + ports.random.NextUnit())) {
-}
+      peer_timeout_(
+          ScaleBy(options.peer_timeout, 1.0 + ports.random.NextUnit())) {}
 
-Duration CataloguePoller::Step(bool is_relay) {
-  reason_ = FindReason(is_relay);
-  if (reason_ == WatchReason::kNone) {
-    failures_in_row_ = 0;
-    return Jittered(options_.idle_period);
+Duration CataloguePoller::Step(bool is_duty_host) {
+  reason_ = FindPollReason(is_duty_host);
+  if (reason_ == PollReason::kNone) {
+    consecutive_failures_ = 0;
+    return AddJitter(options_.idle_period);
   }
 
   if (ReadPlatform()) {
-    failures_in_row_ = 0;
-    return Jittered(options_.poll_period);
+    consecutive_failures_ = 0;
+    return AddJitter(options_.poll_period);
   }
   ++failed_steps_;
-  const std::uint64_t doublings = std::min(failures_in_row_++, kMostDoublings);
-  return Jittered(std::min(options_.max_backoff,
-                           options_.first_backoff * (1 << doublings)));
+  const std::uint64_t doublings =
+      std::min(consecutive_failures_++, kMaxDoublings);
+  return AddJitter(std::min(options_.max_backoff,
+                            options_.first_backoff * (1 << doublings)));
 }
 
-WatchReason CataloguePoller::FindReason(bool is_relay) const {
-  if (is_relay) {
-    return WatchReason::kRelay;
+PollReason CataloguePoller::FindPollReason(bool is_duty_host) const {
+  if (is_duty_host) {
+    return PollReason::kDutyHost;
   }
   const MonotonicTime now = ports_.clock.Now();
-  const MonotonicTime heard =
-      ports_.replica.LastHeard(RevisionSource::kPeer).value_or(started_at_);
-  if (now - heard >= patience_) {
-    return WatchReason::kPeersSilent;
+  const MonotonicTime last_contact =
+      ports_.replica.LastContact(RevisionSource::kPeer).value_or(started_at_);
+  if (now - last_contact >= peer_timeout_) {
+    return PollReason::kPeersSilent;
   }
   const auto behind_since = ports_.replica.BehindSince();
-  if (behind_since && now - *behind_since >= patience_) {
-    return WatchReason::kBehind;
+  if (behind_since && now - *behind_since >= peer_timeout_) {
+    return PollReason::kBehind;
   }
-  return WatchReason::kNone;
+  return PollReason::kNone;
 }
 
 bool CataloguePoller::ReadPlatform() {
@@ -65,15 +67,15 @@
   if (!IsOk(head)) {
     return false;
   }
-  // A head older than what is held is a stale read, and changes nothing.
+  // A head older than the held revision is a stale read and has no effect.
   ports_.replica.NoteRevision(ValueOf(head).revision,
                               RevisionSource::kPlatform);
-  return ReadMissing(ValueOf(head).revision);
+  return ReadMissingRevisions(ValueOf(head).revision);
 }
 
-bool CataloguePoller::ReadMissing(std::uint64_t head) {
+bool CataloguePoller::ReadMissingRevisions(std::uint64_t head) {
   CatalogueReplica& replica = ports_.replica;
-  if (replica.Revision() == 0 && head > kSnapshotWorthwhile) {
+  if (replica.Revision() == 0 && head > kMinSnapshotRevision) {
     const auto snapshot = ports_.reader.ReadSnapshot();
     if (!IsOk(snapshot)) {
       return false;
@@ -97,9 +99,9 @@
   return true;
 }
 
-Duration CataloguePoller::Jittered(Duration duration) {
+Duration CataloguePoller::AddJitter(Duration duration) {
   return ScaleBy(duration,
-                 kLeastJitter + kJitterSpread * ports_.random.NextUnit());
+                 kMinJitterFactor + kJitterRange * ports_.random.NextUnit());
 }
 
 }  // namespace medlarcroft::catalogue
--- a/lib/libmedlarcroft/source/catalogue/catalogue_reader.cc
+++ b/lib/libmedlarcroft/source/catalogue/catalogue_reader.cc
@@ -11,7 +11,8 @@
 
 using ports::StoreFailure;
 
-/// A page of ordinary documents (some 10 KB each) stays below 1 MB.
+/// Rows per page. A page of typical documents (about 10 KB each) stays below 1
+/// MB.
 constexpr std::size_t kPageRows = 64;
 
 }  // namespace
@@ -63,8 +64,9 @@
   const std::string last = EndOfChangeKeys();
   std::size_t limit = kPageRows;
   auto rows = table_.Scan(first, last, limit);
-  // Documents near the largest size can make a page larger than an answer may
-  // be; without smaller pages a host would be stuck at that revision for good.
+  // Documents close to the maximum size can make a page exceed the maximum
+  // response size; without smaller pages, a host would stay at that revision
+  // forever.
   while (!IsOk(rows) && ErrorOf(rows) == StoreFailure::kBadAnswer &&
          limit > 1) {
     limit /= 4;
@@ -91,7 +93,7 @@
   for (const SnapshotPointer& pointer : *pointers) {
     const auto bytes = objects_.Get(pointer.object);
     if (!IsOk(bytes)) {
-      continue;  // An older snapshot and more changes lead to the same state.
+      continue;  // An older snapshot plus more changes gives the same state.
     }
     auto snapshot = ValueOf(bytes) ? DecodeSnapshot(*ValueOf(bytes))
                                    : SnapshotFault::kBadContent;
@@ -122,7 +124,8 @@
       return ErrorOf(delta);
     }
     if (ValueOf(delta).changes.empty()) {
-      // A lagging copy answered: the head is newer than the rows it shows.
+      // The response came from a lagging replica: the head is newer than the
+      // rows.
       return CatalogueReadFailure::kNoAnswer;
     }
     for (const Change& change : ValueOf(delta).changes) {
--- a/lib/libmedlarcroft/source/catalogue/catalogue_replica.cc
+++ b/lib/libmedlarcroft/source/catalogue/catalogue_replica.cc
@@ -12,8 +12,8 @@
          change.change_id.size();
 }
 
-std::optional<Duration> SinceOf(const std::optional<MonotonicTime>& time,
-                                MonotonicTime now) {
+std::optional<Duration> TimeSince(const std::optional<MonotonicTime>& time,
+                                  MonotonicTime now) {
   return time ? std::optional(now - *time) : std::nullopt;
 }
 
@@ -37,7 +37,8 @@
 void CatalogueReplica::NoteRevisionLocked(std::uint64_t revision,
                                           RevisionSource source) {
   const MonotonicTime now = clock_.Now();
-  (source == RevisionSource::kPeer ? last_peer_ : last_platform_) = now;
+  (source == RevisionSource::kPeer ? last_peer_contact_
+                                   : last_platform_contact_) = now;
   highest_seen_ = std::max(highest_seen_, revision);
   if (highest_seen_ > state_.Revision() && !behind_since_) {
     behind_since_ = now;
@@ -68,7 +69,7 @@
 ApplyResult CatalogueReplica::ApplySnapshotLocked(const Delta& delta) {
   const ApplyResult result = state_.Replace(delta);
   if (result == ApplyResult::kApplied) {
-    kept_.clear();  // They would no longer join on to the revision held.
+    kept_changes_.clear();  // No longer adjacent to the held revision.
     kept_bytes_ = 0;
   }
   return result;
@@ -88,12 +89,13 @@
 }
 
 void CatalogueReplica::KeepChangeLocked(const Change& change) {
-  kept_.push_back(change);
+  kept_changes_.push_back(change);
   kept_bytes_ += SizeOf(change);
-  while (kept_.size() > options_.kept_changes ||
-         (kept_bytes_ > options_.kept_change_bytes && kept_.size() > 1)) {
-    kept_bytes_ -= SizeOf(kept_.front());
-    kept_.pop_front();
+  while (
+      kept_changes_.size() > options_.kept_changes ||
+      (kept_bytes_ > options_.kept_change_bytes && kept_changes_.size() > 1)) {
+    kept_bytes_ -= SizeOf(kept_changes_.front());
+    kept_changes_.pop_front();
   }
 }
 
@@ -102,7 +104,7 @@
   view_.store(state_.MakeView());
   applied_at_ = now;
   timings_.push_back({.revision = state_.Revision(),
-                      .first_shown = behind_since_.value_or(now),
+                      .first_seen = behind_since_.value_or(now),
                       .applied = now});
   if (timings_.size() > options_.kept_timings) {
     timings_.pop_front();
@@ -113,17 +115,17 @@
   UpdateReadinessLocked();
 }
 
-/// Hosts that start together first show each other revision 0. That is no sign
-/// of an empty catalogue, only the platform's word is: counted as one, it would
-/// make them ready, and they would answer from each old revision on their way
-/// to the newest.
-bool CatalogueReplica::KnowsARevisionLocked() const {
-  return highest_seen_ > 0 || last_platform_;
+/// Hosts that start at the same time first report revision 0 to each other.
+/// Only the platform can confirm that the catalogue is empty. If a peer's
+/// revision 0 counted, these hosts would become ready too early and answer from
+/// each old revision while they catch up to the latest.
+bool CatalogueReplica::HasKnownRevisionLocked() const {
+  return highest_seen_ > 0 || last_platform_contact_;
 }
 
 void CatalogueReplica::UpdateReadinessLocked() {
   is_ready_ = is_ready_ ||
-              (KnowsARevisionLocked() && state_.Revision() >= highest_seen_);
+              (HasKnownRevisionLocked() && state_.Revision() >= highest_seen_);
 }
 
 std::uint64_t CatalogueReplica::HighestSeen() const {
@@ -147,30 +149,31 @@
   if (revision >= state_.Revision()) {
     return {.from_revision = revision, .to_revision = revision};
   }
-  if (kept_.empty() || kept_.front().revision > revision + 1) {
+  if (kept_changes_.empty() || kept_changes_.front().revision > revision + 1) {
     return state_.MakeSnapshot();
   }
 
-  const std::size_t most =
+  const std::size_t max_changes =
       std::clamp<std::size_t>(limit, 1, options_.max_delta_changes);
   Delta delta{.from_revision = revision, .to_revision = revision};
   std::size_t bytes = 0;
-  for (std::size_t i = revision + 1 - kept_.front().revision;
-       i < kept_.size() && delta.changes.size() < most; ++i) {
-    bytes += SizeOf(kept_[i]);
+  for (std::size_t i = revision + 1 - kept_changes_.front().revision;
+       i < kept_changes_.size() && delta.changes.size() < max_changes; ++i) {
+    bytes += SizeOf(kept_changes_[i]);
     if (bytes > options_.max_delta_bytes && !delta.changes.empty()) {
       break;
     }
-    delta.changes.push_back(kept_[i]);
-    delta.to_revision = kept_[i].revision;
+    delta.changes.push_back(kept_changes_[i]);
+    delta.to_revision = kept_changes_[i].revision;
   }
   return delta;
 }
 
-std::optional<MonotonicTime> CatalogueReplica::LastHeard(
+std::optional<MonotonicTime> CatalogueReplica::LastContact(
     RevisionSource source) const {
   const std::lock_guard lock(mutex_);
-  return source == RevisionSource::kPeer ? last_peer_ : last_platform_;
+  return source == RevisionSource::kPeer ? last_peer_contact_
+                                         : last_platform_contact_;
 }
 
 std::optional<MonotonicTime> CatalogueReplica::BehindSince() const {
@@ -186,20 +189,21 @@
 ReplicaStatus CatalogueReplica::Status() const {
   const std::lock_guard lock(mutex_);
   const MonotonicTime now = clock_.Now();
-  ReplicaStatus status{.revision = state_.Revision(),
-                       .highest_seen = highest_seen_,
-                       .is_ready = is_ready_,
-                       .not_ready_reasons = {},
-                       .time_in_force = now - applied_at_,
-                       .since_peer = SinceOf(last_peer_, now),
-                       .since_platform = SinceOf(last_platform_, now),
-                       .not_understood = state_.NotUnderstood(),
-                       .refused_deltas = refused_deltas_,
-                       .platform_revision = platform_revision_};
+  ReplicaStatus status{
+      .revision = state_.Revision(),
+      .highest_seen = highest_seen_,
+      .is_ready = is_ready_,
+      .not_ready_reasons = {},
+      .time_in_force = now - applied_at_,
+      .time_since_peer_contact = TimeSince(last_peer_contact_, now),
+      .time_since_platform_contact = TimeSince(last_platform_contact_, now),
+      .unparsed_entries = state_.UnparsedEntries(),
+      .refused_deltas = refused_deltas_,
+      .platform_revision = platform_revision_};
   if (!is_ready_) {
     status.not_ready_reasons.push_back(
-        KnowsARevisionLocked() ? NotReadyReason::kBehindHighestSeen
-                               : NotReadyReason::kNoRevisionReceived);
+        HasKnownRevisionLocked() ? NotReadyReason::kBehindHighestSeen
+                                 : NotReadyReason::kNoRevisionReceived);
   }
   return status;
 }
--- a/lib/libmedlarcroft/source/catalogue/catalogue_rows.cc
+++ b/lib/libmedlarcroft/source/catalogue/catalogue_rows.cc
@@ -11,10 +11,10 @@
 
 using nlohmann::json;
 
-/// Sorts after every character that a key's last part may hold.
-constexpr std::string_view kAfterAll = "~";
+/// Sorts after every character allowed in the last part of a key.
+constexpr std::string_view kKeyRangeEnd = "~";
 
-std::string Padded(std::uint64_t number) {
+std::string ZeroPadded(std::uint64_t number) {
   std::array<char, 21> text{};
   std::snprintf(text.data(), text.size(), "%020llu",
                 static_cast<unsigned long long>(number));
@@ -50,11 +50,11 @@
 }
 
 std::string ChangeKey(std::uint64_t revision) {
-  return "catalogue/change/" + Padded(revision);
+  return "catalogue/change/" + ZeroPadded(revision);
 }
 
 std::string EndOfChangeKeys() {
-  return "catalogue/change/" + std::string(kAfterAll);
+  return "catalogue/change/" + std::string(kKeyRangeEnd);
 }
 
 std::string ChangeIdKey(std::string_view change_id) {
@@ -67,11 +67,11 @@
 
 std::string HistoryKey(const EntryName& entry, std::uint64_t revision) {
   return FirstHistoryKey(entry) +
-         Padded(std::numeric_limits<std::uint64_t>::max() - revision);
+         ZeroPadded(std::numeric_limits<std::uint64_t>::max() - revision);
 }
 
 std::string EndOfHistoryKeys(const EntryName& entry) {
-  return FirstHistoryKey(entry) + std::string(kAfterAll);
+  return FirstHistoryKey(entry) + std::string(kKeyRangeEnd);
 }
 
 std::string FormatHead(std::uint64_t revision) {
--- a/lib/libmedlarcroft/source/catalogue/catalogue_state.cc
+++ b/lib/libmedlarcroft/source/catalogue/catalogue_state.cc
@@ -12,8 +12,8 @@
 
 using StoredEntry = CatalogueState::StoredEntry;
 
-/// Faults of the whole document mean that it was damaged on its way; faults of
-/// fields mean that a newer version wrote it.
+/// Faults of the document as a whole mean that it was damaged in transit;
+/// faults of single fields mean that a newer version wrote it.
 bool IsDamaged(const FieldFaults& faults) {
   return std::any_of(faults.begin(), faults.end(), [](const FieldFault& fault) {
     return fault.path.empty() && fault.code != FaultCode::kUnknownField;
@@ -24,15 +24,15 @@
 std::optional<StoredEntry> MakeStored(const Change& change,
                                       std::optional<Entry> previous) {
   StoredEntry stored{.document = change.document,
-                     .understood = std::move(previous)};
+                     .last_parsed = std::move(previous)};
   auto parsed = ParseEntry(change.document, UnknownFields::kIgnore);
   if (!IsOk(parsed)) {
     return IsDamaged(ErrorOf(parsed)) ? std::nullopt : std::optional(stored);
   }
 
-  stored.understood = TakeValue(std::move(parsed));
-  stored.understood->name = change.entry;
-  stored.is_understood = true;
+  stored.last_parsed = TakeValue(std::move(parsed));
+  stored.last_parsed->name = change.entry;
+  stored.is_parsed = true;
   return stored;
 }
 
@@ -55,7 +55,7 @@
   const auto found = entries_.find(change.entry);
   auto stored =
       MakeStored(change, found == entries_.end() ? std::nullopt
-                                                 : found->second.understood);
+                                                 : found->second.last_parsed);
   if (!stored) {
     return ApplyResult::kMalformed;
   }
@@ -74,7 +74,7 @@
     const auto known = entries_.find(change.entry);
     auto stored =
         MakeStored(change, known == entries_.end() ? std::nullopt
-                                                   : known->second.understood);
+                                                   : known->second.last_parsed);
     if (!stored) {
       return ApplyResult::kMalformed;
     }
@@ -88,8 +88,8 @@
 SharedCatalogueView CatalogueState::MakeView() const {
   std::map<EntryName, Entry> entries;
   for (const auto& [name, stored] : entries_) {
-    if (stored.understood) {
-      entries.emplace(name, *stored.understood);
+    if (stored.last_parsed) {
+      entries.emplace(name, *stored.last_parsed);
     }
   }
   return std::make_shared<const CatalogueView>(revision_, std::move(entries));
@@ -108,10 +108,10 @@
   return snapshot;
 }
 
-std::vector<EntryName> CatalogueState::NotUnderstood() const {
+std::vector<EntryName> CatalogueState::UnparsedEntries() const {
   std::vector<EntryName> names;
   for (const auto& [name, stored] : entries_) {
-    if (!stored.is_understood) {
+    if (!stored.is_parsed) {
       names.push_back(name);
     }
   }
--- a/lib/libmedlarcroft/source/catalogue/catalogue_store.cc
+++ b/lib/libmedlarcroft/source/catalogue/catalogue_store.cc
@@ -29,31 +29,31 @@
 
     const auto head = reader.ReadHead();
     if (!IsOk(head)) {
-      attempts.NoteNoAnswer();
+      attempts.NotePlatformUnavailable();
       continue;
     }
-    if (!attempts.IsNewEnough(ValueOf(head))) {
+    if (!attempts.CheckHeadRevision(ValueOf(head))) {
       continue;
     }
     const auto state = CatchUp(ValueOf(head).revision);
     if (!IsOk(state)) {
-      attempts.NoteNoAnswer();
+      attempts.NotePlatformUnavailable();
       continue;
     }
     if (ValueOf(state)->Revision() != ValueOf(head).revision) {
-      continue;  // A lagging head: the commit would only find it moved.
+      continue;  // The head is stale, so its commit would fail.
     }
-    if (auto result = attempts.Try(ValueOf(head), *ValueOf(state))) {
+    if (auto result = attempts.MakeAttempt(ValueOf(head), *ValueOf(state))) {
       if (IsOk(*result)) {
         WriteSnapshotIfDue();
       }
       return *std::move(result);
     }
   }
-  return attempts.GiveUp();
+  return attempts.FinalFailure();
 }
 
-Result<EntryReading, CatalogueReadFailure> CatalogueStore::Read(
+Result<EntryReadResult, CatalogueReadFailure> CatalogueStore::Read(
     const EntryName& entry) {
   const auto row = ports_.table.Read(EntryKey(entry));
   if (!IsOk(row)) {
@@ -61,13 +61,13 @@
   }
   const std::string& value = ValueOf(row).value;
   if (ValueOf(row).version == 0 || ParseTombstone(value)) {
-    return EntryReading{};
+    return EntryReadResult{};
   }
   const auto parsed = ParseEntry(value, UnknownFields::kIgnore);
   if (!IsOk(parsed)) {
     return CatalogueReadFailure::kDamagedRow;
   }
-  return EntryReading{.version = ValueOf(parsed).version, .document = value};
+  return EntryReadResult{.version = ValueOf(parsed).version, .document = value};
 }
 
 Result<std::vector<HistoryItem>, CatalogueReadFailure> CatalogueStore::History(
@@ -113,7 +113,7 @@
   pointers.insert(pointers.begin(),
                   {.revision = state->Revision(), .object = object});
   pointers.resize(std::min(pointers.size(), options_.kept_snapshots));
-  // The condition keeps the row from going back to an older snapshot.
+  // The condition prevents the row from reverting to an older snapshot.
   const auto outcome =
       ports_.table.Commit({.conditions = {{.key = std::string(kSnapshotsKey),
                                            .version = ValueOf(row).version}},
@@ -149,8 +149,8 @@
   return std::shared_ptr<const CatalogueState>(newer);
 }
 
-/// Full jitter: rivals for the head row that back off by the same time would
-/// meet again.
+/// Full jitter: writers competing for the head row that back off by the same
+/// time would collide again.
 Duration CatalogueStore::Backoff(int attempt) {
   const std::lock_guard lock(mutex_);
   const Duration longest =
--- a/lib/libmedlarcroft/source/catalogue/change_attempts.cc
+++ b/lib/libmedlarcroft/source/catalogue/change_attempts.cc
@@ -13,20 +13,20 @@
 
 using ports::StoreFailure;
 
-/// @brief What an entry row says.
+/// @brief Contents of an entry row.
 struct EntryRow {
-  std::uint64_t version = 0;  ///< Of the entry or its tombstone; 0: no row.
+  std::uint64_t version = 0;  ///< Of the entry or tombstone; 0: no row.
   bool is_present = false;
 };
 
-EntryRow Interpret(const ports::Row& row) {
+EntryRow ParseEntryRow(const ports::Row& row) {
   if (row.version == 0) {
     return {};
   }
   if (const auto tombstone = ParseTombstone(row.value)) {
     return {.version = tombstone->version, .is_present = false};
   }
-  // A newer version may have written fields that this one doesn't know.
+  // A newer version may have written fields that this version does not know.
   const auto entry = ParseEntry(row.value, UnknownFields::kIgnore);
   return {.version = IsOk(entry) ? ValueOf(entry).version : row.version,
           .is_present = true};
@@ -61,19 +61,20 @@
       clock_(clock),
       digest_(DigestOf(request)) {}
 
-std::optional<ChangeResult> ChangeAttempts::Try(const Head& head,
-                                                const CatalogueState& state) {
+std::optional<ChangeResult> ChangeAttempts::MakeAttempt(
+    const Head& head,
+    const CatalogueState& state) {
   const auto rows = ReadRows();
   if (!rows) {
-    NoteNoAnswer();
+    NotePlatformUnavailable();
     return std::nullopt;
   }
-  if (auto settled = Settle(rows->change_id)) {
-    return settled;
+  if (auto earlier_result = ResolveFromChangeIdRow(rows->change_id)) {
+    return earlier_result;
   }
 
   if (auto fault = FindFault(*rows, state)) {
-    if (doubtful_head_ && !IsProvedNotDone(head, *rows)) {
+    if (unconfirmed_head_version_ && !IsProvenNotCommitted(head, *rows)) {
       return std::nullopt;
     }
     return *std::move(fault);
@@ -81,29 +82,29 @@
   return Commit(head, *rows);
 }
 
-bool ChangeAttempts::IsNewEnough(const Head& head) {
-  behind_.reset();
+bool ChangeAttempts::CheckHeadRevision(const Head& head) {
+  platform_behind_.reset();
   if (head.revision >= request_.held_revision) {
     return true;
   }
-  behind_ = PlatformBehind{.platform_revision = head.revision,
-                           .held_revision = request_.held_revision};
+  platform_behind_ = PlatformBehind{.platform_revision = head.revision,
+                                    .held_revision = request_.held_revision};
   return false;
 }
 
-ChangeResult ChangeAttempts::GiveUp() const {
-  if (doubtful_head_) {
+ChangeResult ChangeAttempts::FinalFailure() const {
+  if (unconfirmed_head_version_) {
     return ChangeFailure(ChangeOutcomeUnknown{request_.change_id});
   }
-  if (behind_) {
-    return ChangeFailure(*behind_);
+  if (platform_behind_) {
+    return ChangeFailure(*platform_behind_);
   }
-  return had_no_answer_ ? ChangeFailure(StoreUnavailable())
-                        : ChangeFailure(TooContended());
+  return was_platform_unavailable_ ? ChangeFailure(StoreUnavailable())
+                                   : ChangeFailure(TooMuchContention());
 }
 
-/// The change-id row is read last: a change that shows in the entry's row then
-/// shows in its change-id row too.
+/// Reads the change-id row last, so that a change visible in the entry row is
+/// also visible in its change-id row.
 std::optional<ChangeAttempts::Rows> ChangeAttempts::ReadRows() {
   auto entry = table_.Read(EntryKey(request_.entry));
   if (!IsOk(entry)) {
@@ -117,7 +118,7 @@
               .change_id = TakeValue(std::move(change_id))};
 }
 
-std::optional<ChangeResult> ChangeAttempts::Settle(
+std::optional<ChangeResult> ChangeAttempts::ResolveFromChangeIdRow(
     const ports::Row& row) const {
   if (row.version == 0) {
     return std::nullopt;
@@ -135,7 +136,7 @@
 std::optional<ChangeFailure> ChangeAttempts::FindFault(
     const Rows& rows,
     const CatalogueState& state) const {
-  const EntryRow row = Interpret(rows.entry);
+  const EntryRow row = ParseEntryRow(rows.entry);
   const std::uint64_t current = row.is_present ? row.version : 0;
   if (current != request_.expected_version) {
     return VersionConflict{
@@ -155,12 +156,13 @@
   return InvalidChange{.faults = std::move(faults)};
 }
 
-/// After a lost answer, what reads show is not proof enough: they may come from
-/// a lagging copy, or the commit may still be on its way. A transaction without
-/// writes proves it: the change-id row is absent and the head has moved on
-/// since that commit, so its condition on the head can never be met again.
-bool ChangeAttempts::IsProvedNotDone(const Head& head, const Rows& rows) {
-  if (head.row_version <= *doubtful_head_) {
+/// After the response to a commit was lost, reads do not prove that it had no
+/// effect: they may come from a lagging replica, or the commit may still be in
+/// transit. A transaction without writes proves it: the change-id row is absent
+/// and the head has changed since that commit, so its condition on the head can
+/// never be met again.
+bool ChangeAttempts::IsProvenNotCommitted(const Head& head, const Rows& rows) {
+  if (head.row_version <= *unconfirmed_head_version_) {
     return false;
   }
   const auto outcome = table_.Commit(
@@ -174,13 +176,14 @@
 
 std::optional<ChangeResult> ChangeAttempts::Commit(const Head& head,
                                                    const Rows& rows) {
-  const std::uint64_t version = Interpret(rows.entry).version + 1;
+  const std::uint64_t version = ParseEntryRow(rows.entry).version + 1;
   const auto outcome = table_.Commit(MakeTransaction(head, rows, version));
   if (!IsOk(outcome)) {
     if (ErrorOf(outcome) == StoreFailure::kUnavailable) {
-      NoteNoAnswer();
+      NotePlatformUnavailable();
     } else {
-      doubtful_head_ = std::max(doubtful_head_.value_or(0), head.row_version);
+      unconfirmed_head_version_ =
+          std::max(unconfirmed_head_version_.value_or(0), head.row_version);
     }
     return std::nullopt;
   }
@@ -188,10 +191,10 @@
     return AcceptedResult{.revision = head.revision + 1, .version = version};
   }
 
-  // An earlier attempt of this change may be what stands in the way.
+  // The conflict may be caused by an earlier attempt at this same change.
   const ports::Row* row =
       FindRow(ValueOf(outcome).conflicting, rows.change_id.key);
-  return row == nullptr ? std::nullopt : Settle(*row);
+  return row == nullptr ? std::nullopt : ResolveFromChangeIdRow(*row);
 }
 
 ports::Transaction ChangeAttempts::MakeTransaction(
--- a/lib/libmedlarcroft/source/catalogue/change_attempts.h
+++ b/lib/libmedlarcroft/source/catalogue/change_attempts.h
@@ -14,7 +14,7 @@
 
 namespace medlarcroft::catalogue {
 
-/// @brief The attempts at one change, up to its result.
+/// @brief Performs the attempts to commit one change and determines its result.
 class ChangeAttempts {
  public:
   ChangeAttempts(const ChangeRequest& request,
@@ -22,33 +22,37 @@
                  const ports::Clock& clock);
 
   /// @brief Makes one attempt. `state` is the catalogue at `head`.
-  /// @return the change's result, or nullopt when another attempt may help.
-  std::optional<ChangeResult> Try(const Head& head,
-                                  const CatalogueState& state);
+  /// @return the result of the change, or nullopt if another attempt may
+  /// succeed.
+  std::optional<ChangeResult> MakeAttempt(const Head& head,
+                                          const CatalogueState& state);
 
-  /// @return whether the platform's head is as new as what this host holds; a
-  /// lagging copy may be asked again.
-  [[nodiscard]] bool IsNewEnough(const Head& head);
+  /// @brief Checks that the platform's head is not older than the revision held
+  /// by this host. An older head may come from a lagging replica, so the head
+  /// may be read again.
+  /// @return whether the head can be used.
+  [[nodiscard]] bool CheckHeadRevision(const Head& head);
 
-  /// @brief The platform could not be read before this attempt.
-  void NoteNoAnswer() { had_no_answer_ = true; }
+  /// @brief Records that the platform was unavailable in this attempt.
+  void NotePlatformUnavailable() { was_platform_unavailable_ = true; }
 
-  /// @return the result when no attempt is left.
-  [[nodiscard]] ChangeResult GiveUp() const;
+  /// @return the result of the change when no attempts are left.
+  [[nodiscard]] ChangeResult FinalFailure() const;
 
  private:
-  /// What the attempt found in the table.
+  /// Rows that the attempt read from the table.
   struct Rows {
     ports::Row entry;
     ports::Row change_id;
   };
 
   [[nodiscard]] std::optional<Rows> ReadRows();
-  [[nodiscard]] std::optional<ChangeResult> Settle(const ports::Row& row) const;
+  [[nodiscard]] std::optional<ChangeResult> ResolveFromChangeIdRow(
+      const ports::Row& row) const;
   [[nodiscard]] std::optional<ChangeFailure> FindFault(
       const Rows& rows,
       const CatalogueState& state) const;
-  [[nodiscard]] bool IsProvedNotDone(const Head& head, const Rows& rows);
+  [[nodiscard]] bool IsProvenNotCommitted(const Head& head, const Rows& rows);
   std::optional<ChangeResult> Commit(const Head& head, const Rows& rows);
   [[nodiscard]] ports::Transaction MakeTransaction(const Head& head,
                                                    const Rows& rows,
@@ -61,10 +65,10 @@
   const ports::Clock& clock_;
   const std::string digest_;
 
-  /// Head row version of the newest attempt whose answer was lost.
-  std::optional<std::uint64_t> doubtful_head_;
-  bool had_no_answer_ = false;
-  std::optional<PlatformBehind> behind_;
+  /// Head row version used by the latest commit whose response was lost.
+  std::optional<std::uint64_t> unconfirmed_head_version_;
+  bool was_platform_unavailable_ = false;
+  std::optional<PlatformBehind> platform_behind_;
 };
 
 }  // namespace medlarcroft::catalogue
--- a/lib/libmedlarcroft/source/catalogue/entry_codec.cc
+++ b/lib/libmedlarcroft/source/catalogue/entry_codec.cc
@@ -16,7 +16,7 @@
                                                  "link", "drain"};
 constexpr std::int64_t kMaxVersion = std::int64_t{1} << 53;
 
-/// @brief The part of a document that every kind has.
+/// @brief Fields common to documents of all kinds.
 struct Envelope {
   EntryName name;
   OwnerName owner;
@@ -30,13 +30,13 @@
     CountField{"version", &Envelope::version, 0, kMaxVersion},
     CountField{"revision", &Envelope::revision, 0, kMaxVersion});
 
-bool IsLetterOrDigit(char symbol) {
-  return std::isalnum(static_cast<unsigned char>(symbol)) != 0;
+bool IsLetterOrDigit(char character) {
+  return std::isalnum(static_cast<unsigned char>(character)) != 0;
 }
 
-bool IsNameSymbol(char symbol) {
-  return IsLetterOrDigit(symbol) || symbol == '.' || symbol == '_' ||
-         symbol == '-';
+bool IsNameCharacter(char character) {
+  return IsLetterOrDigit(character) || character == '.' || character == '_' ||
+         character == '-';
 }
 
 bool IsNumberUpTo(std::string_view text, unsigned maximum) {
@@ -68,15 +68,16 @@
   }
   const std::string_view inner = text.substr(1, text.size() - 2);
   return inner.find(':') != std::string_view::npos &&
-         std::all_of(inner.begin(), inner.end(), [](char symbol) {
-           return std::isxdigit(static_cast<unsigned char>(symbol)) != 0 ||
-                  symbol == ':' || symbol == '.';
+         std::all_of(inner.begin(), inner.end(), [](char character) {
+           return std::isxdigit(static_cast<unsigned char>(character)) != 0 ||
+                  character == ':' || character == '.';
          });
 }
 
-/// @brief Refuses an object that has the same key twice: the parser would keep
-/// one of the two values and the operator would not learn which.
-class DuplicateKeys {
+/// @brief Parser callback that detects duplicate keys and excessive nesting.
+/// With a duplicate key, the parser would keep one of the two values and the
+/// operator would not learn which.
+class JsonStructureChecker {
  public:
   bool operator()(int depth, Json::parse_event_t event, Json& parsed) {
     if (event == Json::parse_event_t::object_start) {
@@ -109,14 +110,14 @@
          .code = FaultCode::kTooLarge,
          .allowed = "at most " + std::to_string(kMaxEntryBytes) + " bytes"}};
   }
-  DuplicateKeys keys;
-  Json json = Json::parse(document, std::ref(keys), false);
-  if (!json.is_object() || keys.IsTooDeep()) {
+  JsonStructureChecker checker;
+  Json json = Json::parse(document, std::ref(checker), false);
+  if (!json.is_object() || checker.IsTooDeep()) {
     return FieldFaults{{.path = "",
                         .code = FaultCode::kNotJson,
                         .allowed = "one JSON object in UTF-8"}};
   }
-  if (keys.HasDuplicate()) {
+  if (checker.HasDuplicate()) {
     return FieldFaults{{.path = "",
                         .code = FaultCode::kDuplicate,
                         .allowed = "each key once in an object"}};
@@ -137,11 +138,11 @@
                                                  &ReadBody<2>, &ReadBody<3>};
 
 template <typename Item, typename Name>
-void ReportRepeats(const std::vector<Item>& items,
-                   Name Item::*member,
-                   const std::string& list,
-                   std::string_view key,
-                   FaultSink& sink) {
+void ReportDuplicates(const std::vector<Item>& items,
+                      Name Item::*member,
+                      const std::string& list,
+                      std::string_view key,
+                      FaultSink& sink) {
   std::set<Name> seen;
   for (std::size_t i = 0; i < items.size(); ++i) {
     if (!seen.insert(items[i].*member).second) {
@@ -151,13 +152,15 @@
   }
 }
 
-/// @brief Checks that need no other entry.
-struct BodyCheck {
+/// @brief Validates a body without reference to other entries.
+struct BodyChecker {
   FaultSink& sink;
 
   void operator()(const ServiceEntry& service) const {
-    ReportRepeats(service.targets, &TargetSpec::name, "targets", "name", sink);
-    ReportRepeats(service.brands, &BrandShare::brand, "brands", "brand", sink);
+    ReportDuplicates(service.targets, &TargetSpec::name, "targets", "name",
+                     sink);
+    ReportDuplicates(service.brands, &BrandShare::brand, "brands", "brand",
+                     sink);
   }
   void operator()(const LinkEntry& link) const {
     if (link.from == link.to && !link.from.IsEmpty()) {
@@ -168,8 +171,8 @@
   void operator()(const DrainEntry&) const {}
 };
 
-/// @brief Moves the envelope out of `json`, so that what remains is the body.
-Envelope TakeEnvelope(Json& json, FaultSink& sink) {
+/// @brief Moves the envelope fields out of `json`, leaving only the body.
+Envelope ExtractEnvelope(Json& json, FaultSink& sink) {
   Json common = Json::object();
   for (const char* key : {"entry", "owner", "version", "revision"}) {
     const auto found = json.find(key);
@@ -191,7 +194,7 @@
 bool IsName(std::string_view text) {
   return !text.empty() && text.size() <= kMaxNameLength &&
          IsLetterOrDigit(text.front()) &&
-         std::all_of(text.begin(), text.end(), &IsNameSymbol);
+         std::all_of(text.begin(), text.end(), &IsNameCharacter);
 }
 
 bool IsSocketAddress(std::string_view text) {
@@ -243,9 +246,9 @@
   }
   json.erase("kind");
 
-  const Envelope envelope = TakeEnvelope(json, sink);
+  const Envelope envelope = ExtractEnvelope(json, sink);
   EntryBody body = kBodyReaders.at(index)(json, sink);
-  std::visit(BodyCheck{sink}, body);
+  std::visit(BodyChecker{sink}, body);
   if (!sink.Faults().empty()) {
     return sink.Faults();
   }
--- a/lib/libmedlarcroft/source/catalogue/entry_rules.cc
+++ b/lib/libmedlarcroft/source/catalogue/entry_rules.cc
@@ -13,10 +13,10 @@
   return "targets[" + std::to_string(index) + "]." + std::string(key);
 }
 
-/// @brief The checks of one changed entry, by kind.
-class ChangeCheck {
+/// @brief Validates a changed entry, depending on its kind.
+class ChangeChecker {
  public:
-  ChangeCheck(const CatalogueView& view, const Entry& changed)
+  ChangeChecker(const CatalogueView& view, const Entry& changed)
       : view_(view), changed_(changed) {}
 
   FieldFaults Run() {
@@ -45,7 +45,8 @@
     }
   }
 
-  /// @return the other entry of the same kind for which `is_same` holds.
+  /// @return another entry of the same kind for which `is_same` holds, or
+  /// nullptr.
   template <typename Body, typename Predicate>
   const Entry* FindOther(Predicate is_same) const {
     for (const auto& [name, entry] : view_.Entries()) {
@@ -58,7 +59,7 @@
   }
 
   template <typename Body, typename Predicate>
-  void RefuseSecond(std::string path, Predicate is_same) {
+  void RejectDuplicate(std::string path, Predicate is_same) {
     if (const Entry* other = FindOther<Body>(is_same)) {
       Add(std::move(path), FaultCode::kDuplicate,
           "not what entry " + other->name.Value() + " describes");
@@ -73,14 +74,15 @@
   }
 
   void CheckBody(const ServiceEntry& service) {
-    RefuseSecond<ServiceEntry>("service", [&](const ServiceEntry& other) {
+    RejectDuplicate<ServiceEntry>("service", [&](const ServiceEntry& other) {
       return other.service == service.service;
     });
-    const auto others = TargetsOfOthers();
+    const auto others = TargetsOfOtherEntries();
     for (std::size_t i = 0; i < service.targets.size(); ++i) {
       const TargetSpec& target = service.targets[i];
       RequireDomain(TargetPath(i, "failure_domain"), target.failure_domain);
-      // Drains and reports name a target without its service.
+      // Drains and reports identify a target by name only, without its service,
+      // so the name must be unique among all services.
       const auto found = others.find(target.name);
       if (found != others.end()) {
         Add(TargetPath(i, "name"), FaultCode::kDuplicate,
@@ -89,7 +91,8 @@
     }
   }
 
-  [[nodiscard]] std::map<TargetName, const Entry*> TargetsOfOthers() const {
+  [[nodiscard]] std::map<TargetName, const Entry*> TargetsOfOtherEntries()
+      const {
     std::map<TargetName, const Entry*> targets;
     for (const auto& [name, entry] : view_.Entries()) {
       const auto* service = std::get_if<ServiceEntry>(&entry.body);
@@ -104,7 +107,7 @@
   }
 
   void CheckBody(const FailureDomainEntry& domain) {
-    RefuseSecond<FailureDomainEntry>(
+    RejectDuplicate<FailureDomainEntry>(
         "failure_domain", [&](const FailureDomainEntry& other) {
           return other.failure_domain == domain.failure_domain;
         });
@@ -113,38 +116,38 @@
   void CheckBody(const LinkEntry& link) {
     RequireDomain("from", link.from);
     RequireDomain("to", link.to);
-    RefuseSecond<LinkEntry>("to", [&](const LinkEntry& other) {
+    RejectDuplicate<LinkEntry>("to", [&](const LinkEntry& other) {
       return other.from == link.from && other.to == link.to;
     });
   }
 
   void CheckBody(const DrainEntry& drain) {
-    RefuseSecond<DrainEntry>("name", [&](const DrainEntry& other) {
+    RejectDuplicate<DrainEntry>("name", [&](const DrainEntry& other) {
       return other.subject == drain.subject && other.name == drain.name;
     });
     if (drain.subject == DrainSubject::kHost) {
       return;
     }
 
-    const Entry* subject = FindDrained(drain);
+    const Entry* subject = FindDrainSubject(drain);
     if (subject == nullptr) {
       Add("name", FaultCode::kUnknownReference,
           "a known " + std::string(NameOf(drain.subject)));
     } else if (subject->owner != changed_.owner) {
-      // Otherwise one owner could take another owner's targets away.
+      // Prevents an owner from draining another owner's targets.
       Add("name", FaultCode::kOwnerChange,
           "something that " + changed_.owner.Value() + " owns");
     }
   }
 
-  [[nodiscard]] const Entry* FindDrained(const DrainEntry& drain) const {
+  [[nodiscard]] const Entry* FindDrainSubject(const DrainEntry& drain) const {
     if (drain.subject == DrainSubject::kFailureDomain) {
       return FindOther<FailureDomainEntry>(
           [&](const FailureDomainEntry& domain) {
             return domain.failure_domain.Value() == drain.name;
           });
     }
-    const auto targets = TargetsOfOthers();
+    const auto targets = TargetsOfOtherEntries();
     const auto found = targets.find(TargetName(drain.name));
     return found == targets.end() ? nullptr : found->second;
   }
@@ -154,7 +157,7 @@
   FieldFaults faults_;
 };
 
-/// @return whether `entry` needs the failure domain `domain`.
+/// @return whether `entry` refers to the failure domain `domain`.
 bool RefersTo(const Entry& entry, const FailureDomainName& domain) {
   if (const auto* link = std::get_if<LinkEntry>(&entry.body)) {
     return link->from == domain || link->to == domain;
@@ -174,7 +177,7 @@
 }  // namespace
 
 FieldFaults CheckChange(const CatalogueView& view, const Entry& changed) {
-  return ChangeCheck(view, changed).Run();
+  return ChangeChecker(view, changed).Run();
 }
 
 FieldFaults CheckDeletion(const CatalogueView& view,
--- a/lib/libmedlarcroft/source/catalogue/entry_schema.h
+++ b/lib/libmedlarcroft/source/catalogue/entry_schema.h
@@ -10,14 +10,14 @@
 #include "medlarcroft/catalogue/json_schema.h"
 
 /// @file
-/// @brief The JSON form and the bounds of every kind of entry.
+/// @brief JSON schemas and limits of all kinds of entries.
 
 namespace medlarcroft::catalogue::schema {
 
 constexpr std::size_t kMaxNameLength = 128;
 constexpr std::size_t kMaxReasonLength = 500;
 constexpr std::size_t kMaxBrands = 1000;
-/// 260 sites with a score of targets each.
+/// Enough for 260 sites with about 20 targets each.
 constexpr std::size_t kMaxTargets = 5000;
 constexpr std::int64_t kMaxDeadlineMs = std::int64_t{24} * 3600 * 1000;
 constexpr std::int64_t kMaxQueueMs = 60'000;
@@ -114,7 +114,7 @@
     TextField{"name", &DrainEntry::name, kNameRule},
     TextField{"reason", &DrainEntry::reason, kReasonRule, false});
 
-/// @return the schema of that kind of body.
+/// @return the schema of this type of body.
 template <typename Body>
 constexpr const auto& SchemaOf() {
   if constexpr (std::is_same_v<Body, ServiceEntry>) {
--- a/lib/libmedlarcroft/source/catalogue/json_schema.cc
+++ b/lib/libmedlarcroft/source/catalogue/json_schema.cc
@@ -7,14 +7,16 @@
 
 namespace {
 
-/// A hostile document must not cost more memory in faults than in itself.
+/// Limits the memory for faults, so that a malicious document cannot make them
+/// take more memory than the document itself.
 constexpr std::size_t kMaxFaults = 100;
 
-std::string BoundsText(const std::string& minimum, const std::string& maximum) {
+std::string FormatBounds(const std::string& minimum,
+                         const std::string& maximum) {
   return minimum + " to " + maximum;
 }
 
-std::string ShortNumber(double number) {
+std::string FormatNumber(double number) {
   return Json(number).dump();
 }
 
@@ -62,7 +64,7 @@
                  std::int64_t& out) {
   const std::string allowed =
       "an integer from " +
-      BoundsText(std::to_string(minimum), std::to_string(maximum));
+      FormatBounds(std::to_string(minimum), std::to_string(maximum));
   if (!value.is_number_integer()) {
     sink.Add(path, FaultCode::kWrongType, allowed);
     return false;
@@ -87,7 +89,8 @@
               FaultSink& sink,
               double& out) {
   const std::string allowed =
-      "a number from " + BoundsText(ShortNumber(minimum), ShortNumber(maximum));
+      "a number from " +
+      FormatBounds(FormatNumber(minimum), FormatNumber(maximum));
   if (!value.is_number()) {
     sink.Add(path, FaultCode::kWrongType, allowed);
     return false;
@@ -138,7 +141,7 @@
   return true;
 }
 
-void RefuseUnknownFields(const Json& value,
+void ReportUnknownFields(const Json& value,
                          const std::string& path,
                          std::span<const std::string_view> known,
                          FaultSink& sink) {
@@ -152,7 +155,8 @@
 
   for (const auto& [key, member] : value.items()) {
     if (std::find(known.begin(), known.end(), key) == known.end()) {
-      // Cut short: the key is the sender's and may be as long as the document.
+      // Truncated because the sender chooses the key, which may be as long as
+      // the document.
       sink.Add(JoinPath(path, key.substr(0, 64)), FaultCode::kUnknownField,
                allowed);
     }
--- a/lib/libmedlarcroft/source/catalogue/operator_api.cc
+++ b/lib/libmedlarcroft/source/catalogue/operator_api.cc
@@ -28,7 +28,7 @@
           .faults = std::move(faults)};
 }
 
-/// @brief Turns a store's failure into an operator's.
+/// @brief Converts a failure of the store into an operator failure.
 struct FailureMapper {
   const OperatorChange& change;
 
@@ -37,7 +37,8 @@
                             .current_version = conflict.current_version,
                             .current_document = conflict.current_document};
     if (change.precondition.kind == Precondition::Kind::kNone) {
-      // Without a version an operator would overwrite what it never saw.
+      // Without a version, an operator would overwrite an entry it has never
+      // seen.
       failure.code = Code::kPreconditionRequired;
     }
     return failure;
@@ -54,7 +55,7 @@
   OperatorFailure operator()(const PlatformBehind&) const {
     return {.code = Code::kPlatformBehind};
   }
-  OperatorFailure operator()(const TooContended&) const {
+  OperatorFailure operator()(const TooMuchContention&) const {
     return {.code = Code::kContended};
   }
   OperatorFailure operator()(const ChangeOutcomeUnknown&) const {
@@ -62,7 +63,8 @@
   }
 };
 
-/// @brief Faults of a document whose own words contradict where it was sent.
+/// @brief Reports an entry name or owner in the document that contradicts the
+/// request.
 FieldFaults CheckEnvelope(const Entry& entry, const OperatorChange& change) {
   FieldFaults faults;
   if (!entry.name.IsEmpty() && entry.name != change.entry) {
@@ -86,13 +88,13 @@
   if (!IsEntryName(entry.Value())) {
     return OperatorFailure{.code = Code::kBadEntryName};
   }
-  const auto reading = ports_.store.Read(entry);
-  if (IsOk(reading)) {
-    if (ValueOf(reading).version == 0) {
+  const auto result = ports_.store.Read(entry);
+  if (IsOk(result)) {
+    if (ValueOf(result).version == 0) {
       return OperatorFailure{.code = Code::kNotFound};
     }
-    return EntryAnswer{.document = ValueOf(reading).document,
-                       .version = ValueOf(reading).version};
+    return EntryAnswer{.document = ValueOf(result).document,
+                       .version = ValueOf(result).version};
   }
 
   const SharedCatalogueView view = ports_.replica.View();
--- a/lib/libmedlarcroft/source/catalogue/platform_poll_schedule.cc
+++ b/lib/libmedlarcroft/source/catalogue/platform_poll_schedule.cc
@@ -6,23 +6,25 @@
 
 namespace {
 
-// Reads of the host list by all hosts together: of the platform's 2,000.
-constexpr double kReadsPerSecond = 176.0;
-
-// A leaving target gets no new work later than 3 s after the list shows it;
-// the list is read in the first two of them wherever the platform can bear it.
-// A host that also watches the catalogue's head once a second then makes 90 of
-// the 100 reads a minute that it may make by default.
-constexpr Duration kShortestPeriod = std::chrono::seconds(2);
-
-// At 880 hosts. The list lags by itself, and a target's own sign and an
-// operator's word do not come this way.
-constexpr Duration kLongestPeriod = std::chrono::seconds(5);
-
-// The first read after a failed one comes in a quarter of the period: within
-// the promise when one answer was lost. The third is a whole period later, so
-// a platform that is away gets no more reads than one that answers.
-constexpr std::uint32_t kQuarters = 4;
+// Maximum host list reads per second by all hosts together, out of the 2,000
+// reads per second that the platform handles.
+constexpr double kMaxHostListReadsPerSecond = 176.0;
+
+// A leaving target must get no new requests later than 3 s after the host list
+// shows it; the list is read within the first 2 s wherever the platform can
+// sustain it. A host that also polls the catalogue head once per second then
+// makes 90 of the 100 reads per minute that it may make by default.
+constexpr Duration kMinPeriod = std::chrono::seconds(2);
+
+// Reached at 880 hosts. The host list itself is delayed, and the status
+// reported by a target and the drains set by an operator do not depend on it.
+constexpr Duration kMaxPeriod = std::chrono::seconds(5);
+
+// The first retry after a failed read comes after a quarter of the period,
+// which is within the 3 s limit if only one response was lost. The third comes
+// after a full period, so an unavailable platform gets no more reads than an
+// available one.
+constexpr std::uint32_t kQuartersPerPeriod = 4;
 
 }  // namespace
 
@@ -32,22 +34,23 @@
 }
 
 Duration HostListPollTiming::Period() const {
-  const Duration shared =
-      FromSeconds(static_cast<double>(entry_hosts_) / kReadsPerSecond);
-  return std::clamp(shared, kShortestPeriod, kLongestPeriod);
+  const Duration shared = FromSeconds(static_cast<double>(entry_hosts_) /
+                                      kMaxHostListReadsPerSecond);
+  return std::clamp(shared, kMinPeriod, kMaxPeriod);
 }
 
 Duration HostListPollTiming::AfterRead(std::size_t entry_hosts) {
   entry_hosts_ = entry_hosts;
-  failures_in_row_ = 0;
+  consecutive_failures_ = 0;
   return Period();
 }
 
 Duration HostListPollTiming::AfterFailure() {
   const std::uint32_t quarters =
-      std::min(1U << std::min(failures_in_row_, kQuarters), kQuarters);
-  ++failures_in_row_;
-  return Period() * quarters / kQuarters;
+      std::min(1U << std::min(consecutive_failures_, kQuartersPerPeriod),
+               kQuartersPerPeriod);
+  ++consecutive_failures_;
+  return Period() * quarters / kQuartersPerPeriod;
 }
 
 }  // namespace medlarcroft::catalogue
--- a/lib/libmedlarcroft/source/catalogue/platform_rate_limiter.cc
+++ b/lib/libmedlarcroft/source/catalogue/platform_rate_limiter.cc
@@ -8,15 +8,16 @@
 
 using ports::StoreFailure;
 
-/// @brief Makes the call if the budget allows it, and notes how it ended.
+/// @brief Makes the call if the rate limit allows it, and records its outcome.
 template <typename Call>
-auto Spend(bool is_allowed, PlatformRateLimiter& budget, Call call)
-    -> decltype(call()) {
+auto CallIfAllowed(bool is_allowed,
+                   PlatformRateLimiter& rate_limiter,
+                   Call call) -> decltype(call()) {
   if (!is_allowed) {
     return StoreFailure::kUnavailable;
   }
   auto result = call();
-  budget.RecordOutcome(IsOk(result));
+  rate_limiter.RecordOutcome(IsOk(result));
   return result;
 }
 
@@ -31,30 +32,30 @@
       writes_{.per_second = options.writes_per_second,
               .burst = options.write_burst,
               .tokens = options.write_burst},
-      filled_at_(clock.Now()),
+      refilled_at_(clock.Now()),
       reachability_since_(clock.Now()) {}
 
 bool PlatformRateLimiter::TryAcquireRead() {
   const std::lock_guard lock(mutex_);
-  const bool is_taken = TakeLocked(reads_);
-  ++(is_taken ? counts_.reads : counts_.refused_reads);
-  return is_taken;
+  const bool is_acquired = TryAcquireLocked(reads_);
+  ++(is_acquired ? counts_.reads : counts_.refused_reads);
+  return is_acquired;
 }
 
 bool PlatformRateLimiter::TryAcquireWrite() {
   const std::lock_guard lock(mutex_);
-  const bool is_taken = TakeLocked(writes_);
-  ++(is_taken ? counts_.writes : counts_.refused_writes);
-  return is_taken;
+  const bool is_acquired = TryAcquireLocked(writes_);
+  ++(is_acquired ? counts_.writes : counts_.refused_writes);
+  return is_acquired;
 }
 
-bool PlatformRateLimiter::TakeLocked(Bucket& bucket) {
+bool PlatformRateLimiter::TryAcquireLocked(Bucket& bucket) {
   const MonotonicTime now = clock_.Now();
-  const double seconds = ToSeconds(now - filled_at_);
-  filled_at_ = now;
-  for (Bucket* each : {&reads_, &writes_}) {
-    each->tokens =
-        std::min(each->burst, each->tokens + seconds * each->per_second);
+  const double seconds = ToSeconds(now - refilled_at_);
+  refilled_at_ = now;
+  for (Bucket* refilled : {&reads_, &writes_}) {
+    refilled->tokens = std::min(
+        refilled->burst, refilled->tokens + seconds * refilled->per_second);
   }
 
   if (bucket.tokens < 1.0) {
@@ -85,44 +86,45 @@
 }
 
 RateLimitedTableStore::RateLimitedTableStore(ports::TableStore& table,
-                                             PlatformRateLimiter& budget)
-    : table_(table), budget_(budget) {}
+                                             PlatformRateLimiter& rate_limiter)
+    : table_(table), rate_limiter_(rate_limiter) {}
 
 Result<ports::Row, StoreFailure> RateLimitedTableStore::Read(
     std::string_view key) {
-  return Spend(budget_.TryAcquireRead(), budget_,
-               [&] { return table_.Read(key); });
+  return CallIfAllowed(rate_limiter_.TryAcquireRead(), rate_limiter_,
+                       [&] { return table_.Read(key); });
 }
 
 Result<std::vector<ports::Row>, StoreFailure> RateLimitedTableStore::Scan(
     std::string_view first,
     std::string_view last,
     std::size_t limit) {
-  return Spend(budget_.TryAcquireRead(), budget_,
-               [&] { return table_.Scan(first, last, limit); });
+  return CallIfAllowed(rate_limiter_.TryAcquireRead(), rate_limiter_,
+                       [&] { return table_.Scan(first, last, limit); });
 }
 
 Result<ports::TransactionOutcome, StoreFailure> RateLimitedTableStore::Commit(
     const ports::Transaction& transaction) {
-  return Spend(budget_.TryAcquireWrite(), budget_,
-               [&] { return table_.Commit(transaction); });
+  return CallIfAllowed(rate_limiter_.TryAcquireWrite(), rate_limiter_,
+                       [&] { return table_.Commit(transaction); });
 }
 
-RateLimitedObjectStore::RateLimitedObjectStore(ports::ObjectStore& objects,
-                                               PlatformRateLimiter& budget)
-    : objects_(objects), budget_(budget) {}
+RateLimitedObjectStore::RateLimitedObjectStore(
+    ports::ObjectStore& objects,
+    PlatformRateLimiter& rate_limiter)
+    : objects_(objects), rate_limiter_(rate_limiter) {}
 
 Result<std::optional<std::string>, StoreFailure> RateLimitedObjectStore::Get(
     std::string_view name) {
-  return Spend(budget_.TryAcquireRead(), budget_,
-               [&] { return objects_.Get(name); });
+  return CallIfAllowed(rate_limiter_.TryAcquireRead(), rate_limiter_,
+                       [&] { return objects_.Get(name); });
 }
 
 Result<Success, StoreFailure> RateLimitedObjectStore::Put(
     std::string_view name,
     std::string_view bytes) {
-  return Spend(budget_.TryAcquireWrite(), budget_,
-               [&] { return objects_.Put(name, bytes); });
+  return CallIfAllowed(rate_limiter_.TryAcquireWrite(), rate_limiter_,
+                       [&] { return objects_.Put(name, bytes); });
 }
 
 }  // namespace medlarcroft::catalogue
--- a/tests/unit/catalogue/catalogue_poller_test.cc
+++ b/tests/unit/catalogue/catalogue_poller_test.cc
@@ -12,26 +12,26 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// One host: its budget, replica and relay on a shared platform.
+/// A host with its rate limiter, replica and poller on a shared platform.
 struct Node {
   explicit Node(fakes::CataloguePlatform& shared,
                 PlatformRateLimiter::Options options = {})
-      : platform(shared), budget(options, shared.clock) {}
+      : platform(shared), rate_limiter(options, shared.clock) {}
 
   fakes::CataloguePlatform& platform;
-  PlatformRateLimiter budget;
-  RateLimitedTableStore table{platform.table, budget};
-  RateLimitedObjectStore objects{platform.objects, budget};
+  PlatformRateLimiter rate_limiter;
+  RateLimitedTableStore table{platform.table, rate_limiter};
+  RateLimitedObjectStore objects{platform.objects, rate_limiter};
   CatalogueReader reader{table, objects};
   CatalogueReplica replica{{}, platform.clock};
-  CataloguePoller relay{{},
-                        {.reader = reader,
-                         .replica = replica,
-                         .clock = platform.clock,
-                         .random = platform.random}};
+  CataloguePoller poller{{},
+                         {.reader = reader,
+                          .replica = replica,
+                          .clock = platform.clock,
+                          .random = platform.random}};
 };
 
-class CatalogueRelayTest : public testing::Test {
+class CataloguePollerTest : public testing::Test {
  protected:
   void Accept(int count) {
     for (int i = 0; i < count; ++i) {
@@ -41,11 +41,12 @@
     }
   }
 
-  /// Steps for `duration` of virtual time, waiting as each step says.
-  void Run(Node& node, bool is_relay, Duration duration) {
+  /// Steps the poller for `duration` of virtual time, with the waits that it
+  /// returns.
+  void Run(Node& node, bool is_duty_host, Duration duration) {
     const MonotonicTime end = platform_.clock.Now() + duration;
     while (platform_.clock.Now() < end) {
-      platform_.clock.Advance(node.relay.Step(is_relay));
+      platform_.clock.Advance(node.poller.Step(is_duty_host));
     }
   }
 
@@ -54,30 +55,30 @@
   std::uint64_t version_ = 0;
 };
 
-TEST_F(CatalogueRelayTest, BringsChangesAndColdStartsFromASnapshot) {
+TEST_F(CataloguePollerTest, ReadsChangesAndColdStartsFromSnapshot) {
   Accept(150);
   Node node(platform_);
 
-  node.relay.Step(true);
+  node.poller.Step(true);
   EXPECT_EQ(node.replica.Revision(), 150U);
   EXPECT_TRUE(node.replica.IsReady());
-  EXPECT_EQ(node.budget.Counts().reads, 4U);
+  EXPECT_EQ(node.rate_limiter.Counts().reads, 4U);
 
   Accept(1);
-  node.relay.Step(true);
+  node.poller.Step(true);
   EXPECT_EQ(node.replica.Revision(), 151U);
 }
 
-// The platform is down when a diskless host starts, and stays down. A peer in
-// its domain holds the catalogue; the host takes it from there and serves.
-TEST_F(CatalogueRelayTest, APeerReplacesAPlatformThatIsDownAtColdStart) {
+// The platform is down when a diskless host starts, and stays down. The host
+// gets the catalogue from a peer in its domain and becomes ready.
+TEST_F(CataloguePollerTest, ColdStartsFromPeerWhilePlatformIsDown) {
   Accept(70);
   Node peer(platform_);
-  peer.relay.Step(true);
+  peer.poller.Step(true);
   platform_.table.SetDown(true);
   Node fresh(platform_);
 
-  fresh.relay.Step(true);
+  fresh.poller.Step(true);
   EXPECT_FALSE(fresh.replica.IsReady());
   fresh.replica.NoteRevision(peer.replica.Revision(), RevisionSource::kPeer);
   EXPECT_FALSE(fresh.replica.IsReady());
@@ -87,17 +88,17 @@
 
   EXPECT_TRUE(fresh.replica.IsReady());
   EXPECT_EQ(fresh.replica.Revision(), 70U);
-  EXPECT_FALSE(fresh.budget.Reachability().is_reachable);
+  EXPECT_FALSE(fresh.rate_limiter.Reachability().is_reachable);
 }
 
-// A copy of the table that lags answers with an older head than the one held.
-// The host must neither go back nor lose its readiness.
-TEST_F(CatalogueRelayTest, AStaleHeadChangesNothing) {
+// A lagging replica of the table returns an older head than the one held. The
+// host must neither revert nor lose its readiness.
+TEST_F(CataloguePollerTest, IgnoresStaleHead) {
   Accept(3);
   Node ahead(platform_);
   platform_.table.FreezeReads();
   platform_.table.UnfreezeReads();
-  ahead.relay.Step(true);
+  ahead.poller.Step(true);
   const Delta all = ahead.replica.ChangesSince(0, 10);
   platform_.table.FreezeReads();
 
@@ -108,43 +109,43 @@
   further.changes.push_back(next);
   further.to_revision = 4;
   (void)node.replica.Apply(further, RevisionSource::kPeer);
-  node.relay.Step(true);
+  node.poller.Step(true);
 
   EXPECT_EQ(node.replica.Revision(), 4U);
   EXPECT_TRUE(node.replica.IsReady());
-  EXPECT_EQ(node.relay.FailedSteps(), 0U);
+  EXPECT_EQ(node.poller.FailedSteps(), 0U);
 }
 
-// A table copy shows a new head but not yet the change's row. The step fails
-// and is repeated; no revision is skipped and no entry lost.
-TEST_F(CatalogueRelayTest, AHeadWithoutItsChangeIsAskedForAgain) {
+// A replica of the table shows a new head but not yet the row of its change.
+// The step fails and is repeated; no revision is skipped and no entry is lost.
+TEST_F(CataloguePollerTest, RereadsHeadWithoutItsChange) {
   Accept(1);
   Node node(platform_);
-  node.relay.Step(true);
+  node.poller.Step(true);
   node.replica.NoteRevision(2, RevisionSource::kPeer);
   EXPECT_EQ(node.replica.Revision(), 1U);
   EXPECT_FALSE(node.replica.IsCurrent());
 
   Accept(1);
-  node.relay.Step(true);
+  node.poller.Step(true);
   EXPECT_TRUE(node.replica.IsCurrent());
 }
 
-TEST_F(CatalogueRelayTest, AHostThatPeersFeedLeavesThePlatformAlone) {
+TEST_F(CataloguePollerTest, DoesNotReadPlatformWhilePeersDeliver) {
   Accept(1);
   Node node(platform_);
   for (int i = 0; i < 100; ++i) {
     node.replica.NoteRevision(0, RevisionSource::kPeer);
-    platform_.clock.Advance(node.relay.Step(false));
+    platform_.clock.Advance(node.poller.Step(false));
   }
 
-  EXPECT_EQ(node.budget.Counts().reads, 0U);
-  EXPECT_EQ(node.relay.Reason(), WatchReason::kNone);
+  EXPECT_EQ(node.rate_limiter.Counts().reads, 0U);
+  EXPECT_EQ(node.poller.Reason(), PollReason::kNone);
 }
 
-// A host that is no relay loses all its peers. Nobody would bring it changes
-// any more, so after a while it watches the head itself.
-TEST_F(CatalogueRelayTest, SilentPeersMakeAHostReadByItself) {
+// A host that is not a duty host loses all its peers. Nobody would deliver
+// changes to it any more, so after some time it polls the head itself.
+TEST_F(CataloguePollerTest, ReadsPlatformWhenPeersAreSilent) {
   Accept(2);
   Node node(platform_);
 
@@ -153,61 +154,62 @@
   Run(node, false, seconds(8));
 
   EXPECT_EQ(node.replica.Revision(), 2U);
-  EXPECT_EQ(node.relay.Reason(), WatchReason::kPeersSilent);
+  EXPECT_EQ(node.poller.Reason(), PollReason::kPeersSilent);
 }
 
-// Peers keep telling of a revision that none of them delivers.
-TEST_F(CatalogueRelayTest, AnUndeliveredRevisionIsReadFromThePlatform) {
+// Peers keep announcing a revision that none of them delivers.
+TEST_F(CataloguePollerTest, ReadsUndeliveredRevisionFromPlatform) {
   Accept(2);
   Node node(platform_);
   for (int i = 0; i < 30; ++i) {
     node.replica.NoteRevision(2, RevisionSource::kPeer);
-    platform_.clock.Advance(node.relay.Step(false));
+    platform_.clock.Advance(node.poller.Step(false));
   }
 
   EXPECT_EQ(node.replica.Revision(), 2U);
 }
 
-// The platform is down for ten minutes under the relays' polls, then returns
-// with a change. Polls must thin out meanwhile, and the change must still be in
-// force within the 18 s that owners expect.
-TEST_F(CatalogueRelayTest, BackOffSparesThePlatformAndEndsInTime) {
+// The platform is down for ten minutes while duty hosts poll it, then recovers
+// with a change. Polls must become less frequent during the outage, and the
+// change must still be in force within the 18 s that owners expect.
+TEST_F(CataloguePollerTest, BacksOffDuringOutageAndRecoversInTime) {
   Accept(1);
   Node node(platform_);
-  node.relay.Step(true);
+  node.poller.Step(true);
   platform_.table.SetDown(true);
-  const auto reads = node.budget.Counts().reads;
+  const auto reads = node.rate_limiter.Counts().reads;
 
   Run(node, true, std::chrono::minutes(10));
-  EXPECT_LE(node.budget.Counts().reads - reads, 110U);
-  EXPECT_GE(node.relay.FailedSteps(), 50U);
+  EXPECT_LE(node.rate_limiter.Counts().reads - reads, 110U);
+  EXPECT_GE(node.poller.FailedSteps(), 50U);
 
   platform_.table.SetDown(false);
   Accept(1);
   const MonotonicTime back = platform_.clock.Now();
   while (!node.replica.IsReady() || node.replica.Revision() < 2) {
-    platform_.clock.Advance(node.relay.Step(true));
+    platform_.clock.Advance(node.poller.Step(true));
   }
   EXPECT_LE(platform_.clock.Now() - back, seconds(12));
 }
 
-// Each read takes four seconds. The step is late but arrives, and reads from
-// the view go on meanwhile: nothing but this step waits for the platform.
-TEST_F(CatalogueRelayTest, ASlowPlatformOnlyDelaysTheStep) {
+// Each read takes four seconds. The step is late but succeeds, and reads of the
+// view continue meanwhile: only this step waits for the platform.
+TEST_F(CataloguePollerTest, SlowPlatformDelaysOnlyTheStep) {
   Accept(2);
   Node node(platform_);
   platform_.table.SetLatency(&platform_.clock, seconds(4));
 
-  node.relay.Step(true);
+  node.poller.Step(true);
 
   EXPECT_EQ(node.replica.Revision(), 2U);
-  EXPECT_EQ(node.relay.FailedSteps(), 0U);
+  EXPECT_EQ(node.poller.FailedSteps(), 0U);
 }
 
-// Of the 18 s in which a change must be in force everywhere, a domain's relays
-// take one poll; the rest is left for peers, retries and a lost relay.
-TEST_F(CatalogueRelayTest, AChangeReachesADomainWithinAPoll) {
-  Node relays[] = {Node(platform_), Node(platform_)};
+// Of the 18 s in which a change must be in force everywhere, a domain's duty
+// hosts take one poll; the rest is left for peers, retries and the loss of a
+// duty host.
+TEST_F(CataloguePollerTest, ChangeReachesDomainWithinOnePoll) {
+  Node nodes[] = {Node(platform_), Node(platform_)};
   MonotonicTime due[] = {platform_.clock.Now(), platform_.clock.Now()};
   const auto step_next = [&](MonotonicTime until) {
     const std::size_t next = due[0] <= due[1] ? 0 : 1;
@@ -216,7 +218,7 @@
       return false;
     }
     platform_.clock.Advance(due[next] - platform_.clock.Now());
-    due[next] += relays[next].relay.Step(true);
+    due[next] += nodes[next].poller.Step(true);
     return true;
   };
 
@@ -229,8 +231,8 @@
     while (step_next(accepted)) {
     }
     Accept(1);
-    while (relays[0].replica.Revision() < version_ &&
-           relays[1].replica.Revision() < version_) {
+    while (nodes[0].replica.Revision() < version_ &&
+           nodes[1].replica.Revision() < version_) {
       step_next(MonotonicTime::max());
     }
     const Duration taken = platform_.clock.Now() - accepted;
@@ -244,11 +246,11 @@
   EXPECT_LE(sum / kTried, milliseconds(600));
 }
 
-TEST_F(CatalogueRelayTest, PollsOfManyRelaysAreSpread) {
+TEST_F(CataloguePollerTest, SpreadsPollsOfManyHosts) {
   std::vector<Duration> waits;
   for (int i = 0; i < 20; ++i) {
     Node node(platform_);
-    waits.push_back(node.relay.Step(true));
+    waits.push_back(node.poller.Step(true));
   }
 
   const auto [least, most] = std::minmax_element(waits.begin(), waits.end());
@@ -257,15 +259,15 @@
   EXPECT_GE(*most - *least, milliseconds(200));
 }
 
-TEST(PlatformBudgetTest, RefusesBeyondItsRateAndCounts) {
+TEST(PlatformRateLimiterTest, RefusesCallsAboveRateAndCountsThem) {
   fakes::ManualClock clock;
   fakes::FakeTableStore table;
-  PlatformRateLimiter budget({.reads_per_second = 2,
-                              .read_burst = 5,
-                              .writes_per_second = 0.5,
-                              .write_burst = 1},
-                             clock);
-  RateLimitedTableStore store(table, budget);
+  PlatformRateLimiter rate_limiter({.reads_per_second = 2,
+                                    .read_burst = 5,
+                                    .writes_per_second = 0.5,
+                                    .write_burst = 1},
+                                   clock);
+  RateLimitedTableStore store(table, rate_limiter);
 
   for (int i = 0; i < 400; ++i) {
     (void)store.Read("k");
@@ -273,7 +275,7 @@
     clock.Advance(milliseconds(25));
   }
 
-  const PlatformCallCounts counts = budget.Counts();
+  const PlatformCallCounts counts = rate_limiter.Counts();
   EXPECT_EQ(table.Reads(), counts.reads);
   EXPECT_EQ(table.Commits(), counts.writes);
   EXPECT_NEAR(counts.reads, 5 + 2 * 10, 1);
--- a/tests/unit/catalogue/catalogue_replica_test.cc
+++ b/tests/unit/catalogue/catalogue_replica_test.cc
@@ -21,7 +21,7 @@
           .change_id = "c" + std::to_string(revision)};
 }
 
-/// Changes `first` to `last`; revision r sets r seats.
+/// Returns changes `first` to `last`; revision r sets r seats.
 Delta Changes(std::uint64_t first, std::uint64_t last) {
   Delta delta{.from_revision = first - 1, .to_revision = last};
   for (std::uint64_t r = first; r <= last; ++r) {
@@ -46,17 +46,17 @@
   CatalogueReplica replica_{{.kept_changes = 8}, clock_};
 };
 
-TEST_F(CatalogueReplicaTest, AppliesInOrder) {
+TEST_F(CatalogueReplicaTest, AppliesChangesInOrder) {
   ASSERT_TRUE(IsOk(FromPeer(Changes(1, 3))));
 
   EXPECT_EQ(replica_.Revision(), 3U);
   EXPECT_EQ(Seats(), 3U);
 }
 
-// Peers answer twice and out of order. The later revisions come first and must
-// wait for the missing ones; what comes again, or late, must not bring an older
-// limit back into force.
-TEST_F(CatalogueReplicaTest, DuplicatesAndDisorderNeverGoBackwards) {
+// Peers send duplicate and reordered deltas. A delta that arrives too early is
+// rejected until the missing changes arrive, and a repeated or late one must
+// not bring an older limit back into force.
+TEST_F(CatalogueReplicaTest, DuplicateOrReorderedDeltasNeverRevert) {
   const auto early = FromPeer(Changes(3, 4));
   EXPECT_EQ(ErrorOf(early), DeltaFault::kGap);
   EXPECT_EQ(replica_.Revision(), 0U);
@@ -69,9 +69,9 @@
   }
 }
 
-// A peer that was cut off sends its whole, older catalogue as a snapshot. It
+// A peer that was disconnected sends its older catalogue as a snapshot, which
 // must not replace the newer one.
-TEST_F(CatalogueReplicaTest, AnOlderSnapshotIsIgnored) {
+TEST_F(CatalogueReplicaTest, IgnoresOlderSnapshot) {
   CatalogueReplica old({}, clock_);
   (void)old.Apply(Changes(1, 2), RevisionSource::kPeer);
   (void)FromPeer(Changes(1, 4));
@@ -82,10 +82,11 @@
   EXPECT_EQ(Seats(), 4U);
 }
 
-// A host that holds a few changes leaps ahead by a snapshot. The changes it
-// kept no longer join on; peers behind it must get the snapshot, and peers at
-// it the changes that follow.
-TEST_F(CatalogueReplicaTest, ChangesKeptBeforeASnapshotAreNotServed) {
+// A host that holds a few changes skips ahead by a snapshot. The changes it
+// kept are no longer adjacent to the held revision, so peers behind the
+// snapshot must get the snapshot, and peers at its revision the changes that
+// follow.
+TEST_F(CatalogueReplicaTest, DoesNotServeChangesKeptBeforeSnapshot) {
   CatalogueReplica ahead({.kept_changes = 1}, clock_);
   (void)ahead.Apply(Changes(1, 10), RevisionSource::kPlatform);
   (void)FromPeer(Changes(1, 3));
@@ -96,7 +97,7 @@
   EXPECT_EQ(replica_.ChangesSince(10, 10).changes.size(), 1U);
 }
 
-TEST_F(CatalogueReplicaTest, DamagedChangeStopsBeforeItself) {
+TEST_F(CatalogueReplicaTest, StopsBeforeDamagedChange) {
   Delta delta = Changes(1, 3);
   delta.changes[1].document = "{\"kind\":";
 
@@ -105,10 +106,11 @@
   EXPECT_EQ(replica_.Status().refused_deltas, 1U);
 }
 
-// A newer version's host has stored a kind that this one doesn't know. The
-// revision must advance and the document travel on unchanged, or every older
-// host would stop there; the entry itself is reported as not understood.
-TEST_F(CatalogueReplicaTest, ANewerVersionsEntryIsPassedOnUnchanged) {
+// A host running a newer version stored a kind that this version does not know.
+// The revision must advance and the document must be forwarded unchanged, or
+// every older host would stop at this revision; the entry itself is reported as
+// not parsed.
+TEST_F(CatalogueReplicaTest, ForwardsEntryOfNewerVersionUnchanged) {
   const std::string document = R"({"kind":"quota","entry":"q","limit":3})";
   Delta delta = Changes(1, 2);
   delta.changes.push_back(
@@ -117,12 +119,12 @@
 
   ASSERT_TRUE(IsOk(FromPeer(delta)));
 
-  EXPECT_EQ(replica_.Status().not_understood,
+  EXPECT_EQ(replica_.Status().unparsed_entries,
             std::vector<EntryName>{EntryName("q")});
   EXPECT_EQ(replica_.ChangesSince(2, 10).changes.at(0).document, document);
 }
 
-TEST_F(CatalogueReplicaTest, AnUnreadableChangeKeepsTheLastUnderstoodLimit) {
+TEST_F(CatalogueReplicaTest, UnparsableChangeKeepsLastParsedLimit) {
   Delta delta = Changes(1, 2);
   delta.changes[1].document =
       R"({"kind":"failure-domain","failure_domain":"a","region":"r","seats":"many"})";
@@ -131,13 +133,13 @@
 
   EXPECT_EQ(replica_.Revision(), 2U);
   EXPECT_EQ(Seats(), 1U);
-  EXPECT_EQ(replica_.Status().not_understood.size(), 1U);
+  EXPECT_EQ(replica_.Status().unparsed_entries.size(), 1U);
 }
 
-// A fresh host hears of revision 5 from one peer, but first gets the catalogue
-// of another that is at 3. Answering from 3 would bring back what 4 and 5 have
-// changed, so it must not be ready before it holds 5.
-TEST_F(CatalogueReplicaTest, AFreshHostWaitsForTheHighestRevisionShown) {
+// A newly started host learns of revision 5 from one peer, but first receives
+// the catalogue at revision 3 from another. Answering from 3 would revert what
+// 4 and 5 changed, so it must not be ready before it holds 5.
+TEST_F(CatalogueReplicaTest, NewHostWaitsForHighestKnownRevision) {
   EXPECT_EQ(replica_.Status().not_ready_reasons,
             std::vector{NotReadyReason::kNoRevisionReceived});
   replica_.NoteRevision(5, RevisionSource::kPeer);
@@ -150,10 +152,11 @@
   EXPECT_TRUE(replica_.IsReady());
 }
 
-// All hosts of a domain start at once and first hear each other at revision 0.
-// If that made them ready, they would answer from each old revision while they
-// catch up; the platform's word that nothing was ever accepted does count.
-TEST_F(CatalogueReplicaTest, FreshHostsDoNotMakeEachOtherReady) {
+// All hosts of a domain start at once and first report revision 0 to each
+// other. If that made them ready, they would answer from each old revision
+// while they catch up. Revision 0 from the platform does count: it confirms
+// that nothing was ever accepted.
+TEST_F(CatalogueReplicaTest, NewHostsDoNotMakeEachOtherReady) {
   replica_.NoteRevision(0, RevisionSource::kPeer);
   EXPECT_FALSE(replica_.IsReady());
   EXPECT_EQ(replica_.Status().not_ready_reasons,
@@ -170,10 +173,10 @@
   EXPECT_TRUE(at_new_platform.IsReady());
 }
 
-// A host that serves hears of a revision that nobody can deliver just now. To
-// stop serving would turn one missing change into an outage; it goes on and
-// says that it is behind.
-TEST_F(CatalogueReplicaTest, AServingHostStaysReadyWhileItIsBehind) {
+// A serving host learns of a revision that nobody can deliver yet. Ceasing to
+// serve would turn one missing change into an outage, so it continues and
+// reports that it is behind.
+TEST_F(CatalogueReplicaTest, ServingHostStaysReadyWhileBehind) {
   (void)FromPeer(Changes(1, 3));
   clock_.Advance(seconds(10));
   replica_.NoteRevision(4, RevisionSource::kPeer);
@@ -186,37 +189,38 @@
   EXPECT_EQ(clock_.Now() - *replica_.BehindSince(), seconds(2));
 }
 
-TEST_F(CatalogueReplicaTest, TimesEachRevisionFromWhenItWasShown) {
+TEST_F(CatalogueReplicaTest, RecordsTimeFromFirstSeenToApplied) {
   replica_.NoteRevision(1, RevisionSource::kPeer);
   clock_.Advance(seconds(3));
   (void)FromPeer(Changes(1, 1));
 
   const auto timings = replica_.Timings();
   ASSERT_EQ(timings.size(), 1U);
-  EXPECT_EQ(timings[0].applied - timings[0].first_shown, seconds(3));
+  EXPECT_EQ(timings[0].applied - timings[0].first_seen, seconds(3));
 }
 
-struct Serving {
+struct ChangesSinceCase {
   std::string name;
-  std::uint64_t asked_from;
+  std::uint64_t peer_revision;
   std::size_t limit;
   bool is_snapshot;
   std::uint64_t to_revision;
   std::size_t changes;
 };
 
-void PrintTo(const Serving& serving, std::ostream* out) {
-  *out << serving.name;
+void PrintTo(const ChangesSinceCase& test_case, std::ostream* out) {
+  *out << test_case.name;
 }
 
-class Serves : public CatalogueReplicaTest,
-               public testing::WithParamInterface<Serving> {};
+class ChangesSinceTest : public CatalogueReplicaTest,
+                         public testing::WithParamInterface<ChangesSinceCase> {
+};
 
-TEST_P(Serves, WhatAPeerLacksWithinLimits) {
-  (void)FromPeer(Changes(1, 20));  // Keeps 13 to 20.
+TEST_P(ChangesSinceTest, ReturnsMissingChangesWithinLimits) {
+  (void)FromPeer(Changes(1, 20));  // Changes 13 to 20 are kept.
 
   const Delta delta =
-      replica_.ChangesSince(GetParam().asked_from, GetParam().limit);
+      replica_.ChangesSince(GetParam().peer_revision, GetParam().limit);
 
   EXPECT_EQ(delta.is_snapshot, GetParam().is_snapshot);
   EXPECT_EQ(delta.to_revision, GetParam().to_revision);
@@ -225,18 +229,19 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    Serves,
-    testing::Values(Serving{"Nothing", 20, 10, false, 20, 0},
-                    Serving{"NothingToOneAhead", 25, 10, false, 25, 0},
-                    Serving{"TheLast", 19, 10, false, 20, 1},
-                    Serving{"AllKept", 12, 100, false, 20, 8},
-                    Serving{"ALimitedPage", 12, 3, false, 15, 3},
-                    Serving{"AtLeastOne", 12, 0, false, 13, 1},
-                    Serving{"ASnapshotBeyond", 11, 10, true, 20, 1},
-                    Serving{"ASnapshotToAFreshHost", 0, 10, true, 20, 1}),
+    ChangesSinceTest,
+    testing::Values(
+        ChangesSinceCase{"Nothing", 20, 10, false, 20, 0},
+        ChangesSinceCase{"NothingForPeerAhead", 25, 10, false, 25, 0},
+        ChangesSinceCase{"LastChange", 19, 10, false, 20, 1},
+        ChangesSinceCase{"AllKeptChanges", 12, 100, false, 20, 8},
+        ChangesSinceCase{"LimitedPage", 12, 3, false, 15, 3},
+        ChangesSinceCase{"AtLeastOneChange", 12, 0, false, 13, 1},
+        ChangesSinceCase{"SnapshotBeforeKeptChanges", 11, 10, true, 20, 1},
+        ChangesSinceCase{"SnapshotForNewHost", 0, 10, true, 20, 1}),
     [](const auto& tested) { return tested.param.name; });
 
-TEST(CatalogueReplicaLimits, BytesBoundADeltaAndWhatIsKept) {
+TEST(CatalogueReplicaLimitsTest, ByteLimitsBoundDeltaAndKeptChanges) {
   fakes::ManualClock clock;
   const std::size_t one = SetSeats(1, 1).document.size();
   CatalogueReplica replica(
--- a/tests/unit/catalogue/catalogue_store_test.cc
+++ b/tests/unit/catalogue/catalogue_store_test.cc
@@ -34,7 +34,7 @@
   CatalogueStore store_ = platform_.MakeStore();
 };
 
-TEST_F(CatalogueStoreTest, EachChangeTakesOneRevisionAndOneVersion) {
+TEST_F(CatalogueStoreTest, EachChangeIncrementsRevisionAndVersion) {
   const auto created = store_.Accept(DomainChange("c1", "a", 0));
   const auto changed = store_.Accept(DomainChange("c2", "a", 1, 5));
   const auto other = store_.Accept(DomainChange("c3", "b", 0));
@@ -49,19 +49,19 @@
   EXPECT_EQ(ValueOf(history)[1].change_id, "c1");
 }
 
-TEST_F(CatalogueStoreTest, AChangeCostsFiveReadsAndOneWrite) {
+TEST_F(CatalogueStoreTest, ChangeTakesFiveReadsAndOneWrite) {
   (void)store_.Accept(DomainChange("c1", "a", 0));
   const std::size_t reads = platform_.table.Reads();
   const std::size_t commits = platform_.table.Commits();
 
   (void)store_.Accept(DomainChange("c2", "a", 1));
 
-  // Head, the change before, entry, change id, snapshots.
+  // Head, previous change, entry, change id, snapshots.
   EXPECT_EQ(platform_.table.Reads() - reads, 5U);
   EXPECT_EQ(platform_.table.Commits() - commits, 1U);
 }
 
-TEST_F(CatalogueStoreTest, DeletedNamesGoOnCountingVersions) {
+TEST_F(CatalogueStoreTest, VersionsContinueAfterDeletion) {
   (void)store_.Accept(DomainChange("c1", "a", 0));
   const auto deleted = store_.Accept(Deletion("c2", "a", 1));
   EXPECT_EQ(VersionOf("a"), 0U);
@@ -73,7 +73,7 @@
   EXPECT_EQ(FailureOf<VersionConflict>(stale).current_version, 3U);
 }
 
-TEST_F(CatalogueStoreTest, FaultsNameTheField) {
+TEST_F(CatalogueStoreTest, ReportsFieldFaults) {
   (void)store_.Accept(DomainChange("c1", "a", 0));
   auto stolen = DomainChange("c2", "a", 1);
   stolen.owner = OwnerName("other");
@@ -85,14 +85,14 @@
   EXPECT_EQ(Head(), 1U);
 }
 
-// Two operators have seen version 1 and both change the entry. The second one's
-// transaction is at the table first. The first operator must get a conflict
-// that shows the second's version, not overwrite it unseen.
-TEST_F(CatalogueStoreTest, OfTwoOperatorsWhoRaceOneGetsAConflict) {
+// Two operators have read version 1 and both change the entry. The second one's
+// transaction commits first. The first operator must get a conflict that
+// contains the second one's version instead of overwriting it.
+TEST_F(CatalogueStoreTest, OneOfTwoConcurrentOperatorsGetsConflict) {
   (void)store_.Accept(DomainChange("c1", "a", 0));
-  CatalogueStore rival = platform_.MakeStore();
-  platform_.table.SetBeforeCommit([&rival] {
-    EXPECT_TRUE(IsOk(rival.Accept(DomainChange("rival", "a", 1, 9))));
+  CatalogueStore other_store = platform_.MakeStore();
+  platform_.table.SetBeforeCommit([&other_store] {
+    EXPECT_TRUE(IsOk(other_store.Accept(DomainChange("rival", "a", 1, 9))));
   });
 
   const auto result = store_.Accept(DomainChange("c2", "a", 1, 4));
@@ -103,12 +103,14 @@
   EXPECT_EQ(Head(), 2U);
 }
 
-// A change of another entry takes the head between read and commit. Both
-// changes are good, so the loser must try again by itself and succeed.
-TEST_F(CatalogueStoreTest, ContentionForTheHeadIsRetried) {
-  CatalogueStore rival = platform_.MakeStore();
-  platform_.table.SetBeforeCommit(
-      [&rival] { (void)rival.Accept(DomainChange("rival", "b", 0)); });
+// A concurrent change of another entry updates the head between read and
+// commit. Both changes are valid, so the losing one must be retried
+// automatically and succeed.
+TEST_F(CatalogueStoreTest, RetriesAfterHeadContention) {
+  CatalogueStore other_store = platform_.MakeStore();
+  platform_.table.SetBeforeCommit([&other_store] {
+    (void)other_store.Accept(DomainChange("rival", "b", 0));
+  });
 
   const auto result = store_.Accept(DomainChange("c1", "a", 0));
 
@@ -116,23 +118,24 @@
   EXPECT_EQ(ValueOf(result).revision, 2U);
 }
 
-struct LostCommit {
+struct LostCommitCase {
   std::string name;
   std::vector<CommitFault> faults;
   bool was_already_accepted;
 };
 
-void PrintTo(const LostCommit& lost, std::ostream* out) {
+void PrintTo(const LostCommitCase& lost, std::ostream* out) {
   *out << lost.name;
 }
 
-class LostCommits : public CatalogueStoreTest,
-                    public testing::WithParamInterface<LostCommit> {};
+class LostCommitTest : public CatalogueStoreTest,
+                       public testing::WithParamInterface<LostCommitCase> {};
 
-// The answer to the commit is lost, with or without its effect. The operator
-// must be told "accepted" for one change, never two, and never a conflict with
-// the operator's own change: the change-id row settles which it was.
-TEST_P(LostCommits, EndInExactlyOneChange) {
+// The response to the commit is lost, with or without the commit taking effect.
+// The operator must be told "accepted" for exactly one change, and must never
+// get a conflict with its own change: the change-id row determines which it
+// was.
+TEST_P(LostCommitTest, ResultsInExactlyOneChange) {
   platform_.table.FailNextCommits(GetParam().faults);
 
   const auto result = store_.Accept(DomainChange("c1", "a", 0));
@@ -148,21 +151,22 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    LostCommits,
-    testing::Values(LostCommit{"Effect", {CommitFault::kResponseLost}, true},
-                    LostCommit{"NoEffect", {CommitFault::kRequestLost}, false},
-                    LostCommit{"LateEffect", {CommitFault::kDelayed}, false},
-                    LostCommit{
-                        "TwiceThenEffect",
-                        {CommitFault::kRequestLost, CommitFault::kDelayed,
-                         CommitFault::kResponseLost},
-                        true}),
+    LostCommitTest,
+    testing::Values(
+        LostCommitCase{"Effect", {CommitFault::kResponseLost}, true},
+        LostCommitCase{"NoEffect", {CommitFault::kRequestLost}, false},
+        LostCommitCase{"LateEffect", {CommitFault::kDelayed}, false},
+        LostCommitCase{"TwiceThenEffect",
+                       {CommitFault::kRequestLost, CommitFault::kDelayed,
+                        CommitFault::kResponseLost},
+                       true}),
     [](const auto& tested) { return tested.param.name; });
 
-// The commit takes effect, its answer is lost, and the platform can't be read
-// afterwards. "Not made" would be false and "made" unproved, so the operator
-// gets the change id and asks again with it once the platform is back.
-TEST_F(CatalogueStoreTest, UnsettledChangeIsUnknownAndAskedForAgain) {
+// The commit takes effect, its response is lost, and the platform cannot be
+// read afterwards. "Not made" would be wrong and "made" is not proven, so the
+// operator gets the change id and repeats the request with it once the platform
+// is available again.
+TEST_F(CatalogueStoreTest, UnconfirmedChangeIsUnknownUntilRepeated) {
   platform_.table.FailNextCommits({CommitFault::kResponseLost});
   platform_.table.SetBeforeCommit(
       [this] { platform_.table.SetReadsFailing(true); });
@@ -177,10 +181,11 @@
   EXPECT_EQ(Head(), 1U);
 }
 
-// The commit's answer is lost while reads come from a copy that lags behind it:
-// the entry looks absent and unchanged. A conflict told from such reads would
-// be false, since the change was made; the commit's own conditions tell.
-TEST_F(CatalogueStoreTest, LaggingReadsDoNotMakeAFalseConflict) {
+// The response to the commit is lost while reads come from a lagging replica,
+// so that the entry looks absent and unchanged. Reporting a conflict based on
+// such reads would be wrong, because the change was made; the commit's own
+// conditions show this.
+TEST_F(CatalogueStoreTest, LaggingReadsCauseNoFalseConflict) {
   (void)store_.Accept(DomainChange("c1", "a", 0));
   platform_.table.FailNextCommits({CommitFault::kResponseLost});
   platform_.table.SetBeforeCommit([this] { platform_.table.FreezeReads(); });
@@ -192,15 +197,15 @@
   EXPECT_TRUE(ValueOf(result).was_already_accepted);
 }
 
-// The first attempt is still on its way when a rival changes the entry. As the
-// rival has moved the head on, the late commit can't take effect any more, and
-// only because that is proved may the operator be told of a conflict.
-TEST_F(CatalogueStoreTest, ConflictAfterALostCommitIsProved) {
+// The first attempt is still in transit when a concurrent writer changes the
+// entry. Because that writer has advanced the head, the late commit can no
+// longer take effect; only with this proof may the operator get a conflict.
+TEST_F(CatalogueStoreTest, ReportsProvenConflictAfterLostCommit) {
   (void)store_.Accept(DomainChange("c1", "a", 0));
-  CatalogueStore rival = platform_.MakeStore();
+  CatalogueStore other_store = platform_.MakeStore();
   platform_.table.FailNextCommits({CommitFault::kDelayed});
-  platform_.on_sleep = [&rival] {
-    EXPECT_TRUE(IsOk(rival.Accept(DomainChange("rival", "a", 1, 9))));
+  platform_.on_sleep = [&other_store] {
+    EXPECT_TRUE(IsOk(other_store.Accept(DomainChange("rival", "a", 1, 9))));
   };
 
   const auto result = store_.Accept(DomainChange("c2", "a", 1, 7));
@@ -211,15 +216,15 @@
   EXPECT_EQ(VersionOf("a"), 2U);
 }
 
-// As before, but the platform loses every answer that would prove it. Reads
-// show the rival's version; still nobody has proved that the late commit won't
-// come, so "conflict" must not be said.
-TEST_F(CatalogueStoreTest, ConflictThatIsNotProvedIsUnknown) {
+// As above, but the platform loses every response that would prove it. Reads
+// show the concurrent writer's version, but it is not proven that the late
+// commit will never take effect, so no conflict may be reported.
+TEST_F(CatalogueStoreTest, UnprovenConflictIsUnknown) {
   (void)store_.Accept(DomainChange("c1", "a", 0));
-  CatalogueStore rival = platform_.MakeStore();
+  CatalogueStore other_store = platform_.MakeStore();
   platform_.table.FailNextCommits({CommitFault::kDelayed});
-  platform_.on_sleep = [this, &rival] {
-    (void)rival.Accept(DomainChange("rival", "a", 1, 9));
+  platform_.on_sleep = [this, &other_store] {
+    (void)other_store.Accept(DomainChange("rival", "a", 1, 9));
     platform_.table.FailNextCommits(
         std::vector<CommitFault>(20, CommitFault::kRequestLost));
   };
@@ -229,9 +234,9 @@
   EXPECT_EQ(FailureOf<ChangeOutcomeUnknown>(result).change_id, "c2");
 }
 
-// The platform is down from the start: nothing was sent, so "not made" is
-// proved and the operator may simply try again later.
-TEST_F(CatalogueStoreTest, DownPlatformIsUnavailableNotUnknown) {
+// The platform is down from the start. Nothing was sent, so it is proven that
+// the change was not made, and the operator may simply retry later.
+TEST_F(CatalogueStoreTest, ReportsUnavailableWhenPlatformIsDown) {
   platform_.table.SetDown(true);
 
   (void)FailureOf<StoreUnavailable>(store_.Accept(DomainChange("c1", "a", 0)));
@@ -239,7 +244,7 @@
   EXPECT_EQ(Head(), 0U);
 }
 
-TEST_F(CatalogueStoreTest, SlowPlatformEndsWithinTheTimeLimit) {
+TEST_F(CatalogueStoreTest, StopsWithinTimeLimitOnSlowPlatform) {
   platform_.table.SetLatency(&platform_.clock, std::chrono::seconds(4));
   platform_.table.SetReadsFailing(true);
   const MonotonicTime start = platform_.clock.Now();
@@ -249,10 +254,11 @@
   EXPECT_LE(platform_.clock.Now() - start, std::chrono::seconds(15));
 }
 
-// The platform came back from an older backup: its head is below what hosts
-// hold. They would ignore a change with such a number, so that an operator told
-// "accepted" would wait for ever; it has to be refused.
-TEST_F(CatalogueStoreTest, APlatformBehindItsHostsAcceptsNothing) {
+// The platform was restored from an older backup, so its head is below the
+// revision that hosts hold. Hosts would ignore a change with such a low
+// revision, and an operator told "accepted" would wait forever, so the change
+// must be rejected.
+TEST_F(CatalogueStoreTest, RejectsChangeWhenPlatformIsBehindHosts) {
   (void)store_.Accept(DomainChange("c1", "a", 0));
   auto change = DomainChange("c2", "a", 1);
   change.held_revision = 7;
@@ -264,15 +270,15 @@
   EXPECT_EQ(Head(), 1U);
 }
 
-// The host has the newest revision from a peer, and one read of the head comes
-// from a copy that lags. That is no lost revision: the next read shows it.
-TEST_F(CatalogueStoreTest, ALaggingHeadIsReadAgain) {
+// The host got the latest revision from a peer, and one read of the head comes
+// from a lagging replica. No revision is lost: the next read shows it.
+TEST_F(CatalogueStoreTest, RereadsLaggingHead) {
   (void)store_.Accept(DomainChange("c1", "a", 0));
   platform_.table.FreezeReads();
-  CatalogueStore rival = platform_.MakeStore();
-  platform_.on_sleep = [this, &rival] {
+  CatalogueStore other_store = platform_.MakeStore();
+  platform_.on_sleep = [this, &other_store] {
     platform_.table.UnfreezeReads();
-    (void)rival.Accept(DomainChange("rival", "b", 0));
+    (void)other_store.Accept(DomainChange("rival", "b", 0));
   };
   auto change = DomainChange("c2", "a", 1);
   change.held_revision = 2;
@@ -280,7 +286,7 @@
   EXPECT_EQ(ValueOf(store_.Accept(change)).revision, 3U);
 }
 
-TEST_F(CatalogueStoreTest, RepeatedIdIsAnsweredAndAReusedOneRefused) {
+TEST_F(CatalogueStoreTest, AcceptsRepeatedIdAndRejectsReusedId) {
   (void)store_.Accept(DomainChange("c1", "a", 0));
 
   const auto repeated = store_.Accept(DomainChange("c1", "a", 0));
@@ -291,11 +297,11 @@
   EXPECT_EQ(Head(), 1U);
 }
 
-class Snapshots : public testing::Test {
+class CatalogueSnapshotTest : public testing::Test {
  protected:
   static constexpr std::uint64_t kChanges = 200;
 
-  Snapshots() {
+  CatalogueSnapshotTest() {
     for (std::uint64_t i = 0; i < kChanges; ++i) {
       EXPECT_TRUE(IsOk(store_.Accept(
           DomainChange("c" + std::to_string(i), "a", i, 1 + i % 9))));
@@ -314,7 +320,7 @@
   CatalogueStore store_ = platform_.MakeStore();
 };
 
-TEST_F(Snapshots, BoundTheReadsOfAColdStart) {
+TEST_F(CatalogueSnapshotTest, LimitReadsOfColdStart) {
   const std::size_t reads = platform_.table.Reads();
 
   EXPECT_EQ(ColdStart().Revision(), kChanges);
@@ -324,10 +330,10 @@
   EXPECT_EQ(platform_.table.Reads() - reads, 3U);
 }
 
-// The newest snapshot is cut short, the one before it has a flipped bit, and
-// the third is gone. A fresh host must not start from damaged entries, nor fail
-// to start: it reads every change instead and arrives at the same state.
-TEST_F(Snapshots, DamagedOnesArePassedOver) {
+// The latest snapshot is truncated, the one before it has a flipped bit, and
+// the third is missing. A new host must neither start from damaged entries nor
+// fail to start: it reads all changes and reaches the same state.
+TEST_F(CatalogueSnapshotTest, DamagedSnapshotsAreSkipped) {
   const std::string good = ColdStart().MakeSnapshot().changes.at(0).document;
   auto& objects = platform_.objects.Objects();
   auto newest = objects.find(std::prev(objects.end())->first);
@@ -344,9 +350,9 @@
   EXPECT_EQ(state.MakeSnapshot().changes.at(0).document, good);
 }
 
-// The object store is down while the table answers: a cold start does without
-// snapshots rather than wait.
-TEST_F(Snapshots, AreNotNeededToStart) {
+// The object store is down while the table is available: a cold start continues
+// without snapshots instead of waiting.
+TEST_F(CatalogueSnapshotTest, ColdStartWorksWithoutObjectStore) {
   platform_.objects.SetDown(true);
 
   EXPECT_EQ(ColdStart().Revision(), kChanges);
--- a/tests/unit/catalogue/catalogue_view_test.cc
+++ b/tests/unit/catalogue/catalogue_view_test.cc
@@ -13,7 +13,7 @@
           .body = std::move(body)};
 }
 
-TEST(CatalogueView, IndexesSurviveAMove) {
+TEST(CatalogueView, IndexesStayValidAfterMove) {
   std::map<EntryName, Entry> entries;
   entries.emplace(
       EntryName("s"),
--- a/tests/unit/catalogue/entry_codec_test.cc
+++ b/tests/unit/catalogue/entry_codec_test.cc
@@ -34,9 +34,9 @@
   *out << fault_case.name;
 }
 
-class EntryFaults : public testing::TestWithParam<FaultCase> {};
+class EntryFaultTest : public testing::TestWithParam<FaultCase> {};
 
-TEST_P(EntryFaults, NamesThePathAndWhatIsAllowed) {
+TEST_P(EntryFaultTest, ReportsPathAndAllowedValues) {
   const auto entry = ParseEntry(GetParam().document, UnknownFields::kRefuse);
 
   ASSERT_FALSE(IsOk(entry));
@@ -51,18 +51,18 @@
   return {
       {"Empty", "", "", FaultCode::kNotJson},
       {"List", "[]", "", FaultCode::kNotJson},
-      {"Cut", R"({"kind":"drain")", "", FaultCode::kNotJson},
+      {"Truncated", R"({"kind":"drain")", "", FaultCode::kNotJson},
       {"NotUtf8", "{\"kind\":\"\xff\"}", "", FaultCode::kNotJson},
       {"TooDeep",
        R"({"a":)" + std::string(20, '[') + std::string(20, ']') + "}", "",
        FaultCode::kNotJson},
       {"TooLarge", std::string(kMaxEntryBytes + 1, ' '), "",
        FaultCode::kTooLarge},
-      {"KeyTwice", R"({"kind":"drain","kind":"link"})", "",
+      {"DuplicateKey", R"({"kind":"drain","kind":"link"})", "",
        FaultCode::kDuplicate},
       {"NoKind", R"({"from":"a"})", "kind", FaultCode::kMissing},
-      {"OtherKind", R"({"kind":"host"})", "kind", FaultCode::kUnknownChoice},
-      {"KindNumber", R"({"kind":3})", "kind", FaultCode::kWrongType},
+      {"UnknownKind", R"({"kind":"host"})", "kind", FaultCode::kUnknownChoice},
+      {"NumberAsKind", R"({"kind":3})", "kind", FaultCode::kWrongType},
       {"NoSubjectName", R"({"kind":"drain","subject":"host"})", "name",
        FaultCode::kMissing},
       {"BadName", R"({"kind":"drain","subject":"host","name":"a/b"})", "name",
@@ -73,13 +73,13 @@
        "name", FaultCode::kBadFormat},
       {"UnknownField", Service(kTarget, R"(,"slot":3)"), "slot",
        FaultCode::kUnknownField},
-      {"Headroom", Service(kTarget, R"(,"reserved_headroom":1.5)"),
+      {"HeadroomOutOfRange", Service(kTarget, R"(,"reserved_headroom":1.5)"),
        "reserved_headroom", FaultCode::kOutOfRange},
       {"NegativeWeight", Service(kTarget, R"(,"weights":{"latency":-1})"),
        "weights.latency", FaultCode::kOutOfRange},
-      {"TtlText", Service(kTarget, R"(,"lookup_ttl_ms":"5s")"), "lookup_ttl_ms",
-       FaultCode::kWrongType},
-      {"TtlFraction", Service(kTarget, R"(,"lookup_ttl_ms":500.5)"),
+      {"TextAsTtl", Service(kTarget, R"(,"lookup_ttl_ms":"5s")"),
+       "lookup_ttl_ms", FaultCode::kWrongType},
+      {"FractionalTtl", Service(kTarget, R"(,"lookup_ttl_ms":500.5)"),
        "lookup_ttl_ms", FaultCode::kWrongType},
       {"TtlBeyond64Bits",
        Service(kTarget, R"(,"lookup_ttl_ms":18446744073709551615)"),
@@ -88,33 +88,33 @@
        Service(
            R"({"name":"d","failure_domain":"a","address":"1.2.3.4:5","slots":0})"),
        "targets[0].slots", FaultCode::kOutOfRange},
-      {"AddressName",
+      {"HostNameAsAddress",
        Service(
            R"({"name":"d","failure_domain":"a","address":"host:80","slots":1})"),
        "targets[0].address", FaultCode::kBadFormat},
-      {"AddressPort",
+      {"PortOutOfRange",
        Service(
            R"({"name":"d","failure_domain":"a","address":"1.2.3.4:70000","slots":1})"),
        "targets[0].address", FaultCode::kBadFormat},
-      {"TargetTwice",
+      {"DuplicateTarget",
        Service(std::string(kTarget) + "," + std::string(kTarget)),
        "targets[1].name", FaultCode::kDuplicate},
-      {"TargetText", Service("\"d\""), "targets[0]", FaultCode::kWrongType},
+      {"TextAsTarget", Service("\"d\""), "targets[0]", FaultCode::kWrongType},
       {"LinkToItself",
        R"({"kind":"link","from":"a","to":"a","latency_us":500,"capacity":1,)"
        R"("shift_step":1,"shift_window_ms":1000})",
        "to", FaultCode::kBadFormat},
-      {"OwnerText", Service(kTarget, R"(,"owner":"")"), "owner",
+      {"EmptyOwner", Service(kTarget, R"(,"owner":"")"), "owner",
        FaultCode::kBadFormat},
   };
 }
 
 INSTANTIATE_TEST_SUITE_P(Table,
-                         EntryFaults,
+                         EntryFaultTest,
                          testing::ValuesIn(FaultCases()),
                          [](const auto& tested) { return tested.param.name; });
 
-TEST(EntryCodec, ReportsAllFaultsAtOnce) {
+TEST(EntryCodecTest, ReportsAllFaultsAtOnce) {
   const auto entry = ParseEntry(
       R"({"kind":"link","from":3,"to":"b","latency_us":-1,"shift_step":"x",)"
       R"("shift_window_ms":1000,"limit":9})",
@@ -129,7 +129,7 @@
                                              "shift_step", "limit"}));
 }
 
-TEST(EntryCodec, ReadsUnitsAndKeepsDefaults) {
+TEST(EntryCodecTest, ReadsUnitsAndKeepsDefaults) {
   const auto entry = ParseEntry(
       Service(kTarget, R"(,"lookup_ttl_ms":2500,"weights":{"latency":5})"),
       UnknownFields::kRefuse);
@@ -144,9 +144,9 @@
 }
 
 // A host of this version reads a row that a newer version has stored. It must
-// use the entry: refusing it would stop every older host at that revision for
-// as long as an upgrade lasts.
-TEST(EntryCodec, StoredFieldsOfANewerVersionAreIgnored) {
+// use the entry: rejecting it would keep every older host at that revision for
+// the whole duration of an upgrade.
+TEST(EntryCodecTest, IgnoresStoredFieldsOfNewerVersion) {
   const std::string document = Service(
       std::string(kTarget.substr(0, kTarget.size() - 1)) + R"(,"warmth":0.5})",
       R"(,"x":1)");
@@ -155,7 +155,7 @@
   EXPECT_TRUE(IsOk(ParseEntry(document, UnknownFields::kIgnore)));
 }
 
-TEST(EntryCodec, HalfAMillisecondOfLinkLatencyIsKept) {
+TEST(EntryCodecTest, KeepsSubMillisecondLinkLatency) {
   const Entry link{.name = EntryName("link.a.b"),
                    .owner = OwnerName("net"),
                    .version = 3,
@@ -174,7 +174,7 @@
   EXPECT_EQ(std::get<LinkEntry>(ValueOf(read).body).latency, microseconds(500));
 }
 
-TEST(EntryCodec, CorpusRoundTrips) {
+TEST(EntryCodecTest, CorpusRoundTrips) {
   const std::filesystem::path corpus =
       std::filesystem::path(MEDLARCROFT_SOURCE_DIR) /
       "tests/fuzz/corpus/entry_codec";
--- a/tests/unit/catalogue/entry_rules_test.cc
+++ b/tests/unit/catalogue/entry_rules_test.cc
@@ -71,9 +71,9 @@
   *out << rule_case.name;
 }
 
-class EntryRules : public testing::TestWithParam<RuleCase> {};
+class EntryRulesTest : public testing::TestWithParam<RuleCase> {};
 
-TEST_P(EntryRules, RefusesWithPath) {
+TEST_P(EntryRulesTest, ReportsPathAndCode) {
   const FieldFaults faults = CheckChange(View(), GetParam().changed);
 
   ASSERT_EQ(faults.size(), 1U);
@@ -83,36 +83,38 @@
 
 std::vector<RuleCase> RuleCases() {
   return {
-      {"LinkFromNowhere", Link("x", "b"), "from", FaultCode::kUnknownReference},
-      {"SecondLink", Named(Link("a", "b"), "l2"), "to", FaultCode::kDuplicate},
-      {"TargetNowhere", Service("s2", "d2", "x"), "targets[0].failure_domain",
+      {"LinkFromUnknownDomain", Link("x", "b"), "from",
        FaultCode::kUnknownReference},
-      {"TargetOfOther", Service("s2", "d1", "a"), "targets[0].name",
+      {"DuplicateLink", Named(Link("a", "b"), "l2"), "to",
        FaultCode::kDuplicate},
-      {"SecondService", Named(Service("desk", "d2", "a"), "desk2"), "service",
+      {"TargetInUnknownDomain", Service("s2", "d2", "x"),
+       "targets[0].failure_domain", FaultCode::kUnknownReference},
+      {"TargetOfOtherService", Service("s2", "d1", "a"), "targets[0].name",
        FaultCode::kDuplicate},
-      {"SecondDomain", Named(Domain("a"), "a2"), "failure_domain",
+      {"DuplicateService", Named(Service("desk", "d2", "a"), "desk2"),
+       "service", FaultCode::kDuplicate},
+      {"DuplicateDomain", Named(Domain("a"), "a2"), "failure_domain",
        FaultCode::kDuplicate},
-      {"OwnerTakesOver", OwnedBy(Domain("a"), "other"), "owner",
+      {"ChangeByOtherOwner", OwnedBy(Domain("a"), "other"), "owner",
        FaultCode::kOwnerChange},
-      {"OtherKind", Named(Link("b", "a"), "domain.a"), "kind",
+      {"ChangedKind", Named(Link("b", "a"), "domain.a"), "kind",
        FaultCode::kNameMismatch},
       {"DrainOfUnknownTarget", Drain(DrainSubject::kTarget, "d9"), "name",
        FaultCode::kUnknownReference},
       {"DrainOfUnknownDomain", Drain(DrainSubject::kFailureDomain, "x"), "name",
        FaultCode::kUnknownReference},
-      {"DrainOfOthersTarget",
+      {"DrainOfTargetOfOtherOwner",
        OwnedBy(Drain(DrainSubject::kTarget, "d1"), "other"), "name",
        FaultCode::kOwnerChange},
   };
 }
 
 INSTANTIATE_TEST_SUITE_P(Table,
-                         EntryRules,
+                         EntryRulesTest,
                          testing::ValuesIn(RuleCases()),
                          [](const auto& tested) { return tested.param.name; });
 
-TEST(EntryRulesAccept, ChangesThatFit) {
+TEST(EntryRulesAcceptTest, ValidChanges) {
   for (const Entry& entry :
        {Link("b", "a"), Service("desk", "d7", "b"),
         Drain(DrainSubject::kTarget, "d1"),
@@ -122,7 +124,7 @@
   }
 }
 
-TEST(EntryRulesAccept, DeletionLeavesNoReferenceBehind) {
+TEST(EntryRulesAcceptTest, DeletionWithoutDanglingReference) {
   EXPECT_EQ(CheckDeletion(View(), EntryName("domain.a"), Ops()).size(), 2U);
   EXPECT_EQ(CheckDeletion(View(), EntryName("domain.b"), Ops()).size(), 1U);
   EXPECT_TRUE(CheckDeletion(View(), EntryName("link.a.b"), Ops()).empty());
