--- a/lib/libmedlarcroft/source/adapters/peer/compact_protocol.h
+++ b/lib/libmedlarcroft/source/adapters/peer/compact_protocol.h
@@ -12,15 +12,17 @@
 
 namespace medlarcroft::adapters {
 
-/// More than the hosts of the planned size (880) or the changes of one delta.
+/// Most items of a list, set or map in a message; more than the planned number
+/// of hosts (880) and the changes of one delta.
 inline constexpr std::int32_t kMaxContainerItems = 20'000;
 
-/// @brief The codec of all our messages, with bounds.
+/// @brief Creates the Thrift protocol of all messages, with size limits.
 ///
-/// Failure: a peer announces a list of two thousand million items. Symptom: the
-/// library multiplies the count by the item size in 32 bits, the product wraps,
-/// its own check passes, and the reader runs out of memory. A bound on the
-/// count is checked before that, and keeps the product small.
+/// When a peer announces a list of two thousand million items, Thrift
+/// multiplies the count by the item size in 32 bits. The product wraps,
+/// Thrift's own size check passes, and the reader runs out of memory. The
+/// container limit is checked before the multiplication and keeps the product
+/// small enough not to wrap.
 [[nodiscard]] inline std::shared_ptr<apache::thrift::protocol::TProtocol>
 MakeCompactProtocol(
     std::shared_ptr<apache::thrift::transport::TTransport> transport) {
--- a/lib/libmedlarcroft/source/adapters/peer/frame.h
+++ b/lib/libmedlarcroft/source/adapters/peer/frame.h
@@ -10,32 +10,35 @@
 
 namespace medlarcroft::adapters {
 
-/// Each message is preceded by its length, four bytes, most significant first.
+/// Each message is preceded by its length in bytes, as a 32-bit big-endian
+/// number.
 inline constexpr std::size_t kFrameHeaderBytes = 4;
 
-/// Bounds what one peer can make another allocate. A delta of 1,000 entries of
-/// 2 KB is the largest message; a corrupt length must not take the memory.
+/// Limits how much memory one peer can make another allocate, for example by a
+/// corrupt length. The largest message is a delta of 1,000 entries of 2 KB.
 inline constexpr std::size_t kMaxFrameBytes = std::size_t{4} * 1024 * 1024;
 
-/// @return the header that goes before `payload_bytes` bytes.
+/// @return the header for a payload of `payload_bytes` bytes.
 [[nodiscard]] std::array<std::uint8_t, kFrameHeaderBytes> EncodeFrameHeader(
     std::size_t payload_bytes);
 
-/// @return the announced payload size, or nullopt when it is 0 or too large.
+/// @return the payload size in bytes, or nullopt when it is 0 or above
+/// `kMaxFrameBytes`.
 [[nodiscard]] std::optional<std::size_t> DecodeFrameHeader(
     std::span<const std::uint8_t, kFrameHeaderBytes> header);
 
-/// @brief Cuts a byte stream into frames.
+/// @brief Splits a byte stream into frames.
 class FrameReader {
  public:
-  /// @brief Takes bytes as they arrive.
+  /// @brief Appends received bytes.
   void Append(std::span<const std::uint8_t> bytes);
 
-  /// @return the next whole payload, or nullopt when more bytes are needed or
-  /// the stream is corrupt.
+  /// @return the next complete payload, or nullopt when more bytes are needed
+  /// or the stream is corrupt.
   std::optional<std::string> Next();
 
-  /// @return whether a length was out of bounds; the stream can't be resumed.
+  /// @return whether a frame had an invalid length; the connection must be
+  /// closed.
   [[nodiscard]] bool IsCorrupt() const { return is_corrupt_; }
 
  private:
--- a/lib/libmedlarcroft/source/adapters/peer/frame_transport.cc
+++ b/lib/libmedlarcroft/source/adapters/peer/frame_transport.cc
@@ -24,7 +24,7 @@
                         static_cast<suseconds_t>(micros % 1'000'000));
 }
 
-[[noreturn]] void ThrowLast(const char* step) {
+[[noreturn]] void ThrowLastError(const char* step) {
   const bool is_timeout = errno == ETIME || errno == ETIMEDOUT;
   throw TTransportException(is_timeout ? TTransportException::TIMED_OUT
                                        : TTransportException::NOT_OPEN,
@@ -35,8 +35,10 @@
 
 FrameTransport::FrameTransport(std::string address,
                                Duration timeout,
-                               FrameBytes* bytes)
-    : address_(std::move(address)), timeout_(timeout), bytes_(bytes) {}
+                               FrameByteCounters* byte_counters)
+    : address_(std::move(address)),
+      timeout_(timeout),
+      byte_counters_(byte_counters) {}
 
 FrameTransport::~FrameTransport() {
   stream_.close();
@@ -56,7 +58,7 @@
   ACE_SOCK_Connector connector;
   const ACE_Time_Value timeout = ToTimeValue(timeout_);
   if (connector.connect(stream_, remote, &timeout) != 0) {
-    ThrowLast("connect");
+    ThrowLastError("connect");
   }
 }
 
@@ -75,13 +77,13 @@
   const ACE_Time_Value timeout = ToTimeValue(timeout_);
   const ssize_t sent =
       stream_.send_n(outgoing_.data(), outgoing_.size(), &timeout);
-  const bool is_whole = sent == static_cast<ssize_t>(outgoing_.size());
-  if (is_whole && bytes_ != nullptr) {
-    bytes_->sent += outgoing_.size();
+  const bool is_complete = sent == static_cast<ssize_t>(outgoing_.size());
+  if (is_complete && byte_counters_ != nullptr) {
+    byte_counters_->sent += outgoing_.size();
   }
   outgoing_.clear();
-  if (!is_whole) {
-    ThrowLast("send");
+  if (!is_complete) {
+    ThrowLastError("send");
   }
 }
 
@@ -106,21 +108,21 @@
   incoming_.resize(*size);
   consumed_ = 0;
   Receive(incoming_.data(), incoming_.size());
-  if (bytes_ != nullptr) {
-    bytes_->received += header.size() + incoming_.size();
+  if (byte_counters_ != nullptr) {
+    byte_counters_->received += header.size() + incoming_.size();
   }
 }
 
 void FrameTransport::Receive(void* buffer, std::size_t length) {
   const ACE_Time_Value timeout = ToTimeValue(timeout_);
-  const ssize_t got = stream_.recv_n(buffer, length, &timeout);
-  if (got == static_cast<ssize_t>(length)) {
+  const ssize_t received_bytes = stream_.recv_n(buffer, length, &timeout);
+  if (received_bytes == static_cast<ssize_t>(length)) {
     return;
   }
-  if (got == 0) {
+  if (received_bytes == 0) {
     throw TTransportException(TTransportException::END_OF_FILE, "closed");
   }
-  ThrowLast("receive");
+  ThrowLastError("receive");
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/peer/frame_transport.h
+++ b/lib/libmedlarcroft/source/adapters/peer/frame_transport.h
@@ -12,22 +12,25 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Bytes of frames that a client sent and got, headers of TCP and IP not
-/// counted.
-struct FrameBytes {
+/// @brief Bytes of frames sent and received by a client, including frame
+/// headers but no TCP or IP headers.
+struct FrameByteCounters {
   std::atomic<std::uint64_t> sent{0};
   std::atomic<std::uint64_t> received{0};
 };
 
-/// @brief Thrift's client side over an ACE socket: one frame a message, and a
-/// timeout on each step, so that a silent peer costs a bounded time.
+/// @brief Thrift client transport over an ACE socket. Each message is one
+/// frame, and each operation has a timeout, so that an unresponsive peer blocks
+/// the caller for a limited time only.
 class FrameTransport final
     : public apache::thrift::transport::TVirtualTransport<FrameTransport> {
  public:
-  /// @param bytes counts what passes; may be null, else outlives this.
+  /// @param address IP:port.
+  /// @param timeout limit of each connect, send and receive operation.
+  /// @param byte_counters may be null; must otherwise outlive the transport.
   FrameTransport(std::string address,
                  Duration timeout,
-                 FrameBytes* bytes = nullptr);
+                 FrameByteCounters* byte_counters = nullptr);
   ~FrameTransport() override;
   FrameTransport(const FrameTransport&) = delete;
   FrameTransport& operator=(const FrameTransport&) = delete;
@@ -37,7 +40,7 @@
   void close() override;
   void flush() override;
 
-  // TVirtualTransport calls these; the names are the library's.
+  // Called by TVirtualTransport, which prescribes the names.
   std::uint32_t read(std::uint8_t* buffer, std::uint32_t length);
   void write(const std::uint8_t* buffer, std::uint32_t length);
 
@@ -47,7 +50,7 @@
 
   const std::string address_;
   const Duration timeout_;
-  FrameBytes* const bytes_;
+  FrameByteCounters* const byte_counters_;
   ACE_SOCK_Stream stream_;
   std::string outgoing_;
   std::string incoming_;
--- a/lib/libmedlarcroft/source/adapters/peer/peer_channel.cc
+++ b/lib/libmedlarcroft/source/adapters/peer/peer_channel.cc
@@ -20,25 +20,25 @@
 using apache::thrift::transport::TMemoryBuffer;
 using peer_updates::UpdateRoute;
 
-// A host state without loads takes about a hundred bytes.
+/// Receive buffer size. A host state without loads takes about 100 bytes.
 constexpr std::size_t kMaxDatagramBytes = 1400;
 
 }  // namespace
 
-std::string EncodePeerUpdate(const PeerUpdate& news) {
+std::string EncodePeerUpdate(const PeerUpdate& update) {
   wire::PeerDatagram datagram;
-  if (news.state) {
-    membership::HostState brief = *news.state;
-    brief.loads.clear();
-    datagram.__set_state(ToWire(brief));
+  if (update.state) {
+    membership::HostState state_without_loads = *update.state;
+    state_without_loads.loads.clear();
+    datagram.__set_state(ToWire(state_without_loads));
   }
-  datagram.way = static_cast<std::int32_t>(news.way);
-  datagram.sender = static_cast<std::int32_t>(news.sender);
-  datagram.placed = peer_updates::EncodePlaced(news.placed);
-  datagram.loads = peer_updates::EncodeLoads(news.loads);
-  datagram.crashes = peer_updates::EncodeCrashes(news.crashes);
-  datagram.limits = peer_updates::EncodeLimits(news.limits);
-  datagram.heartbeats = membership::EncodeHeartbeats(news.heartbeats);
+  datagram.way = static_cast<std::int32_t>(update.way);
+  datagram.sender = static_cast<std::int32_t>(update.sender);
+  datagram.placed = peer_updates::EncodePlaced(update.placed);
+  datagram.loads = peer_updates::EncodeLoads(update.loads);
+  datagram.crashes = peer_updates::EncodeCrashes(update.crashes);
+  datagram.limits = peer_updates::EncodeLimits(update.limits);
+  datagram.heartbeats = membership::EncodeHeartbeats(update.heartbeats);
   const auto buffer = std::make_shared<TMemoryBuffer>();
   datagram.write(MakeCompactProtocol(buffer).get());
   return buffer->getBufferAsString();
@@ -65,17 +65,17 @@
       message.way > static_cast<std::int32_t>(UpdateRoute::kInterRegion)) {
     return std::nullopt;
   }
-  PeerUpdate news{.way = static_cast<UpdateRoute>(message.way),
-                  .sender = static_cast<std::uint32_t>(message.sender),
-                  .placed = std::move(*placed),
-                  .loads = std::move(*loads),
-                  .crashes = std::move(*crashes),
-                  .limits = std::move(*limits),
-                  .heartbeats = std::move(*heartbeats)};
+  PeerUpdate update{.way = static_cast<UpdateRoute>(message.way),
+                    .sender = static_cast<std::uint32_t>(message.sender),
+                    .placed = std::move(*placed),
+                    .loads = std::move(*loads),
+                    .crashes = std::move(*crashes),
+                    .limits = std::move(*limits),
+                    .heartbeats = std::move(*heartbeats)};
   if (message.__isset.state && !message.state.host.empty()) {
-    news.state = FromWire(message.state);
+    update.state = FromWire(message.state);
   }
-  return news;
+  return update;
 }
 
 Result<std::unique_ptr<PeerChannel>, PeerChannel::Failure> PeerChannel::Open(
@@ -109,13 +109,14 @@
   ::close(descriptor_);
 }
 
-// Made once for all: making it for each would take most of the processor time.
+// Encodes the datagram once for all addresses: encoding it for each would take
+// most of the CPU time.
 void PeerChannel::Send(std::span<const std::string> addresses,
-                       const PeerUpdate& news) {
+                       const PeerUpdate& update) {
   if (addresses.empty()) {
     return;
   }
-  const std::string datagram = EncodePeerUpdate(news);
+  const std::string datagram = EncodePeerUpdate(update);
   for (const std::string& address : addresses) {
     const auto parsed = ParseSocketAddress(address);
     if (!parsed) {
@@ -134,13 +135,13 @@
     if (count < 0) {
       return;
     }
-    const auto news =
+    const auto update =
         DecodePeerUpdate({buffer.data(), static_cast<std::size_t>(count)});
-    if (!news) {
+    if (!update) {
       ++malformed_;
       continue;
     }
-    receiver_(*news);
+    receiver_(*update);
   }
 }
 
--- a/lib/libmedlarcroft/source/adapters/peer/peer_channel.h
+++ b/lib/libmedlarcroft/source/adapters/peer/peer_channel.h
@@ -16,15 +16,15 @@
 namespace medlarcroft::adapters {
 
 [[nodiscard]] std::string EncodePeerUpdate(
-    const peer_updates::PeerUpdate& news);
+    const peer_updates::PeerUpdate& update);
 
-/// @return the news, or nullopt when `datagram` is none.
+/// @return the update, or nullopt when `datagram` is malformed.
 [[nodiscard]] std::optional<peer_updates::PeerUpdate> DecodePeerUpdate(
     std::string_view datagram);
 
-/// @brief Hosts tell each other that they live and what they placed, by
-/// datagrams: losing one costs little, and no connection has to be kept or
-/// found silent.
+/// @brief UDP socket on which hosts send each other heartbeats, host states and
+/// the requests that they placed. The loss of a datagram has little effect, and
+/// there are no connections to keep open or to check for silence.
 class PeerChannel final : public DescriptorHandler,
                           public peer_updates::UpdateSender {
  public:
@@ -35,12 +35,13 @@
   Open(EventLoop& loop, const std::string& address, Receiver receiver);
   ~PeerChannel() override;
 
-  /// @brief Sends to each address. One datagram that is lost, or that the
-  /// kernel does not take, is made up for by the next one.
+  /// @brief Sends the update to each address, without retries: later datagrams
+  /// make up for one that is lost or that the kernel does not accept.
+  /// @param addresses IP:port; invalid ones are skipped.
   void Send(std::span<const std::string> addresses,
-            const peer_updates::PeerUpdate& news) override;
+            const peer_updates::PeerUpdate& update) override;
 
-  [[nodiscard]] std::uint64_t Malformed() const { return malformed_; }
+  [[nodiscard]] std::uint64_t MalformedDatagrams() const { return malformed_; }
 
   void OnReadable() override;
   void OnWritable() override {}
--- a/lib/libmedlarcroft/source/adapters/peer/thrift_channel.h
+++ b/lib/libmedlarcroft/source/adapters/peer/thrift_channel.h
@@ -17,31 +17,34 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Why a call to another process of ours gave no answer.
-enum class PeerFailure {
-  kUnreachable,  ///< Nobody answers there, or the connection broke.
+/// @brief Why a Thrift call failed.
+enum class ThriftCallFailure {
+  kUnreachable,  ///< Could not connect, or the connection broke.
   kTimedOut,
-  kRefused,       ///< The peer understood the call and refused it.
-  kNotUnderstood  ///< The answer is no message of ours.
+  kRefused,         ///< The peer refused the call with `wire::PeerRefusal`.
+  kMalformedAnswer  ///< The answer could not be decoded.
 };
 
-/// @brief A connection to one Thrift service of ours, opened when needed and
-/// again after a failure. One call at a time.
+/// @brief A connection to a Thrift service, opened on first use and reopened
+/// after a failure. Thread-safe; processes one call at a time.
 template <typename Client>
 class ThriftChannel {
  public:
   /// @param address IP:port.
-  /// @param bytes counts what passes; may be null, else outlives this.
+  /// @param timeout limit of each connect, send and receive operation.
+  /// @param byte_counters may be null; must otherwise outlive the channel.
   ThriftChannel(std::string address,
                 Duration timeout,
-                FrameBytes* bytes = nullptr)
-      : address_(std::move(address)), timeout_(timeout), bytes_(bytes) {}
+                FrameByteCounters* byte_counters = nullptr)
+      : address_(std::move(address)),
+        timeout_(timeout),
+        byte_counters_(byte_counters) {}
 
-  /// @brief Runs `call(client)`; the call may have run at the other end
-  /// whatever the failure.
+  /// @brief Runs `call(client)`. After any failure, the peer may or may not
+  /// have executed the call.
   template <typename Call>
   auto Invoke(Call call)
-      -> Result<decltype(call(std::declval<Client&>())), PeerFailure> {
+      -> Result<decltype(call(std::declval<Client&>())), ThriftCallFailure> {
     const std::lock_guard lock(mutex_);
     try {
       if (!client_) {
@@ -49,15 +52,16 @@
       }
       return call(*client_);
     } catch (const wire::PeerRefusal&) {
-      return PeerFailure::kRefused;
+      return ThriftCallFailure::kRefused;
     } catch (const apache::thrift::transport::TTransportException& failure) {
       client_.reset();
       using Kind = apache::thrift::transport::TTransportException;
-      return failure.getType() == Kind::TIMED_OUT ? PeerFailure::kTimedOut
-                                                  : PeerFailure::kUnreachable;
+      return failure.getType() == Kind::TIMED_OUT
+                 ? ThriftCallFailure::kTimedOut
+                 : ThriftCallFailure::kUnreachable;
     } catch (const apache::thrift::TException&) {
       client_.reset();
-      return PeerFailure::kNotUnderstood;
+      return ThriftCallFailure::kMalformedAnswer;
     }
   }
 
@@ -66,7 +70,7 @@
  private:
   void Connect() {
     auto transport =
-        std::make_shared<FrameTransport>(address_, timeout_, bytes_);
+        std::make_shared<FrameTransport>(address_, timeout_, byte_counters_);
     transport->open();
     client_ =
         std::make_unique<Client>(MakeCompactProtocol(std::move(transport)));
@@ -74,7 +78,7 @@
 
   const std::string address_;
   const Duration timeout_;
-  FrameBytes* const bytes_;
+  FrameByteCounters* const byte_counters_;
   std::mutex mutex_;
   std::unique_ptr<Client> client_;
 };
--- a/lib/libmedlarcroft/source/adapters/peer/thrift_listener_metrics.h
+++ b/lib/libmedlarcroft/source/adapters/peer/thrift_listener_metrics.h
@@ -1,5 +1,5 @@
-#ifndef MEDLARCROFT_ADAPTERS_PEER_THRIFT_THRIFT_LISTENER_METRICS_H_
-#define MEDLARCROFT_ADAPTERS_PEER_THRIFT_THRIFT_LISTENER_METRICS_H_
+#ifndef MEDLARCROFT_ADAPTERS_PEER_THRIFT_LISTENER_METRICS_H_
+#define MEDLARCROFT_ADAPTERS_PEER_THRIFT_LISTENER_METRICS_H_
 
 #include <atomic>
 #include <string_view>
@@ -9,18 +9,18 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Metrics of one Thrift listener. Bad input never reaches the parts
-/// that count requests, so without these an operator would not see it.
+/// @brief Metrics of one Thrift listener. Malformed input never reaches the
+/// components that count requests, so only these metrics show it to operators.
 class ThriftListenerMetrics {
  public:
-  /// @param listener one of our constants.
+  /// @param listener value of the `listener` label; a string constant.
   ThriftListenerMetrics(telemetry::MetricsRegistry& metrics,
                         std::string_view listener);
 
-  /// @param counters outlive the last `Refresh`.
+  /// @param counters must outlive the last call of `Refresh`.
   void Watch(const ThriftServerCounters& counters) { counters_ = &counters; }
 
-  /// @brief Takes over the counters' values; called when metrics are read.
+  /// @brief Copies the counter values; call it before each read of the metrics.
   void Refresh();
 
  private:
@@ -32,4 +32,4 @@
 
 }  // namespace medlarcroft::adapters
 
-#endif  // MEDLARCROFT_ADAPTERS_PEER_THRIFT_THRIFT_LISTENER_METRICS_H_
+#endif  // MEDLARCROFT_ADAPTERS_PEER_THRIFT_LISTENER_METRICS_H_
--- a/lib/libmedlarcroft/source/adapters/peer/thrift_server.cc
+++ b/lib/libmedlarcroft/source/adapters/peer/thrift_server.cc
@@ -30,28 +30,29 @@
 using apache::thrift::TProcessor;
 using apache::thrift::transport::TMemoryBuffer;
 
-/// A peer that takes no answer for so long is cut off: a thread waits for it.
+/// The connection of a peer that does not accept an answer within this time is
+/// closed, because sending blocks a server thread.
 constexpr time_t kSendTimeoutSeconds = 1;
 
-/// A connection that went silent must not hold its place for ever; peers talk
-/// every second or so.
+/// An idle connection must not count against the connection limit for ever.
+/// Peers send about once a second.
 constexpr time_t kIdleTimeoutSeconds = 60;
 
 constexpr int kListenBacklog = 128;
 
 }  // namespace
 
-class ThriftServer::Engine {
+class ThriftServer::Impl {
  public:
-  Engine(const Options& options, std::shared_ptr<TProcessor> processor)
+  Impl(const Options& options, std::shared_ptr<TProcessor> processor)
       : options_(options),
         processor_(std::move(processor)),
         reactor_(new ACE_Dev_Poll_Reactor(), true),
         acceptor_(*this) {}
 
-  ~Engine() { Stop(); }
-  Engine(const Engine&) = delete;
-  Engine& operator=(const Engine&) = delete;
+  ~Impl() { Stop(); }
+  Impl(const Impl&) = delete;
+  Impl& operator=(const Impl&) = delete;
 
   bool Open() {
     if (!acceptor_.Open(options_.address)) {
@@ -73,8 +74,8 @@
     }
     threads_.clear();
     acceptor_.Close();
-    const std::set<Connection*> left = std::exchange(connections_, {});
-    for (Connection* connection : left) {
+    const std::set<Connection*> remaining = std::exchange(connections_, {});
+    for (Connection* connection : remaining) {
       reactor_.cancel_timer(connection);
       reactor_.remove_handler(connection, ACE_Event_Handler::ALL_EVENTS_MASK |
                                               ACE_Event_Handler::DONT_CALL);
@@ -87,13 +88,15 @@
   const ThriftServerCounters& Counters() const { return counters_; }
 
  private:
-  /// One peer's connection; the reactor calls it from one thread at a time.
+  /// Connection of one peer. The reactor calls its I/O handlers from one thread
+  /// at a time.
   class Connection final : public ACE_Event_Handler {
    public:
-    explicit Connection(Engine& engine)
-        : ACE_Event_Handler(&engine.reactor_), engine_(engine) {
-      // A timer may fire on one thread while another closes the connection;
-      // the reactor's references keep the object until both have left it.
+    explicit Connection(Impl& impl)
+        : ACE_Event_Handler(&impl.reactor_), impl_(impl) {
+      // A timer may fire on one thread while another closes the connection. The
+      // references held by the reactor keep the object alive until both have
+      // returned.
       reference_counting_policy().value(Reference_Counting_Policy::ENABLED);
     }
     ~Connection() override { stream_.close(); }
@@ -103,22 +106,23 @@
 
     int handle_input(ACE_HANDLE /*handle*/) override {
       std::array<std::uint8_t, 16 * 1024> chunk{};
-      const ssize_t got = stream_.recv(chunk.data(), chunk.size());
-      if (got < 0 && (errno == EWOULDBLOCK || errno == EINTR)) {
+      const ssize_t received_bytes = stream_.recv(chunk.data(), chunk.size());
+      if (received_bytes < 0 && (errno == EWOULDBLOCK || errno == EINTR)) {
         return 0;
       }
-      if (got <= 0) {
+      if (received_bytes <= 0) {
         return -1;
       }
-      is_heard_ = true;
-      engine_.counters_.bytes_in += static_cast<std::uint64_t>(got);
-      reader_.Append(std::span(chunk).first(static_cast<std::size_t>(got)));
+      has_received_ = true;
+      impl_.counters_.bytes_in += static_cast<std::uint64_t>(received_bytes);
+      reader_.Append(
+          std::span(chunk).first(static_cast<std::size_t>(received_bytes)));
       return ServeFrames();
     }
 
     int handle_timeout(const ACE_Time_Value& /*now*/,
                        const void* /*argument*/) override {
-      if (!is_heard_.exchange(false)) {
+      if (!has_received_.exchange(false)) {
         ACE_OS::shutdown(stream_.get_handle(), ACE_SHUTDOWN_BOTH);
       }
       return 0;
@@ -127,7 +131,7 @@
     int handle_close(ACE_HANDLE /*handle*/,
                      ACE_Reactor_Mask /*mask*/) override {
       if (!std::exchange(is_closed_, true)) {
-        engine_.Forget(this);
+        impl_.RemoveConnection(this);
       }
       return 0;
     }
@@ -135,13 +139,13 @@
    private:
     int ServeFrames() {
       while (const auto payload = reader_.Next()) {
-        engine_.counters_.frames++;
+        impl_.counters_.frames++;
         if (!Serve(*payload)) {
           return -1;
         }
       }
       if (reader_.IsCorrupt()) {
-        engine_.counters_.bad_frames++;
+        impl_.counters_.bad_frames++;
         return -1;
       }
       return 0;
@@ -153,37 +157,37 @@
                    static_cast<std::uint32_t>(payload.size()));
       auto output = std::make_shared<TMemoryBuffer>();
       try {
-        engine_.processor_->process(MakeCompactProtocol(input),
-                                    MakeCompactProtocol(output), nullptr);
+        impl_.processor_->process(MakeCompactProtocol(input),
+                                  MakeCompactProtocol(output), nullptr);
       } catch (const apache::thrift::TException&) {
-        engine_.counters_.bad_frames++;
+        impl_.counters_.bad_frames++;
         return false;
       }
-      return Answer(output->getBufferAsString());
+      return SendAnswer(output->getBufferAsString());
     }
 
-    bool Answer(const std::string& answer) {
+    bool SendAnswer(const std::string& answer) {
       const auto header = EncodeFrameHeader(answer.size());
       std::string frame(reinterpret_cast<const char*>(header.data()),
                         header.size());
       frame += answer;
       const ACE_Time_Value timeout(kSendTimeoutSeconds);
       const ssize_t sent = stream_.send_n(frame.data(), frame.size(), &timeout);
-      engine_.counters_.bytes_out += frame.size();
+      impl_.counters_.bytes_out += frame.size();
       return sent == static_cast<ssize_t>(frame.size());
     }
 
-    Engine& engine_;
+    Impl& impl_;
     ACE_SOCK_Stream stream_;
     FrameReader reader_;
-    std::atomic<bool> is_heard_{true};
+    std::atomic<bool> has_received_{true};
     bool is_closed_ = false;
   };
 
   class Acceptor final : public ACE_Event_Handler {
    public:
-    explicit Acceptor(Engine& engine)
-        : ACE_Event_Handler(&engine.reactor_), engine_(engine) {}
+    explicit Acceptor(Impl& impl)
+        : ACE_Event_Handler(&impl.reactor_), impl_(impl) {}
 
     bool Open(const std::string& address) {
       const auto parsed = ParseSocketAddress(address);
@@ -212,17 +216,17 @@
     ACE_HANDLE get_handle() const override { return acceptor_.get_handle(); }
 
     int handle_input(ACE_HANDLE /*handle*/) override {
-      auto connection = std::make_unique<Connection>(engine_);
+      auto connection = std::make_unique<Connection>(impl_);
       if (acceptor_.accept(connection->Stream()) != 0) {
         return 0;
       }
       connection->Stream().enable(ACE_NONBLOCK);
-      engine_.Adopt(std::move(connection));
+      impl_.AddConnection(std::move(connection));
       return 0;
     }
 
    private:
-    Engine& engine_;
+    Impl& impl_;
     ACE_SOCK_Acceptor acceptor_;
   };
 
@@ -234,7 +238,7 @@
     }
   }
 
-  void Adopt(std::unique_ptr<Connection> connection) {
+  void AddConnection(std::unique_ptr<Connection> connection) {
     const std::lock_guard lock(mutex_);
     if (connections_.size() >= options_.max_connections) {
       counters_.connections_refused++;
@@ -247,7 +251,7 @@
     reactor_.register_handler(raw, ACE_Event_Handler::READ_MASK);
   }
 
-  void Forget(Connection* connection) {
+  void RemoveConnection(Connection* connection) {
     const std::lock_guard lock(mutex_);
     if (connections_.erase(connection) == 0) {
       return;
@@ -266,34 +270,34 @@
   std::set<Connection*> connections_;
 };
 
-ThriftServer::ThriftServer(std::unique_ptr<Engine> engine)
-    : engine_(std::move(engine)) {}
+ThriftServer::ThriftServer(std::unique_ptr<Impl> impl)
+    : impl_(std::move(impl)) {}
 
 ThriftServer::~ThriftServer() = default;
 
-Result<std::unique_ptr<ThriftServer>, PeerListenFailure> ThriftServer::Start(
+Result<std::unique_ptr<ThriftServer>, ThriftListenFailure> ThriftServer::Start(
     const Options& options,
     std::shared_ptr<TProcessor> processor) {
   if (!ParseSocketAddress(options.address)) {
-    return PeerListenFailure::kBadAddress;
+    return ThriftListenFailure::kBadAddress;
   }
-  auto engine = std::make_unique<Engine>(options, std::move(processor));
-  if (!engine->Open()) {
-    return PeerListenFailure::kCannotBind;
+  auto impl = std::make_unique<Impl>(options, std::move(processor));
+  if (!impl->Open()) {
+    return ThriftListenFailure::kCannotBind;
   }
-  return std::unique_ptr<ThriftServer>(new ThriftServer(std::move(engine)));
+  return std::unique_ptr<ThriftServer>(new ThriftServer(std::move(impl)));
 }
 
 std::uint16_t ThriftServer::Port() const {
-  return engine_->Port();
+  return impl_->Port();
 }
 
 const ThriftServerCounters& ThriftServer::Counters() const {
-  return engine_->Counters();
+  return impl_->Counters();
 }
 
 void ThriftServer::Stop() {
-  engine_->Stop();
+  impl_->Stop();
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/peer/thrift_server.h
+++ b/lib/libmedlarcroft/source/adapters/peer/thrift_server.h
@@ -14,10 +14,10 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Why a peer listener could not be opened.
-enum class PeerListenFailure { kBadAddress, kCannotBind };
+/// @brief Why a Thrift listener could not be opened.
+enum class ThriftListenFailure { kBadAddress, kCannotBind };
 
-/// @brief What a peer listener has seen.
+/// @brief Traffic and errors of a Thrift listener since its start.
 struct ThriftServerCounters {
   std::atomic<std::uint64_t> frames{0};
   std::atomic<std::uint64_t> bytes_in{0};
@@ -26,18 +26,20 @@
   std::atomic<std::uint64_t> connections_refused{0};
 };
 
-/// @brief Serves a Thrift processor over framed compact messages on an ACE
-/// epoll reactor with a few threads. Calls must not block for long.
+/// @brief Serves a Thrift processor with the compact protocol in frames, on a
+/// few threads that share an ACE epoll reactor. Handlers must not block for
+/// long.
 class ThriftServer {
  public:
   struct Options {
-    std::string address;  ///< IP:port; port 0 takes a free one.
+    std::string address;  ///< IP:port; port 0 selects a free one.
     unsigned threads = 2;
-    /// Twice the hosts of a full domain (52), with the other domains' relays.
+    /// More than twice the hosts of a full failure domain (52), with room for
+    /// the relays of other domains.
     unsigned max_connections = 256;
   };
 
-  static Result<std::unique_ptr<ThriftServer>, PeerListenFailure> Start(
+  static Result<std::unique_ptr<ThriftServer>, ThriftListenFailure> Start(
       const Options& options,
       std::shared_ptr<apache::thrift::TProcessor> processor);
 
@@ -50,9 +52,9 @@
   void Stop();
 
  private:
-  class Engine;
-  explicit ThriftServer(std::unique_ptr<Engine> engine);
-  std::unique_ptr<Engine> engine_;
+  class Impl;
+  explicit ThriftServer(std::unique_ptr<Impl> impl);
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/peer/wire_conversion.cc
+++ b/lib/libmedlarcroft/source/adapters/peer/wire_conversion.cc
@@ -8,27 +8,27 @@
 
 namespace {
 
-std::uint32_t ToCount(std::int32_t number) {
+std::uint32_t FromWireCount(std::int32_t number) {
   return static_cast<std::uint32_t>(std::max(0, number));
 }
 
-std::uint64_t ToCount(std::int64_t number) {
+std::uint64_t FromWireCount(std::int64_t number) {
   return static_cast<std::uint64_t>(std::max<std::int64_t>(0, number));
 }
 
-std::int32_t ToInt(std::uint32_t number) {
-  constexpr auto kMost =
+std::int32_t ToWireCount(std::uint32_t number) {
+  constexpr auto kMax =
       static_cast<std::uint32_t>(std::numeric_limits<std::int32_t>::max());
-  return static_cast<std::int32_t>(std::min(number, kMost));
+  return static_cast<std::int32_t>(std::min(number, kMax));
 }
 
-std::int32_t ToAge(Duration age) {
-  constexpr std::int64_t kMost = std::numeric_limits<std::int32_t>::max();
+std::int32_t ToWireAge(Duration age) {
+  constexpr std::int64_t kMax = std::numeric_limits<std::int32_t>::max();
   return static_cast<std::int32_t>(
-      std::clamp<std::int64_t>(ToMilliseconds(age), 0, kMost));
+      std::clamp<std::int64_t>(ToMilliseconds(age), 0, kMax));
 }
 
-Duration FromAge(std::int32_t age_ms) {
+Duration FromWireAge(std::int32_t age_ms) {
   return std::chrono::milliseconds(std::max(0, age_ms));
 }
 
@@ -44,7 +44,7 @@
   return converted;
 }
 
-/// A phase that this version does not know counts as not ready.
+/// An unknown phase, as sent by another version, counts as not ready.
 membership::HostPhase PhaseFromWire(std::int32_t phase) {
   const auto& constants = wire::g_medlarcroft_constants;
   if (phase == constants.PHASE_READY) {
@@ -61,10 +61,10 @@
   out.incarnation = static_cast<std::int64_t>(summary.number.incarnation);
   out.sequence = static_cast<std::int64_t>(summary.number.sequence);
   out.loads = ConvertAll<wire::ServiceLoad>(summary.loads, &ToWire);
-  out.live_hosts = ToInt(summary.live_hosts);
+  out.live_hosts = ToWireCount(summary.live_hosts);
   out.catalogue_revision =
       static_cast<std::int64_t>(summary.catalogue_revision);
-  out.age_ms = ToAge(summary.age);
+  out.age_ms = ToWireAge(summary.age);
   return out;
 }
 
@@ -72,11 +72,12 @@
   membership::DomainSummary out;
   out.failure_domain = FailureDomainName(summary.failure_domain);
   out.reporter = HostName(summary.reporter);
-  out.number = {ToCount(summary.incarnation), ToCount(summary.sequence)};
+  out.number = {FromWireCount(summary.incarnation),
+                FromWireCount(summary.sequence)};
   out.loads = ConvertAll<membership::ServiceLoad>(summary.loads, &FromWire);
-  out.live_hosts = ToCount(summary.live_hosts);
-  out.catalogue_revision = ToCount(summary.catalogue_revision);
-  out.age = FromAge(summary.age_ms);
+  out.live_hosts = FromWireCount(summary.live_hosts);
+  out.catalogue_revision = FromWireCount(summary.catalogue_revision);
+  out.age = FromWireAge(summary.age_ms);
   return out;
 }
 
@@ -86,9 +87,9 @@
   wire::ServiceLoad out;
   out.service_name = load.service.Value();
   out.demand_per_second = load.demand_per_second;
-  out.outstanding = ToInt(load.outstanding);
-  out.queued = ToInt(load.queued);
-  out.usable_slots = ToInt(load.usable_slots);
+  out.outstanding = ToWireCount(load.outstanding);
+  out.queued = ToWireCount(load.queued);
+  out.usable_slots = ToWireCount(load.usable_slots);
   out.refused_per_second = load.refused_per_second;
   out.shifted_in_per_second = load.shifted_in_per_second;
   return out;
@@ -97,9 +98,9 @@
 membership::ServiceLoad FromWire(const wire::ServiceLoad& load) {
   return {.service = ServiceName(load.service_name),
           .demand_per_second = std::max(0.0, load.demand_per_second),
-          .outstanding = ToCount(load.outstanding),
-          .queued = ToCount(load.queued),
-          .usable_slots = ToCount(load.usable_slots),
+          .outstanding = FromWireCount(load.outstanding),
+          .queued = FromWireCount(load.queued),
+          .usable_slots = FromWireCount(load.usable_slots),
           .refused_per_second = std::max(0.0, load.refused_per_second),
           .shifted_in_per_second = std::max(0.0, load.shifted_in_per_second)};
 }
@@ -117,9 +118,9 @@
   out.share_address = state.share_address;
   out.catalogue_revision = static_cast<std::int64_t>(state.catalogue_revision);
   out.loads = ConvertAll<wire::ServiceLoad>(state.loads, &ToWire);
-  out.age_ms = ToAge(state.age);
+  out.age_ms = ToWireAge(state.age);
   for (const auto& [domain, seat] : state.seats) {
-    out.seats[domain.Value()] = ToInt(seat);
+    out.seats[domain.Value()] = ToWireCount(seat);
   }
   return out;
 }
@@ -128,17 +129,18 @@
   membership::HostState out;
   out.host = HostName(state.host);
   out.failure_domain = FailureDomainName(state.failure_domain);
-  out.number = {ToCount(state.incarnation), ToCount(state.sequence)};
+  out.number = {FromWireCount(state.incarnation),
+                FromWireCount(state.sequence)};
   out.phase = PhaseFromWire(state.phase);
   out.lookup_address = state.lookup_address;
   out.entry_address = state.entry_address;
   out.peer_address = state.peer_address;
   out.share_address = state.share_address;
-  out.catalogue_revision = ToCount(state.catalogue_revision);
+  out.catalogue_revision = FromWireCount(state.catalogue_revision);
   out.loads = ConvertAll<membership::ServiceLoad>(state.loads, &FromWire);
-  out.age = FromAge(state.age_ms);
+  out.age = FromWireAge(state.age_ms);
   for (const auto& [domain, seat] : state.seats) {
-    out.seats[FailureDomainName(domain)] = ToCount(seat);
+    out.seats[FailureDomainName(domain)] = FromWireCount(seat);
   }
   return out;
 }
@@ -151,9 +153,9 @@
   out.sequence = static_cast<std::int64_t>(observation.sequence);
   out.is_leaving = observation.is_leaving;
   out.is_ejected = observation.is_ejected;
-  out.outstanding = ToInt(observation.outstanding);
+  out.outstanding = ToWireCount(observation.outstanding);
   out.latency_ms = ToSeconds(observation.latency) * 1000.0;
-  out.age_ms = ToAge(observation.age);
+  out.age_ms = ToWireAge(observation.age);
   return out;
 }
 
@@ -161,13 +163,13 @@
     const wire::TargetObservation& observation) {
   return {.target = TargetName(observation.target),
           .observer = HostName(observation.observer),
-          .sequence = ToCount(observation.sequence),
+          .sequence = FromWireCount(observation.sequence),
           .is_leaving = observation.is_leaving,
           .is_ejected = observation.is_ejected,
-          .outstanding = ToCount(observation.outstanding),
+          .outstanding = FromWireCount(observation.outstanding),
           .latency =
               FromSeconds(std::clamp(observation.latency_ms, 0.0, 1e9) / 1000),
-          .age = FromAge(observation.age_ms)};
+          .age = FromWireAge(observation.age_ms)};
 }
 
 wire::Exchange ToWire(const membership::ExchangeContent& content,
@@ -193,7 +195,7 @@
       exchange.observations, &FromWire);
   out.summaries = ConvertAll<membership::DomainSummary>(exchange.summaries,
                                                         &SummaryFromWire);
-  // A field that can't be read costs only the signs of life in it.
+  // A field that can't be decoded loses only the heartbeats in it.
   out.heartbeats =
       membership::DecodeHeartbeats(exchange.heartbeats).value_or(Heartbeats());
   return out;
--- a/lib/libmedlarcroft/source/adapters/peer/wire_conversion.h
+++ b/lib/libmedlarcroft/source/adapters/peer/wire_conversion.h
@@ -6,8 +6,8 @@
 #include "medlarcroft/membership/host_state.h"
 
 /// @file
-/// @brief Between the messages of the peer protocol and the types of the
-/// library. Negative numbers from a faulty peer become 0.
+/// @brief Conversion between the messages of the peer protocol and the types of
+/// the library. Negative numbers from a faulty peer become 0.
 
 namespace medlarcroft::adapters {
 
--- a/lib/libmedlarcroft/source/adapters/platform/catalogue_wire_conversion.h
+++ b/lib/libmedlarcroft/source/adapters/platform/catalogue_wire_conversion.h
@@ -8,11 +8,11 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief The delta as peers send it.
+/// @return the delta as a message of the peer protocol.
 [[nodiscard]] wire::CatalogueDelta ToWire(const catalogue::Delta& delta);
 
-/// @return the delta, or nullopt when a revision is negative or a name is no
-/// entry name.
+/// @return the delta, or nullopt when a revision is negative or an entry name
+/// is invalid.
 [[nodiscard]] std::optional<catalogue::Delta> FromWire(
     const wire::CatalogueDelta& delta);
 
--- a/lib/libmedlarcroft/source/adapters/platform/http_platform.cc
+++ b/lib/libmedlarcroft/source/adapters/platform/http_platform.cc
@@ -15,31 +15,32 @@
 constexpr int kNoContent = 204;
 constexpr int kNotFound = 404;
 constexpr int kFirstError = 400;
-/// Calls come one at a time from a few background threads.
+/// A few background threads make one call at a time each.
 constexpr long kMaxIdleConnections = 8;
 
-/// A call that gave no whole answer had no effect only when it is proved that
-/// nothing was sent; a timeout or reset leaves the outcome open.
+/// A call without a complete answer is known to have had no effect only when
+/// nothing was sent. After a timeout or reset the outcome is unknown.
 StoreFailure FailureOf(const TransportError& error) {
   if (error.is_proved_unsent) {
     return StoreFailure::kUnavailable;
   }
-  // Too large means that the answer came but is of no use.
+  // An answer was received but exceeded the size limit.
   return error.failure == TransportFailure::kTooLarge
              ? StoreFailure::kBadAnswer
              : StoreFailure::kOutcomeUnknown;
 }
 
-/// A 5xx may come from something between us and the service that has lost the
-/// answer, so only the service's own word counts as "no effect".
+/// A 5xx status may come from a proxy that lost the answer of the service, so
+/// only the error code of the service itself proves that the call had no
+/// effect.
 StoreFailure FailureOf(const ClientResponse& answer) {
   return IsNotDoneBody(answer.body) ? StoreFailure::kUnavailable
                                     : StoreFailure::kOutcomeUnknown;
 }
 
-/// @return what `parse` makes of a 200 answer, or the failure.
+/// @return the result of `parse` for an answer with status 200, or the failure.
 template <typename Value>
-Result<Value, StoreFailure> Understand(
+Result<Value, StoreFailure> ParseAnswer(
     const Result<ClientResponse, StoreFailure>& answer,
     std::optional<Value> (*parse)(std::string_view body)) {
   if (!IsOk(answer)) {
@@ -63,8 +64,8 @@
                .ca_file = options_.ca_file}) {}
 
 Result<ports::Row, StoreFailure> HttpPlatform::Read(std::string_view key) {
-  return Understand(
-      Exchange(MakeRequest("GET", "/table/" + PercentEncode(key))), &ParseRow);
+  return ParseAnswer(Send(MakeRequest("GET", "/table/" + PercentEncode(key))),
+                     &ParseRow);
 }
 
 Result<std::vector<ports::Row>, StoreFailure> HttpPlatform::Scan(
@@ -74,7 +75,7 @@
   const std::string path = "/table?first=" + PercentEncode(first) +
                            "&last=" + PercentEncode(last) +
                            "&limit=" + std::to_string(limit);
-  return Understand(Exchange(MakeRequest("GET", path)), &ParseRows);
+  return ParseAnswer(Send(MakeRequest("GET", path)), &ParseRows);
 }
 
 Result<ports::TransactionOutcome, StoreFailure> HttpPlatform::Commit(
@@ -86,17 +87,18 @@
 
   ClientRequest request = MakeRequest("POST", "/table/commit");
   request.body = *std::move(body);
-  // On a reused connection libcurl may send the request twice. The second
-  // would find the first one's versions and answer "not committed" although
-  // the first has taken effect: a false conflict, which no caller could tell
-  // from a true one. A fresh connection is never resent on; ~1 ms a commit.
+  // On a reused connection libcurl may send the request twice. The second one
+  // would conflict with the versions written by the first and return "not
+  // committed" although the first took effect. Callers can't tell this false
+  // conflict from a real one. libcurl never resends on a fresh connection,
+  // which costs about 1 ms per commit.
   request.needs_fresh_connection = true;
-  return Understand(Exchange(std::move(request)), &ParseOutcome);
+  return ParseAnswer(Send(std::move(request)), &ParseOutcome);
 }
 
 Result<std::optional<std::string>, StoreFailure> HttpPlatform::Get(
     std::string_view name) {
-  auto answer = Exchange(MakeRequest("GET", "/objects/" + PercentEncode(name)));
+  auto answer = Send(MakeRequest("GET", "/objects/" + PercentEncode(name)));
   if (!IsOk(answer)) {
     return ErrorOf(answer);
   }
@@ -111,10 +113,11 @@
 
 Result<Success, StoreFailure> HttpPlatform::Put(std::string_view name,
                                                 std::string_view bytes) {
-  // Objects are whole and written under fresh names, so a resend does no harm.
+  // Objects are written as a whole and under new names, so a resend does no
+  // harm.
   ClientRequest request = MakeRequest("PUT", "/objects/" + PercentEncode(name));
   request.body = std::string(bytes);
-  const auto answer = Exchange(std::move(request));
+  const auto answer = Send(std::move(request));
   if (!IsOk(answer)) {
     return ErrorOf(answer);
   }
@@ -126,7 +129,7 @@
 }
 
 Result<std::vector<ports::ListedHost>, StoreFailure> HttpPlatform::List() {
-  return Understand(Exchange(MakeRequest("GET", "/hosts")), &ParseHosts);
+  return ParseAnswer(Send(MakeRequest("GET", "/hosts")), &ParseHosts);
 }
 
 ClientRequest HttpPlatform::MakeRequest(std::string method,
@@ -138,8 +141,7 @@
           .max_answer_bytes = options_.max_answer_bytes};
 }
 
-Result<ClientResponse, StoreFailure> HttpPlatform::Exchange(
-    ClientRequest request) {
+Result<ClientResponse, StoreFailure> HttpPlatform::Send(ClientRequest request) {
   ClientResult result = client_.SendAndWait(std::move(request));
   if (!IsOk(result)) {
     return FailureOf(ErrorOf(result));
--- a/lib/libmedlarcroft/source/adapters/platform/http_platform.h
+++ b/lib/libmedlarcroft/source/adapters/platform/http_platform.h
@@ -14,9 +14,9 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief The platform's table service, object store and host list over HTTP
-/// with JSON bodies. Every call blocks for at most the timeout and may come
-/// from any thread; none belongs on the path of a request.
+/// @brief Client of the platform's table service, object store and host list,
+/// over HTTP with JSON bodies. Thread-safe. Each call blocks for at most the
+/// timeout, so none may be made while a request waits for it.
 class HttpPlatform final : public ports::TableStore,
                            public ports::ObjectStore,
                            public ports::HostList {
@@ -24,8 +24,8 @@
   struct Options {
     std::string base_url;  ///< For example "http://127.0.0.1:7000".
     Duration timeout = std::chrono::seconds(2);
-    std::string ca_file;  ///< Trust anchors for https; empty: the system's.
-    /// Bounds memory for a page of rows or an object.
+    std::string ca_file;  ///< Trusted CAs for https; empty: the system's.
+    /// Limits the memory for a page of rows or an object.
     std::size_t max_answer_bytes = std::size_t{16} * 1024 * 1024;
   };
 
@@ -52,7 +52,7 @@
  private:
   [[nodiscard]] ClientRequest MakeRequest(std::string method,
                                           const std::string& path) const;
-  [[nodiscard]] Result<ClientResponse, ports::StoreFailure> Exchange(
+  [[nodiscard]] Result<ClientResponse, ports::StoreFailure> Send(
       ClientRequest request);
 
   const Options options_;
--- a/lib/libmedlarcroft/source/adapters/platform/platform_json.cc
+++ b/lib/libmedlarcroft/source/adapters/platform/platform_json.cc
@@ -11,16 +11,16 @@
 constexpr std::string_view kEntryHostRole = "entry-host";
 constexpr std::string_view kTargetRole = "target";
 
-std::optional<std::string> Dump(const json& value) {
+std::optional<std::string> DumpJson(const json& value) {
   try {
     return value.dump();
   } catch (const json::type_error&) {
-    return std::nullopt;  // Not UTF-8.
+    return std::nullopt;  // Not valid UTF-8.
   }
 }
 
-/// @brief Runs `read` on the parsed body; any missing member or wrong type
-/// means that the body is not understood.
+/// @return the result of `read` on the parsed body, or nullopt when the body is
+/// no JSON, lacks a member or has a member of another type.
 template <typename Value, typename Reader>
 std::optional<Value> ParseWith(std::string_view body, Reader read) {
   try {
@@ -92,7 +92,7 @@
 }  // namespace
 
 std::optional<std::string> FormatRow(const ports::Row& row) {
-  return Dump(ToJson(row));
+  return DumpJson(ToJson(row));
 }
 
 std::optional<ports::Row> ParseRow(std::string_view body) {
@@ -100,7 +100,7 @@
 }
 
 std::optional<std::string> FormatRows(const std::vector<ports::Row>& rows) {
-  return Dump({{"rows", ToJson(rows)}});
+  return DumpJson({{"rows", ToJson(rows)}});
 }
 
 std::optional<std::vector<ports::Row>> ParseRows(std::string_view body) {
@@ -119,7 +119,7 @@
   for (const ports::RowWrite& write : transaction.writes) {
     writes.push_back(ToJson(write));
   }
-  return Dump({{"conditions", conditions}, {"writes", writes}});
+  return DumpJson({{"conditions", conditions}, {"writes", writes}});
 }
 
 std::optional<ports::Transaction> ParseTransaction(std::string_view body) {
@@ -139,8 +139,8 @@
 
 std::optional<std::string> FormatOutcome(
     const ports::TransactionOutcome& outcome) {
-  return Dump({{"committed", outcome.committed},
-               {"conflicting", ToJson(outcome.conflicting)}});
+  return DumpJson({{"committed", outcome.committed},
+                   {"conflicting", ToJson(outcome.conflicting)}});
 }
 
 std::optional<ports::TransactionOutcome> ParseOutcome(std::string_view body) {
@@ -157,7 +157,7 @@
   for (const ports::ListedHost& host : hosts) {
     list.push_back(ToJson(host));
   }
-  return Dump({{"hosts", list}});
+  return DumpJson({{"hosts", list}});
 }
 
 std::optional<std::vector<ports::ListedHost>> ParseHosts(
@@ -179,19 +179,19 @@
 }
 
 std::string PercentEncode(std::string_view text) {
-  constexpr std::string_view kDigits = "0123456789ABCDEF";
-  constexpr std::string_view kPlain =
+  constexpr std::string_view kHexDigits = "0123456789ABCDEF";
+  constexpr std::string_view kUnreservedCharacters =
       "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~";
   std::string encoded;
-  for (const char symbol : text) {
-    if (kPlain.find(symbol) != std::string_view::npos) {
-      encoded += symbol;
+  for (const char character : text) {
+    if (kUnreservedCharacters.find(character) != std::string_view::npos) {
+      encoded += character;
       continue;
     }
-    const auto byte = static_cast<unsigned char>(symbol);
+    const auto byte = static_cast<unsigned char>(character);
     encoded += '%';
-    encoded += kDigits[byte >> 4U];
-    encoded += kDigits[byte & 15U];
+    encoded += kHexDigits[byte >> 4U];
+    encoded += kHexDigits[byte & 15U];
   }
   return encoded;
 }
--- a/lib/libmedlarcroft/source/adapters/platform/platform_json.h
+++ b/lib/libmedlarcroft/source/adapters/platform/platform_json.h
@@ -10,14 +10,14 @@
 #include "medlarcroft/ports/table_store.h"
 
 /// @file
-/// @brief The JSON bodies of the platform's HTTP interface. Readers return
-/// nullopt for anything they don't understand; writers return nullopt when a
-/// text is not UTF-8, which JSON can't carry.
+/// @brief The JSON bodies of the platform's HTTP interface. The parsers return
+/// nullopt for a malformed body; the formatters return nullopt when a text is
+/// not valid UTF-8, which JSON can't represent.
 
 namespace medlarcroft::adapters {
 
-/// Members of error bodies: `{"code":"not-done"}` is the platform's word that a
-/// refused call had no effect.
+/// Value of `code` in an error body, `{"code":"not-done"}`, by which the
+/// platform states that a refused call had no effect.
 constexpr std::string_view kNotDoneCode = "not-done";
 
 [[nodiscard]] std::optional<std::string> FormatRow(const ports::Row& row);
@@ -43,10 +43,10 @@
 [[nodiscard]] std::optional<std::vector<ports::ListedHost>> ParseHosts(
     std::string_view body);
 
-/// @return whether an error body says that the call had no effect.
+/// @return whether an error body states that the call had no effect.
 [[nodiscard]] bool IsNotDoneBody(std::string_view body);
 
-/// @return `text` with everything but letters, digits and "-._~" as %XX.
+/// @return `text` percent-encoded (%XX), except letters, digits and "-._~".
 [[nodiscard]] std::string PercentEncode(std::string_view text);
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/steer/catalogue_sync.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/catalogue_sync.cc
@@ -4,49 +4,49 @@
 
 namespace medlarcroft::adapters {
 
-CatalogueAgent::CatalogueAgent(catalogue::CatalogueReplica& replica,
-                               ViewCallback on_view)
+CatalogueSync::CatalogueSync(catalogue::CatalogueReplica& replica,
+                             ViewCallback on_view)
     : replica_(replica), on_view_(std::move(on_view)) {}
 
-void CatalogueAgent::NoteRevision(std::uint64_t revision,
-                                  const std::string& peer_address) {
+void CatalogueSync::RecordPeerRevision(std::uint64_t revision,
+                                       const std::string& peer_address) {
   replica_.NoteRevision(revision, catalogue::RevisionSource::kPeer);
   const std::lock_guard lock(mutex_);
-  if (revision > replica_.Revision() && revision >= revision_ahead_) {
-    revision_ahead_ = revision;
-    peer_ahead_ = peer_address;
+  if (revision > replica_.Revision() && revision >= newer_revision_) {
+    newer_revision_ = revision;
+    newer_peer_address_ = peer_address;
   }
 }
 
-std::optional<std::string> CatalogueAgent::AddressOfPeerAhead() const {
+std::optional<std::string> CatalogueSync::NewerPeerAddress() const {
   const std::lock_guard lock(mutex_);
-  if (peer_ahead_.empty() || revision_ahead_ <= replica_.Revision()) {
+  if (newer_peer_address_.empty() || newer_revision_ <= replica_.Revision()) {
     return std::nullopt;
   }
-  return peer_ahead_;
+  return newer_peer_address_;
 }
 
-void CatalogueAgent::ForgetPeerAhead(const std::string& peer_address) {
+void CatalogueSync::ClearNewerPeer(const std::string& peer_address) {
   const std::lock_guard lock(mutex_);
-  if (peer_ahead_ == peer_address) {
-    peer_ahead_.clear();
-    revision_ahead_ = 0;
+  if (newer_peer_address_ == peer_address) {
+    newer_peer_address_.clear();
+    newer_revision_ = 0;
   }
 }
 
-void CatalogueAgent::ApplyFromPeer(const catalogue::Delta& delta) {
+void CatalogueSync::ApplyFromPeer(const catalogue::Delta& delta) {
   static_cast<void>(replica_.Apply(delta, catalogue::RevisionSource::kPeer));
   Publish();
 }
 
-void CatalogueAgent::Publish() {
+void CatalogueSync::Publish() {
   const catalogue::SharedCatalogueView view = replica_.View();
   {
     const std::lock_guard lock(mutex_);
-    if (view->Revision() <= published_) {
+    if (view->Revision() <= published_revision_) {
       return;
     }
-    published_ = view->Revision();
+    published_revision_ = view->Revision();
   }
   on_view_(view);
 }
--- a/lib/libmedlarcroft/source/adapters/steer/catalogue_sync.h
+++ b/lib/libmedlarcroft/source/adapters/steer/catalogue_sync.h
@@ -11,27 +11,31 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Joins the catalogue's replica with the peers that feed it: remembers
-/// who is ahead, and hands each new view on. Safe to share between threads.
-class CatalogueAgent {
+/// @brief Keeps the catalogue's replica up to date from peers: remembers a peer
+/// that has a newer revision, and passes each new view to a callback.
+/// Thread-safe.
+class CatalogueSync {
  public:
   using ViewCallback = std::function<void(catalogue::SharedCatalogueView)>;
 
-  /// @param on_view called with each view after a change was applied.
-  CatalogueAgent(catalogue::CatalogueReplica& replica, ViewCallback on_view);
+  /// @param on_view called with each newer view, after changes were applied.
+  CatalogueSync(catalogue::CatalogueReplica& replica, ViewCallback on_view);
 
-  /// @brief A peer says at which revision it is.
-  void NoteRevision(std::uint64_t revision, const std::string& peer_address);
+  /// @brief Records the catalogue revision that a peer reports.
+  void RecordPeerRevision(std::uint64_t revision,
+                          const std::string& peer_address);
 
-  /// @return a peer that is further than this host, if one is known.
-  [[nodiscard]] std::optional<std::string> AddressOfPeerAhead() const;
+  /// @return the address of a peer with a newer revision, or nullopt when none
+  /// is known.
+  [[nodiscard]] std::optional<std::string> NewerPeerAddress() const;
 
-  /// @brief The peer did not deliver; another one is asked next.
-  void ForgetPeerAhead(const std::string& peer_address);
+  /// @brief Forgets the peer after it failed to return changes, so that the
+  /// next fetch uses another one.
+  void ClearNewerPeer(const std::string& peer_address);
 
   void ApplyFromPeer(const catalogue::Delta& delta);
 
-  /// @brief Hands the newest view on if it is new.
+  /// @brief Passes the newest view to the callback unless that was done before.
   void Publish();
 
   [[nodiscard]] catalogue::Delta DeltaSince(std::uint64_t revision,
@@ -43,9 +47,9 @@
   catalogue::CatalogueReplica& replica_;
   const ViewCallback on_view_;
   mutable std::mutex mutex_;
-  std::uint64_t revision_ahead_ = 0;
-  std::string peer_ahead_;
-  std::uint64_t published_ = 0;
+  std::uint64_t newer_revision_ = 0;
+  std::string newer_peer_address_;
+  std::uint64_t published_revision_ = 0;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/steer/key_pool.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/key_pool.cc
@@ -15,7 +15,7 @@
   }
 }
 
-std::int32_t Missing(const std::deque<std::string>& pool) {
+std::int32_t FreeCapacity(const std::deque<std::string>& pool) {
   return static_cast<std::int32_t>(KeyPool::kCapacity - pool.size());
 }
 
@@ -43,7 +43,7 @@
   std::deque<std::string>& pool =
       mode == catalogue::KeyMode::kLocal ? local_ : durable_;
   while (keys.size() < kKeysPerAnswer && !pool.empty()) {
-    // The freshest: a key that lay here long would expire early.
+    // Newest first: a key that has been in the pool for long expires sooner.
     keys.push_back(std::move(pool.back()));
     pool.pop_back();
   }
@@ -52,12 +52,12 @@
 
 std::int32_t KeyPool::WantedLocal() const {
   const std::lock_guard lock(mutex_);
-  return Missing(local_);
+  return FreeCapacity(local_);
 }
 
 std::int32_t KeyPool::WantedDurable() const {
   const std::lock_guard lock(mutex_);
-  return Missing(durable_);
+  return FreeCapacity(durable_);
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/steer/key_pool.h
+++ b/lib/libmedlarcroft/source/adapters/steer/key_pool.h
@@ -11,25 +11,26 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Fresh idempotency keys of this host's entryd, to go out with look-up
-/// answers, so that a caller's first order needs no extra round trip. Safe to
-/// share between threads.
+/// @brief Unused idempotency keys issued by this host's entryd. They are handed
+/// out with look-up answers, so that a caller's first request needs no extra
+/// round trip. Thread-safe.
 class KeyPool {
  public:
-  /// Enough for the orders of one report's interval at 100 look-ups a second;
-  /// callers ask entryd itself when it is empty.
+  /// Keys of each kind; enough for the interval between two reports at 100
+  /// look-ups a second. Callers request keys from entryd while it is empty.
   static constexpr std::size_t kCapacity = 64;
 
-  /// Given with one answer: one for the order and one to spare.
+  /// Keys in one look-up answer: one for the request and a spare.
   static constexpr std::size_t kKeysPerAnswer = 2;
 
-  /// @brief Takes in keys; those of an earlier entryd are thrown away, since
-  /// only their issuer may run them.
+  /// @brief Adds keys up to the capacity. Keys of an earlier incarnation of
+  /// entryd are dropped, since only their issuer may execute requests with
+  /// them.
   void Add(std::int64_t incarnation,
            const std::vector<std::string>& local,
            const std::vector<std::string>& durable);
 
-  /// @return up to `kKeysPerAnswer` keys, each given out once.
+  /// @return up to `kKeysPerAnswer` keys, each handed out once.
   [[nodiscard]] std::vector<std::string> Take(catalogue::KeyMode mode);
 
   [[nodiscard]] std::int32_t WantedLocal() const;
--- a/lib/libmedlarcroft/source/adapters/steer/peer_exchanger.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/peer_exchanger.cc
@@ -10,81 +10,85 @@
 
 namespace {
 
-/// Between regions an answer takes 110 ms; a silent peer costs one such wait.
+/// An answer from another region takes 110 ms. A peer that does not answer
+/// delays the round by this timeout.
 constexpr Duration kCallTimeout = std::chrono::milliseconds(700);
 
-/// Calls to hosts of other domains: in every round, by the domain's relays
-/// only. Summaries are trusted for 3 s and discounted from then on, and each
-/// call passes on those that were heard.
-constexpr std::uint64_t kOtherDomainsEvery = 1;
+/// Hosts of other failure domains are called in every round, and only by the
+/// relays of this domain. Load summaries are trusted for 3 s and discounted
+/// after that; each call also forwards the summaries received from others.
+constexpr std::uint64_t kRoundsPerCrossDomainCall = 1;
 constexpr std::size_t kRelaysPerDomain = 2;
-constexpr std::string_view kExchangeTask = "exchange-between-domains";
+constexpr std::string_view kCrossDomainExchangeDuty =
+    "exchange-between-domains";
 
-/// An address of the settings is tried now and then even when peers are known,
-/// so that two halves that grew apart find each other again.
-constexpr std::uint64_t kBootstrapEvery = 15;
+/// A bootstrap address is called from time to time even when peers are known,
+/// so that the two sides of a healed network partition find each other again.
+constexpr std::uint64_t kRoundsPerBootstrapCall = 15;
 
-constexpr std::int32_t kChangesPerCall = 256;
+constexpr std::int32_t kMaxChangesPerFetch = 256;
 
-/// A fresh host of a full domain has 51 to call before it may use a seat: with
-/// eight a round it has called them all in seven seconds.
-constexpr std::size_t kMaxWantedCalls = 8;
+/// A new host in a full failure domain must call 51 hosts before it may use a
+/// seat. At eight calls a round it has called them all within seven seconds.
+constexpr std::size_t kMaxRequiredCallsPerRound = 8;
 
 }  // namespace
 
 PeerExchanger::PeerExchanger(const Options& options,
                              SteerCore& core,
-                             CatalogueAgent& catalogue,
+                             CatalogueSync& catalogue_sync,
                              ports::RandomSource& random)
     : options_(options),
       core_(core),
-      catalogue_(catalogue),
+      catalogue_sync_(catalogue_sync),
       random_(random),
       client_({}) {}
 
-void PeerExchanger::Round() {
+void PeerExchanger::RunRound() {
   ++round_;
   for (const Partner& partner : ChoosePartners()) {
     Exchange(partner);
   }
-  if (const auto ahead = catalogue_.AddressOfPeerAhead()) {
+  if (const auto ahead = catalogue_sync_.NewerPeerAddress()) {
     FetchChanges(*ahead);
   }
 }
 
 std::vector<PeerExchanger::Partner> PeerExchanger::ChoosePartners() {
-  PartnersByHost own;
-  PartnersByHost others;
+  PartnersByHost same_domain;
+  PartnersByHost other_domains;
   const FailureDomainName domain = core_.Self().failure_domain;
   for (const membership::Member& member : core_.ExchangePartners()) {
     if (member.state.peer_address.empty()) {
       continue;
     }
-    (member.state.failure_domain == domain ? own
-                                           : others)[member.state.host] = {
+    (member.state.failure_domain == domain
+         ? same_domain
+         : other_domains)[member.state.host] = {
         member.state.peer_address, member.state.host,
         member.state.entry_address, member.state.failure_domain};
   }
 
   std::vector<Partner> chosen;
-  // First those whose answer decides whether a seat may be used.
-  for (const HostName& wanted : core_.WantsCalled()) {
-    for (const PartnersByHost* known : {&own, &others}) {
+  // Hosts whose answers decide whether a seat may be used come first.
+  for (const HostName& wanted : core_.HostsToProbe()) {
+    for (const PartnersByHost* known : {&same_domain, &other_domains}) {
       const auto found = known->find(wanted);
-      if (found != known->end() && chosen.size() < kMaxWantedCalls) {
+      if (found != known->end() && chosen.size() < kMaxRequiredCallsPerRound) {
         chosen.push_back(found->second);
       }
     }
   }
   for (std::uint32_t i = 0; i < options_.pacing.fan_out; ++i) {
-    AddNext(own, own_rotation_, chosen);
+    AddNextPartner(same_domain, same_domain_rotation_, chosen);
   }
-  const bool is_relay_turn = round_ % kOtherDomainsEvery == 0;
-  if (is_relay_turn && core_.IsRelayFor(kExchangeTask, kRelaysPerDomain)) {
-    AddNext(others, other_rotation_, chosen);
+  const bool is_cross_domain_round = round_ % kRoundsPerCrossDomainCall == 0;
+  if (is_cross_domain_round &&
+      core_.IsRelayFor(kCrossDomainExchangeDuty, kRelaysPerDomain)) {
+    AddNextPartner(other_domains, other_domain_rotation_, chosen);
   }
-  const bool knows_nobody = own.empty() && others.empty();
-  if ((knows_nobody || round_ % kBootstrapEvery == 0) &&
+  const bool has_no_peers = same_domain.empty() && other_domains.empty();
+  if ((has_no_peers || round_ % kRoundsPerBootstrapCall == 0) &&
       !options_.bootstrap.empty()) {
     chosen.push_back(
         {options_.bootstrap.at(random_.NextBelow(options_.bootstrap.size())),
@@ -93,9 +97,9 @@
   return chosen;
 }
 
-void PeerExchanger::AddNext(const PartnersByHost& partners,
-                            membership::PeerRotation& rotation,
-                            std::vector<Partner>& chosen) {
+void PeerExchanger::AddNextPartner(const PartnersByHost& partners,
+                                   membership::PeerRotation& rotation,
+                                   std::vector<Partner>& chosen) {
   std::vector<HostName> hosts;
   hosts.reserve(partners.size());
   for (const auto& [host, partner] : partners) {
@@ -110,36 +114,38 @@
   if (partner.address == options_.own_address) {
     return;
   }
-  const wire::Exchange mine = ToWire(
+  const wire::Exchange request = ToWire(
       core_.MakeExchange(options_.pacing.message_bytes, partner.failure_domain),
       core_.Catalogue()->Revision());
   const auto answer =
-      ChannelTo(partner.address).Invoke([&mine](wire::PeerClient& client) {
-        wire::Exchange theirs;
-        client.exchange(theirs, mine);
-        return theirs;
+      ChannelTo(partner.address).Invoke([&request](wire::PeerClient& client) {
+        wire::Exchange response;
+        client.exchange(response, request);
+        return response;
       });
   if (!IsOk(answer)) {
-    (ErrorOf(answer) == PeerFailure::kRefused ? counters_.refused
-                                              : counters_.failed)++;
+    (ErrorOf(answer) == ThriftCallFailure::kRefused ? counters_.refused
+                                                    : counters_.failed)++;
     if (!partner.host.IsEmpty()) {
       ProbeEntry(partner);
     }
     return;
   }
   counters_.answered++;
-  const wire::Exchange& theirs = ValueOf(answer);
-  core_.Receive(FromWire(theirs));
-  core_.RecordAnswer(HostName(theirs.sender.host));
-  catalogue_.NoteRevision(static_cast<std::uint64_t>(std::max<std::int64_t>(
-                              0, theirs.catalogue_revision)),
-                          partner.address);
+  const wire::Exchange& response = ValueOf(answer);
+  core_.Receive(FromWire(response));
+  core_.RecordAnswer(HostName(response.sender.host));
+  catalogue_sync_.RecordPeerRevision(
+      static_cast<std::uint64_t>(
+          std::max<std::int64_t>(0, response.catalogue_revision)),
+      partner.address);
 }
 
 void PeerExchanger::ProbeEntry(const Partner& partner) {
-  // Failure: only the other host's steerd is down. Symptom: the host counts as
-  // gone, and its seat is taken while its entryd goes on using it. So its
-  // entryd is asked too; either daemon's answer shows that the host lives.
+  // When only the steerd of the other host is down, the host would be regarded
+  // as dead and its seat taken over while its entryd still uses it. Therefore
+  // its entryd is probed too: an answer of either daemon proves that the host
+  // is alive.
   const bool is_alive =
       !partner.entry_address.empty() &&
       IsOk(client_.SendAndWait(
@@ -158,16 +164,16 @@
   const auto answer =
       ChannelTo(address).Invoke([revision](wire::PeerClient& client) {
         wire::CatalogueDelta delta;
-        client.changes_since(delta, revision, kChangesPerCall);
+        client.changes_since(delta, revision, kMaxChangesPerFetch);
         return delta;
       });
   const auto delta = IsOk(answer) ? FromWire(ValueOf(answer)) : std::nullopt;
   if (!delta) {
-    catalogue_.ForgetPeerAhead(address);
+    catalogue_sync_.ClearNewerPeer(address);
     return;
   }
   counters_.deltas++;
-  catalogue_.ApplyFromPeer(*delta);
+  catalogue_sync_.ApplyFromPeer(*delta);
 }
 
 PeerExchanger::Channel& PeerExchanger::ChannelTo(const std::string& address) {
--- a/lib/libmedlarcroft/source/adapters/steer/peer_exchanger.h
+++ b/lib/libmedlarcroft/source/adapters/steer/peer_exchanger.h
@@ -19,45 +19,47 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief What exchanges with peers have come to.
+/// @brief Outcomes of the calls to peers.
 struct ExchangeCounters {
   std::atomic<std::uint64_t> answered{0};
   std::atomic<std::uint64_t> failed{0};
   std::atomic<std::uint64_t> refused{0};
   std::atomic<std::uint64_t> deltas{0};
-  /// Of the calls that this host begins, both ways.
-  FrameBytes bytes;
+  /// Calls that this host initiates, in both directions.
+  FrameByteCounters bytes;
 };
 
-/// @brief Calls peers, one after the other, on a thread of its own: exchanges
-/// states, and fetches the catalogue's changes from whoever is ahead.
+/// @brief Calls peers one after the other, on a thread of its own: exchanges
+/// membership state, and fetches catalogue changes from a peer that has a newer
+/// revision.
 class PeerExchanger {
  public:
   struct Options {
     std::string own_address;
-    /// Tried until the first peers are known, and again when none answers.
+    /// Addresses (IP:port) to call while no peer is known, and from time to
+    /// time later.
     std::vector<std::string> bootstrap;
     membership::ExchangePacing pacing;
   };
 
   PeerExchanger(const Options& options,
                 SteerCore& core,
-                CatalogueAgent& catalogue,
+                CatalogueSync& catalogue_sync,
                 ports::RandomSource& random);
 
-  /// @brief One period: as many calls as the pacing says. Blocks for at most
-  /// that many timeouts.
-  void Round();
+  /// @brief Makes the calls of one period, as many as the pacing allows. Blocks
+  /// for at most one timeout per call.
+  void RunRound();
 
   [[nodiscard]] const ExchangeCounters& Counters() const { return counters_; }
 
  private:
   using Channel = ThriftChannel<wire::PeerClient>;
 
-  /// One call's destination.
+  /// Destination of a call.
   struct Partner {
     std::string address;
-    HostName host;  ///< Empty for an address of the settings.
+    HostName host;  ///< Empty for a bootstrap address.
     std::string entry_address;
     FailureDomainName failure_domain;
   };
@@ -65,9 +67,9 @@
   using PartnersByHost = std::map<HostName, Partner>;
 
   [[nodiscard]] std::vector<Partner> ChoosePartners();
-  void AddNext(const PartnersByHost& partners,
-               membership::PeerRotation& rotation,
-               std::vector<Partner>& chosen);
+  void AddNextPartner(const PartnersByHost& partners,
+                      membership::PeerRotation& rotation,
+                      std::vector<Partner>& chosen);
   void Exchange(const Partner& partner);
   void ProbeEntry(const Partner& partner);
   void FetchChanges(const std::string& address);
@@ -75,13 +77,13 @@
 
   const Options options_;
   SteerCore& core_;
-  CatalogueAgent& catalogue_;
+  CatalogueSync& catalogue_sync_;
   ports::RandomSource& random_;
   HttpClient client_;
-  ExchangeCounters counters_;  // Before the channels, which count in it.
+  ExchangeCounters counters_;  // Declared before its users in `channels_`.
   std::map<std::string, std::unique_ptr<Channel>> channels_;
-  membership::PeerRotation own_rotation_;
-  membership::PeerRotation other_rotation_;
+  membership::PeerRotation same_domain_rotation_;
+  membership::PeerRotation other_domain_rotation_;
   std::uint64_t round_ = 0;
 };
 
--- a/lib/libmedlarcroft/source/adapters/steer/peer_service.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/peer_service.cc
@@ -10,36 +10,39 @@
 
 namespace {
 
-void RequireVersion(std::int32_t version) {
-  const std::int32_t own = wire::g_medlarcroft_constants.PROTOCOL_VERSION;
-  if (version == own) {
+void RequireProtocolVersion(std::int32_t version) {
+  const std::int32_t own_version =
+      wire::g_medlarcroft_constants.PROTOCOL_VERSION;
+  if (version == own_version) {
     return;
   }
   wire::PeerRefusal refusal;
   refusal.code = static_cast<std::int32_t>(PeerRefusalCode::kProtocolVersion);
   refusal.message = "protocol version";
-  refusal.protocol_version = own;
+  refusal.protocol_version = own_version;
   throw refusal;
 }
 
 }  // namespace
 
-void PeerService::exchange(wire::Exchange& answer, const wire::Exchange& mine) {
-  RequireVersion(mine.protocol_version);
-  core_.Receive(FromWire(mine));
-  catalogue_.NoteRevision(static_cast<std::uint64_t>(std::max<std::int64_t>(
-                              0, mine.catalogue_revision)),
-                          mine.sender.peer_address);
-  answer =
-      ToWire(core_.MakeExchange(message_bytes_,
-                                FailureDomainName(mine.sender.failure_domain)),
-             core_.Catalogue()->Revision());
+void PeerService::exchange(wire::Exchange& answer,
+                           const wire::Exchange& request) {
+  RequireProtocolVersion(request.protocol_version);
+  core_.Receive(FromWire(request));
+  catalogue_sync_.RecordPeerRevision(
+      static_cast<std::uint64_t>(
+          std::max<std::int64_t>(0, request.catalogue_revision)),
+      request.sender.peer_address);
+  answer = ToWire(
+      core_.MakeExchange(message_bytes_,
+                         FailureDomainName(request.sender.failure_domain)),
+      core_.Catalogue()->Revision());
 }
 
 void PeerService::changes_since(wire::CatalogueDelta& answer,
                                 std::int64_t revision,
                                 std::int32_t limit) {
-  answer = ToWire(catalogue_.DeltaSince(
+  answer = ToWire(catalogue_sync_.DeltaSince(
       static_cast<std::uint64_t>(std::max<std::int64_t>(0, revision)),
       static_cast<std::size_t>(std::max(0, limit))));
 }
--- a/lib/libmedlarcroft/source/adapters/steer/peer_service.h
+++ b/lib/libmedlarcroft/source/adapters/steer/peer_service.h
@@ -9,28 +9,30 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Why a peer's call is refused; the code of a `wire::PeerRefusal`.
+/// @brief Why a peer's call is refused; `code` of a `wire::PeerRefusal`.
 enum class PeerRefusalCode : std::int32_t {
   kProtocolVersion = 1,
   kNotSelf = 2,
 };
 
-/// @brief What steerd serves to the steerds of other hosts.
+/// @brief The Thrift service that steerd offers to the steerds of other hosts.
 class PeerService final : public wire::PeerIf {
  public:
   PeerService(SteerCore& core,
-              CatalogueAgent& catalogue,
+              CatalogueSync& catalogue_sync,
               std::size_t message_bytes)
-      : core_(core), catalogue_(catalogue), message_bytes_(message_bytes) {}
+      : core_(core),
+        catalogue_sync_(catalogue_sync),
+        message_bytes_(message_bytes) {}
 
-  void exchange(wire::Exchange& answer, const wire::Exchange& mine) override;
+  void exchange(wire::Exchange& answer, const wire::Exchange& request) override;
   void changes_since(wire::CatalogueDelta& answer,
                      std::int64_t revision,
                      std::int32_t limit) override;
 
  private:
   SteerCore& core_;
-  CatalogueAgent& catalogue_;
+  CatalogueSync& catalogue_sync_;
   const std::size_t message_bytes_;
 };
 
--- a/lib/libmedlarcroft/source/adapters/steer/platform_poller.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/platform_poller.cc
@@ -13,69 +13,74 @@
 
 using catalogue::PlatformPoll;
 
-/// The map changes a few times a day; 880 hosts are 15 reads a second.
-constexpr Duration kBlockMapPeriod = std::chrono::seconds(60);
+/// The map changes a few times a day. 880 hosts with this period cause 15 reads
+/// a second in all.
+constexpr Duration kBlockMapPollPeriod = std::chrono::seconds(60);
 
-/// Two at once do no harm, and the loss of one delays no change.
-constexpr std::size_t kCatalogueRelays = 2;
-constexpr std::string_view kCatalogueTask = "watch-catalogue-head";
+/// Hosts per failure domain that poll the catalogue's head. Two polling at once
+/// do no harm, and the failure of one delays no change.
+constexpr std::size_t kCatalogueRelayCount = 2;
+constexpr std::string_view kCatalogueRelayDuty = "watch-catalogue-head";
 
-/// The row whose value is the newest version of the block map, and the objects
-/// that hold each version.
-constexpr std::string_view kBlockMapHead = "blocks/head";
+/// The row that holds the newest version number of the block map, and the name
+/// prefix of the objects that hold the versions.
+constexpr std::string_view kBlockMapHeadKey = "blocks/head";
 constexpr std::string_view kBlockMapObjectPrefix = "blocks/map-";
 
 }  // namespace
 
-Duration PlatformWatch::Step() {
-  if (schedule_.IsDue(PlatformPoll::kCatalogueHead, parts_.clock.Now())) {
-    const Duration pause = parts_.relay.Step(
-        parts_.core.IsRelayFor(kCatalogueTask, kCatalogueRelays));
-    parts_.agent.Publish();
-    schedule_.SetDue(PlatformPoll::kCatalogueHead, parts_.clock.Now() + pause);
+Duration PlatformPoller::PollDue() {
+  if (schedule_.IsDue(PlatformPoll::kCatalogueHead,
+                      dependencies_.clock.Now())) {
+    const Duration pause =
+        dependencies_.relay.Step(dependencies_.core.IsRelayFor(
+            kCatalogueRelayDuty, kCatalogueRelayCount));
+    dependencies_.catalogue_sync.Publish();
+    schedule_.SetDue(PlatformPoll::kCatalogueHead,
+                     dependencies_.clock.Now() + pause);
   }
 
-  const MonotonicTime now = parts_.clock.Now();
+  const MonotonicTime now = dependencies_.clock.Now();
   if (schedule_.IsDue(PlatformPoll::kHostList, now)) {
     schedule_.SetDue(PlatformPoll::kHostList, now + ReadHostList());
   }
   if (schedule_.IsDue(PlatformPoll::kBlockMap, now)) {
-    schedule_.SetDue(PlatformPoll::kBlockMap, now + kBlockMapPeriod);
+    schedule_.SetDue(PlatformPoll::kBlockMap, now + kBlockMapPollPeriod);
     ReadBlockMap();
   }
-  return schedule_.TimeUntilNextDue(parts_.clock.Now());
+  return schedule_.TimeUntilNextDue(dependencies_.clock.Now());
 }
 
-Duration PlatformWatch::ReadHostList() {
-  if (!parts_.budget.TryAcquireRead()) {
-    return host_list_pace_.AfterFailure();
+Duration PlatformPoller::ReadHostList() {
+  if (!dependencies_.budget.TryAcquireRead()) {
+    return host_list_timing_.AfterFailure();
   }
-  auto hosts = parts_.hosts.List();
-  parts_.budget.RecordOutcome(IsOk(hosts));
+  auto hosts = dependencies_.hosts.List();
+  dependencies_.budget.RecordOutcome(IsOk(hosts));
   if (!IsOk(hosts)) {
-    return host_list_pace_.AfterFailure();
+    return host_list_timing_.AfterFailure();
   }
   const auto& list = ValueOf(hosts);
   const auto entry_hosts = static_cast<std::size_t>(std::ranges::count(
       list, ports::ListedRole::kEntryHost, &ports::ListedHost::role));
-  parts_.core.ApplyHostList(TakeValue(std::move(hosts)));
-  return host_list_pace_.AfterRead(entry_hosts);
+  dependencies_.core.ApplyHostList(TakeValue(std::move(hosts)));
+  return host_list_timing_.AfterRead(entry_hosts);
 }
 
-void PlatformWatch::ReadBlockMap() {
-  const auto head = parts_.table.Read(kBlockMapHead);
+void PlatformPoller::ReadBlockMap() {
+  const auto head = dependencies_.table.Read(kBlockMapHeadKey);
   if (!IsOk(head) || ValueOf(head).version == 0) {
     return;
   }
   const std::string& text = ValueOf(head).value;
   std::uint64_t version = 0;
   std::from_chars(text.data(), text.data() + text.size(), version);
-  if (version <= parts_.core.Blocks().Current()->Version()) {
+  if (version <= dependencies_.core.ClientBlockMap().Current()->Version()) {
     return;
   }
 
   const auto object =
-      parts_.objects.Get(std::string(kBlockMapObjectPrefix) + text);
+      dependencies_.objects.Get(std::string(kBlockMapObjectPrefix) + text);
   if (!IsOk(object) || !ValueOf(object)) {
     return;
   }
@@ -85,7 +90,8 @@
         {{"version", version}, {"reason", steering::ToString(ErrorOf(map))}});
     return;
   }
-  const auto adopted = parts_.core.Blocks().Adopt(TakeValue(std::move(map)));
+  const auto adopted =
+      dependencies_.core.ClientBlockMap().Adopt(TakeValue(std::move(map)));
   if (IsOk(adopted)) {
     Log(LogLevel::kInfo, "block-map-adopted", {{"version", version}});
   }
--- a/lib/libmedlarcroft/source/adapters/steer/platform_poller.h
+++ b/lib/libmedlarcroft/source/adapters/steer/platform_poller.h
@@ -15,15 +15,15 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief All that steerd reads from the platform by itself: the catalogue's
-/// head, the host list, the client block map. Its steps block, so they have a
-/// thread of their own, and a slow platform delays nothing else.
-class PlatformWatch {
+/// @brief Polls the platform for the catalogue's head, the host list and the
+/// client block map. The calls block, so they run on a thread of their own: a
+/// slow platform delays nothing else.
+class PlatformPoller {
  public:
-  struct Parts {
+  struct Dependencies {
     SteerCore& core;
     catalogue::CataloguePoller& relay;
-    CatalogueAgent& agent;
+    CatalogueSync& catalogue_sync;
     ports::HostList& hosts;
     catalogue::PlatformRateLimiter& budget;
     ports::TableStore& table;
@@ -31,20 +31,21 @@
     const ports::Clock& clock;
   };
 
-  explicit PlatformWatch(const Parts& parts) : parts_(parts) {}
+  explicit PlatformPoller(const Dependencies& dependencies)
+      : dependencies_(dependencies) {}
 
-  /// @brief Reads what is due.
-  /// @return the pause until the next step.
-  Duration Step();
+  /// @brief Reads everything that is due.
+  /// @return the time until the next call.
+  Duration PollDue();
 
  private:
-  /// @return the pause until the list is read again.
+  /// @return the time until the next read of the list.
   [[nodiscard]] Duration ReadHostList();
   void ReadBlockMap();
 
-  const Parts parts_;
+  const Dependencies dependencies_;
   catalogue::PlatformPollSchedule schedule_;
-  catalogue::HostListPollTiming host_list_pace_;
+  catalogue::HostListPollTiming host_list_timing_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/steer/routing_service.h
+++ b/lib/libmedlarcroft/source/adapters/steer/routing_service.h
@@ -7,7 +7,7 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief What steerd serves to the entryd of its host.
+/// @brief The Thrift service that steerd offers to the entryd of its host.
 class RoutingService final : public wire::RoutingIf {
  public:
   RoutingService(SteerCore& core, KeyPool& keys) : core_(core), keys_(keys) {}
--- a/lib/libmedlarcroft/source/adapters/steer/snapshot_builder.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/snapshot_builder.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::int32_t Milliseconds(Duration duration) {
+std::int32_t ToClampedMilliseconds(Duration duration) {
   return static_cast<std::int32_t>(std::clamp<std::int64_t>(
       ToMilliseconds(duration), 0, std::numeric_limits<std::int32_t>::max()));
 }
@@ -20,8 +20,8 @@
   return domain == inputs.own_domain || inputs.siblings.contains(domain);
 }
 
-wire::TargetRoute MakeTarget(const SnapshotInputs& inputs,
-                             const catalogue::TargetSpec& target) {
+wire::TargetRoute MakeTargetRoute(const SnapshotInputs& inputs,
+                                  const catalogue::TargetSpec& target) {
   wire::TargetRoute route;
   route.target = target.name.Value();
   route.address = target.address;
@@ -53,15 +53,15 @@
   return addresses;
 }
 
-wire::ServiceRoute MakeService(const SnapshotInputs& inputs,
-                               const catalogue::ServiceEntry& service) {
+wire::ServiceRoute MakeServiceRoute(const SnapshotInputs& inputs,
+                                    const catalogue::ServiceEntry& service) {
   const catalogue::RequestClass& request_class = service.request_class;
   wire::ServiceRoute route;
   route.service_name = service.service.Value();
   route.class_name = request_class.name;
   route.key_mode = static_cast<std::int32_t>(request_class.key_mode);
-  route.deadline_ms = Milliseconds(request_class.deadline);
-  route.queue_limit_ms = Milliseconds(request_class.queue_limit);
+  route.deadline_ms = ToClampedMilliseconds(request_class.deadline);
+  route.queue_limit_ms = ToClampedMilliseconds(request_class.queue_limit);
   route.max_request_bytes =
       static_cast<std::int32_t>(request_class.max_request_bytes);
   route.max_answer_bytes =
@@ -79,7 +79,7 @@
   }
   for (const catalogue::TargetSpec& target : service.targets) {
     if (IsServedHere(inputs, target.failure_domain)) {
-      route.targets.push_back(MakeTarget(inputs, target));
+      route.targets.push_back(MakeTargetRoute(inputs, target));
     }
   }
   for (const steering::PlannedShift& shift : inputs.plan.shifts) {
@@ -97,7 +97,8 @@
   return route;
 }
 
-wire::HostRoute MakeHost(const membership::Member& member, MonotonicTime now) {
+wire::HostRoute MakeHostRoute(const membership::Member& member,
+                              MonotonicTime now) {
   wire::HostRoute host;
   host.host = member.state.host.Value();
   host.failure_domain = member.state.failure_domain.Value();
@@ -108,10 +109,12 @@
   }
   host.incarnation = static_cast<std::int64_t>(member.state.number.incarnation);
   host.is_listed_live = member.is_listed_live;
-  host.answered_age_ms =
-      member.answered_at ? Milliseconds(now - *member.answered_at) : -1;
-  host.silent_ms = member.silent_for ? Milliseconds(*member.silent_for) : -1;
-  host.claim_age_ms = Milliseconds(member.content_age);
+  host.answered_age_ms = member.answered_at
+                             ? ToClampedMilliseconds(now - *member.answered_at)
+                             : -1;
+  host.silent_ms =
+      member.silent_for ? ToClampedMilliseconds(*member.silent_for) : -1;
+  host.claim_age_ms = ToClampedMilliseconds(member.content_age);
   for (const membership::ServiceLoad& load : member.state.loads) {
     host.loads.push_back(ToWire(load));
   }
@@ -125,9 +128,9 @@
   domain.failure_domain = name.Value();
   const auto* entry = inputs.catalogue.FindFailureDomain(name);
   domain.seats = entry == nullptr ? 0 : static_cast<std::int32_t>(entry->seats);
-  // The whole catalogue's revision: it is the same on all hosts and never
-  // falls, which the newest revision among the entries that are left would do
-  // when one of them is deleted.
+  // The revision of the whole catalogue is the same on all hosts and never
+  // decreases. The highest revision of the existing entries would decrease when
+  // an entry is deleted.
   domain.split_revision =
       static_cast<std::int64_t>(inputs.catalogue.Revision());
   domain.is_sibling = is_sibling;
@@ -142,10 +145,10 @@
   snapshot.catalogue_revision =
       static_cast<std::int64_t>(inputs.catalogue.Revision());
   for (const catalogue::ServiceEntry* service : inputs.catalogue.Services()) {
-    snapshot.services.push_back(MakeService(inputs, *service));
+    snapshot.services.push_back(MakeServiceRoute(inputs, *service));
   }
   for (const membership::Member& member : inputs.members) {
-    snapshot.hosts.push_back(MakeHost(member, inputs.now));
+    snapshot.hosts.push_back(MakeHostRoute(member, inputs.now));
   }
   for (const catalogue::LinkEntry* link : inputs.catalogue.Links()) {
     if (link->from == inputs.own_domain) {
--- a/lib/libmedlarcroft/source/adapters/steer/snapshot_builder.h
+++ b/lib/libmedlarcroft/source/adapters/steer/snapshot_builder.h
@@ -14,10 +14,11 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief What a routing snapshot is made from.
+/// @brief Input of `BuildSnapshot`.
 struct SnapshotInputs {
   const catalogue::CatalogueView& catalogue;
   const FailureDomainName& own_domain;
+  /// The other failure domains of the region.
   const std::set<FailureDomainName>& siblings;
   const std::vector<membership::Member>& members;
   const membership::TargetStatusTable& targets;
@@ -25,7 +26,8 @@
   MonotonicTime now;
 };
 
-/// @return the routes of this host, without number and flags.
+/// @return the routes for the entryd of this host. Number and flags are left to
+/// the caller.
 [[nodiscard]] wire::RoutingSnapshot BuildSnapshot(const SnapshotInputs& inputs);
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/steer/steer_core.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_core.cc
@@ -12,28 +12,31 @@
 
 namespace {
 
-/// entryd reports four times a second; a host whose request path is silent for
-/// so long is not offered to callers.
-constexpr Duration kEntrySilence = std::chrono::milliseconds(1200);
+/// entryd reports four times a second. A host without a report for this long
+/// has no working request path and is not offered to callers.
+constexpr Duration kEntryReportTimeout = std::chrono::milliseconds(1200);
 
-/// The platform's list is read every few seconds; an older one shows nobody as
-/// gone.
-constexpr Duration kHostListFresh = std::chrono::seconds(15);
+/// The platform's host list is read every few seconds. An older list is no
+/// evidence that a host is gone.
+constexpr Duration kHostListMaxAge = std::chrono::seconds(15);
 
-/// A first guess of what one caller brings, until demand was measured.
+/// Requests per second expected from one look-up answer until the demand of
+/// the service has been measured.
 constexpr double kDefaultDemandPerAnswer = 1.0;
 
+/// Upper limit of the expected demand of one look-up answer, in requests per
+/// second.
 constexpr double kMaxDemandPerAnswer = 50.0;
 
-/// Measurements arrive once a second at best; planning more often costs a host
-/// with many services most of its share of a core and shows nothing new.
+/// Measurements arrive at most once a second. Planning more often gains nothing
+/// and takes most of a host's share of a CPU core when it has many services.
 constexpr Duration kPlanPeriod = std::chrono::milliseconds(500);
 
-/// Weight of the newest tick in the rate of answers.
-constexpr double kRateSmoothing = 0.2;
+/// Weight of the newest sample in the moving average of the answer rate.
+constexpr double kAnswerRateSmoothing = 0.2;
 
-membership::HostState FirstState(const SteerIdentity& identity,
-                                 const ports::Clock& clock) {
+membership::HostState InitialState(const SteerIdentity& identity,
+                                   const ports::Clock& clock) {
   membership::HostState state;
   state.host = identity.host;
   state.failure_domain = identity.failure_domain;
@@ -56,13 +59,13 @@
     : identity_(std::move(identity)),
       clock_(clock),
       catalogue_(std::make_shared<const catalogue::CatalogueView>()),
-      members_({}, FirstState(identity_, clock), clock),
+      members_({}, InitialState(identity_, clock), clock),
       targets_({}, clock),
-      lookups_(clock, random),
-      shifts_(clock),
+      lookup_planner_(clock, random),
+      shift_planner_(clock),
       observation_sequence_(
           static_cast<std::uint64_t>(WallMicroseconds(clock))),
-      ticked_at_(clock.Now()),
+      last_plan_update_(clock.Now()),
       snapshot_number_(WallMicroseconds(clock)) {}
 
 void SteerCore::ApplyCatalogue(catalogue::SharedCatalogueView view) {
@@ -85,11 +88,11 @@
 
 void SteerCore::ApplyReport(const wire::EntryReport& report) {
   const std::lock_guard lock(mutex_);
-  reported_at_ = clock_.Now();
+  last_report_at_ = clock_.Now();
   is_entry_leaving_ = report.is_leaving;
-  wants_called_.clear();
+  hosts_to_probe_.clear();
   for (const std::string& host : report.wants_called) {
-    wants_called_.insert(HostName(host));
+    hosts_to_probe_.insert(HostName(host));
   }
   for (const wire::TargetObservation& seen : report.observations) {
     membership::TargetObservation observation = FromWire(seen);
@@ -117,11 +120,11 @@
   const std::lock_guard lock(mutex_);
   members_.ApplyHostList(hosts);
   targets_.ApplyHostList(hosts);
-  listed_at_ = clock_.Now();
-  listed_.clear();
+  host_list_read_at_ = clock_.Now();
+  listed_hosts_.clear();
   for (ports::ListedHost& host : hosts) {
     const std::string name = host.name;
-    listed_[name] = std::move(host);
+    listed_hosts_[name] = std::move(host);
   }
 }
 
@@ -140,9 +143,9 @@
   members_.RecordFailedCall(host);
 }
 
-void SteerCore::Announce() {
+void SteerCore::AnnounceLeaving() {
   const std::lock_guard lock(mutex_);
-  is_announced_ = true;
+  is_leaving_ = true;
   UpdateSelf();
 }
 
@@ -150,33 +153,34 @@
   const std::lock_guard lock(mutex_);
   static_cast<void>(members_.Tick());
   UpdateSelf();
-  if (clock_.Now() - ticked_at_ >= kPlanPeriod) {
+  if (clock_.Now() - last_plan_update_ >= kPlanPeriod) {
     UpdatePlans();
   }
 }
 
 Result<steering::LookupAnswer, steering::LookupError> SteerCore::Lookup(
-    const LookupQuestion& question) {
-  const steering::BlockMapHolder::Shared blocks = blocks_.Current();
+    const LookupQuery& query) {
+  const steering::BlockMapHolder::Shared block_map =
+      client_block_map_.Current();
 
   const std::lock_guard lock(mutex_);
-  steering::LookupRequest request{.service = question.service,
-                                  .brand = question.brand};
-  if (question.client) {
-    request.nearest = blocks->FindNearest(*question.client, *catalogue_);
+  steering::LookupRequest request{.service = query.service,
+                                  .brand = query.brand};
+  if (query.client) {
+    request.nearest = block_map->FindNearest(*query.client, *catalogue_);
   }
-  auto answer = lookups_.Plan(request);
+  auto answer = lookup_planner_.Plan(request);
   if (IsOk(answer)) {
-    CountHandedOut(ValueOf(answer), question.service);
+    RecordHandedOutDemand(ValueOf(answer), query.service);
   }
   return answer;
 }
 
-void SteerCore::CountHandedOut(const steering::LookupAnswer& answer,
-                               const ServiceName& service) {
-  ++answers_since_tick_[service];
-  // What one caller brings is the domain's demand, spread over the answers that
-  // are in use now.
+void SteerCore::RecordHandedOutDemand(const steering::LookupAnswer& answer,
+                                      const ServiceName& service) {
+  ++answers_since_plan_update_[service];
+  // The demand per answer is the demand of the failure domain divided by the
+  // number of answers whose TTL has not expired.
   const auto rate = answers_per_second_.find(service);
   const double in_use = rate == answers_per_second_.end()
                             ? 0.0
@@ -199,13 +203,15 @@
                      .siblings = SiblingDomains(),
                      .members = members_.Members(),
                      .targets = targets_,
-                     .plan = plan_,
+                     .plan = shift_plan_,
                      .now = clock_.Now()});
-  // Nothing was ever read: entryd goes on with what it has.
+  // Number 0 means that no catalogue has been read yet; entryd then keeps the
+  // routes it has.
   snapshot.number = catalogue_->Revision() == 0 ? 0 : ++snapshot_number_;
-  snapshot.is_leaving = is_announced_;
+  snapshot.is_leaving = is_leaving_;
   snapshot.is_host_list_fresh =
-      listed_at_ && clock_.Now() - *listed_at_ < kHostListFresh;
+      host_list_read_at_ &&
+      clock_.Now() - *host_list_read_at_ < kHostListMaxAge;
   return snapshot;
 }
 
@@ -214,24 +220,26 @@
     const FailureDomainName& receiver) {
   const std::lock_guard lock(mutex_);
   membership::ExchangeContent content =
-      selector_.Select(members_, targets_, message_bytes);
-  // Failure: a host first heard without its addresses cannot be called back.
-  // Symptom: two hosts of a domain take each other for dead for half a minute.
-  // Eighty bytes a message are the smaller cost.
+      exchange_selector_.Select(members_, targets_, message_bytes);
+  // A host that is first seen without its addresses can't be called back, so
+  // two hosts of a failure domain would regard each other as dead for half a
+  // minute. Sending the addresses in every message prevents this at a cost of
+  // 80 bytes per message.
   const membership::HostState& self = members_.Self();
   content.sender.lookup_address = self.lookup_address;
   content.sender.peer_address = self.peer_address;
   content.sender.entry_address = self.entry_address;
   content.sender.share_address = self.share_address;
   if (receiver != identity_.failure_domain) {
-    // What the receiver plans its shifts from. It counts the age from here.
+    // The receiver plans its load shifts from this summary and measures the
+    // age of the summary from now on.
     content.summaries.insert(content.summaries.begin(), members_.Summarise());
   }
   return content;
 }
 
 void SteerCore::UpdateSelf() {
-  const membership::HostPhase phase = PhaseNow();
+  const membership::HostPhase phase = CurrentPhase();
   const std::uint64_t revision = catalogue_->Revision();
   const membership::HostState& self = members_.Self();
   if (self.phase == phase && self.catalogue_revision == revision) {
@@ -243,8 +251,8 @@
   });
 }
 
-membership::HostPhase SteerCore::PhaseNow() const {
-  if (is_announced_ || is_entry_leaving_) {
+membership::HostPhase SteerCore::CurrentPhase() const {
+  if (is_leaving_ || is_entry_leaving_) {
     return membership::HostPhase::kLeaving;
   }
   const bool is_ready = catalogue_->Revision() > 0 && IsEntryConnectedLocked();
@@ -253,30 +261,32 @@
 }
 
 bool SteerCore::IsEntryConnectedLocked() const {
-  return reported_at_ && clock_.Now() - *reported_at_ < kEntrySilence;
+  return last_report_at_ &&
+         clock_.Now() - *last_report_at_ < kEntryReportTimeout;
 }
 
 void SteerCore::UpdatePlans() {
   const MonotonicTime now = clock_.Now();
-  const double elapsed = ToSeconds(now - ticked_at_);
+  const double elapsed = ToSeconds(now - last_plan_update_);
   if (elapsed > 0) {
-    for (auto& [service, count] : answers_since_tick_) {
+    for (auto& [service, count] : answers_since_plan_update_) {
       double& rate = answers_per_second_[service];
-      rate += kRateSmoothing * (static_cast<double>(count) / elapsed - rate);
+      rate +=
+          kAnswerRateSmoothing * (static_cast<double>(count) / elapsed - rate);
       count = 0;
     }
-    ticked_at_ = now;
+    last_plan_update_ = now;
   }
 
   const std::vector<steering::DomainLoad> domains = DomainLoadsOf(members_);
   const std::vector<steering::PendingDemand> pending = handed_out_.All(now);
-  plan_ = shifts_.Plan(
+  shift_plan_ = shift_planner_.Plan(
       {.catalogue = catalogue_.get(), .domains = domains, .pending = pending});
-  lookups_.Update({.catalogue = catalogue_,
-                   .hosts = EntryHostsOf(members_, *catalogue_),
-                   .domains = domains,
-                   .plan = plan_,
-                   .own_domain = identity_.failure_domain});
+  lookup_planner_.Update({.catalogue = catalogue_,
+                          .hosts = EntryHostsOf(members_, *catalogue_),
+                          .domains = domains,
+                          .plan = shift_plan_,
+                          .own_domain = identity_.failure_domain});
 }
 
 std::set<FailureDomainName> SteerCore::SiblingDomains() const {
@@ -299,11 +309,12 @@
   const std::lock_guard lock(mutex_);
   std::vector<membership::Member> partners = members_.Members();
   for (membership::Member& partner : partners) {
-    const auto listed = listed_.find(partner.state.host.Value());
-    if (listed == listed_.end()) {
+    const auto listed = listed_hosts_.find(partner.state.host.Value());
+    if (listed == listed_hosts_.end()) {
       continue;
     }
-    // What the host says itself goes before the platform's list, which lags.
+    // The host's own statement takes precedence over the platform's list, which
+    // lags behind.
     if (partner.state.peer_address.empty()) {
       partner.state.peer_address = listed->second.address;
     }
@@ -322,9 +333,9 @@
   return std::ranges::find(relays, identity_.host) != relays.end();
 }
 
-std::set<HostName> SteerCore::WantsCalled() const {
+std::set<HostName> SteerCore::HostsToProbe() const {
   const std::lock_guard lock(mutex_);
-  return wants_called_;
+  return hosts_to_probe_;
 }
 
 catalogue::SharedCatalogueView SteerCore::Catalogue() const {
@@ -344,7 +355,7 @@
 
 steering::ShiftPlan SteerCore::Plan() const {
   const std::lock_guard lock(mutex_);
-  return plan_;
+  return shift_plan_;
 }
 
 std::vector<steering::DomainLoad> SteerCore::DomainLoads() const {
@@ -359,15 +370,15 @@
 
 bool SteerCore::IsLeaving() const {
   const std::lock_guard lock(mutex_);
-  return is_announced_;
+  return is_leaving_;
 }
 
 std::optional<Duration> SteerCore::HostListAge() const {
   const std::lock_guard lock(mutex_);
-  if (!listed_at_) {
+  if (!host_list_read_at_) {
     return std::nullopt;
   }
-  return clock_.Now() - *listed_at_;
+  return clock_.Now() - *host_list_read_at_;
 }
 
 membership::MergedTargetStatus SteerCore::MergedStatusOf(
--- a/lib/libmedlarcroft/source/adapters/steer/steer_core.h
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_core.h
@@ -26,7 +26,7 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief What a host is, from its settings.
+/// @brief Identity and addresses (IP:port) of this host, from its settings.
 struct SteerIdentity {
   HostName host;
   FailureDomainName failure_domain;
@@ -35,16 +35,16 @@
   std::string entry_address;
 };
 
-/// @brief Everything that steerd decides from, in one place: catalogue,
-/// membership, target signs, load and the shift plan. It does no I/O, and every
-/// call returns at once. Safe to share between threads.
+/// @brief All state that steerd's decisions depend on: catalogue, membership,
+/// target status, load and the shift plan. It does no I/O and no call blocks.
+/// Thread-safe.
 class SteerCore {
  public:
   SteerCore(SteerIdentity identity,
             const ports::Clock& clock,
             ports::RandomSource& random);
 
-  // What arrives.
+  // Inputs.
   void ApplyCatalogue(catalogue::SharedCatalogueView view);
   void ApplyReport(const wire::EntryReport& report);
   void ApplyHostList(std::vector<ports::ListedHost> hosts);
@@ -52,41 +52,47 @@
   void RecordAnswer(const HostName& host);
   void RecordFailedCall(const HostName& host);
 
-  /// @return where the platform thread puts a newer client block map.
-  [[nodiscard]] steering::BlockMapHolder& Blocks() { return blocks_; }
+  /// @return the client block map in use; the platform thread replaces it when
+  /// a newer one is published.
+  [[nodiscard]] steering::BlockMapHolder& ClientBlockMap() {
+    return client_block_map_;
+  }
 
-  /// @brief From now on this host says that it leaves.
-  void Announce();
+  /// @brief Makes this host announce itself as leaving from now on.
+  void AnnounceLeaving();
 
-  /// @brief Renews what depends on time: liveness, plans, look-up inputs.
-  /// Called a few times a second.
+  /// @brief Updates what depends on time: liveness, shift plan and look-up
+  /// inputs. Call it a few times a second.
   void Tick();
 
-  // What is asked.
-  struct LookupQuestion {
+  // Queries.
+  struct LookupQuery {
     ServiceName service;
     BrandName brand;
     std::optional<steering::ClientAddress> client;
   };
   [[nodiscard]] Result<steering::LookupAnswer, steering::LookupError> Lookup(
-      const LookupQuestion& question);
+      const LookupQuery& query);
 
   [[nodiscard]] wire::RoutingSnapshot MakeSnapshot();
-  /// @param receiver its failure domain; another one gets this domain's
-  /// summary.
+  /// @param message_bytes size limit of the message, in bytes.
+  /// @param receiver failure domain of the receiver. A receiver in another
+  /// failure domain also gets the load summary of this one.
   [[nodiscard]] membership::ExchangeContent MakeExchange(
       std::size_t message_bytes,
       const FailureDomainName& receiver);
 
-  /// @return the hosts that this one may call, in the own domain and, for its
-  /// relays, one of each other domain.
+  /// @return the hosts that this one may call, in its own failure domain and
+  /// in the others. Only the relays of a domain call other domains.
   [[nodiscard]] std::vector<membership::Member> ExchangePartners() const;
-  /// @return hosts that must be called before a seat may be used or taken.
-  [[nodiscard]] std::set<HostName> WantsCalled() const;
-  /// @return whether this host does that duty for its domain now.
+  /// @return hosts that entryd needs an answer from before it may use or take
+  /// over a seat.
+  [[nodiscard]] std::set<HostName> HostsToProbe() const;
+  /// @return whether this host is now one of the `count` hosts of its failure
+  /// domain that perform `task`.
   [[nodiscard]] bool IsRelayFor(std::string_view task, std::size_t count) const;
 
-  // For operators.
+  // State for status pages and metrics.
   [[nodiscard]] catalogue::SharedCatalogueView Catalogue() const;
   [[nodiscard]] std::vector<membership::Member> Members() const;
   [[nodiscard]] membership::HostState Self() const;
@@ -94,45 +100,47 @@
   [[nodiscard]] std::vector<steering::DomainLoad> DomainLoads() const;
   [[nodiscard]] bool IsEntryConnected() const;
   [[nodiscard]] bool IsLeaving() const;
-  /// @return time since the platform's list was last read; nullopt: never.
+  /// @return time since the platform's host list was last read, or nullopt
+  /// before the first read.
   [[nodiscard]] std::optional<Duration> HostListAge() const;
   [[nodiscard]] membership::MergedTargetStatus MergedStatusOf(
       const TargetName& target) const;
 
  private:
-  // These need `mutex_`.
-  [[nodiscard]] membership::HostPhase PhaseNow() const;
+  // Callers must hold `mutex_`.
+  [[nodiscard]] membership::HostPhase CurrentPhase() const;
   [[nodiscard]] bool IsEntryConnectedLocked() const;
+  /// @return the other failure domains of this host's region.
   [[nodiscard]] std::set<FailureDomainName> SiblingDomains() const;
   void UpdateSelf();
   void UpdatePlans();
-  void CountHandedOut(const steering::LookupAnswer& answer,
-                      const ServiceName& service);
+  void RecordHandedOutDemand(const steering::LookupAnswer& answer,
+                             const ServiceName& service);
 
   const SteerIdentity identity_;
   const ports::Clock& clock_;
 
-  steering::BlockMapHolder blocks_;  // Locks for itself.
+  steering::BlockMapHolder client_block_map_;  // Has its own lock.
 
   mutable std::mutex mutex_;
   catalogue::SharedCatalogueView catalogue_;
   membership::MembershipTable members_;
   membership::TargetStatusTable targets_;
-  membership::ExchangeSelector selector_;
-  steering::LookupPlanner lookups_;
-  steering::ShiftPlanner shifts_;
+  membership::ExchangeSelector exchange_selector_;
+  steering::LookupPlanner lookup_planner_;
+  steering::ShiftPlanner shift_planner_;
   steering::LookupDemandTracker handed_out_;
-  steering::ShiftPlan plan_;
-  std::map<ServiceName, std::uint64_t> answers_since_tick_;
+  steering::ShiftPlan shift_plan_;
+  std::map<ServiceName, std::uint64_t> answers_since_plan_update_;
   std::map<ServiceName, double> answers_per_second_;
-  std::map<std::string, ports::ListedHost> listed_;
-  std::optional<MonotonicTime> listed_at_;
-  std::optional<MonotonicTime> reported_at_;
-  std::set<HostName> wants_called_;
+  std::map<std::string, ports::ListedHost> listed_hosts_;
+  std::optional<MonotonicTime> host_list_read_at_;
+  std::optional<MonotonicTime> last_report_at_;
+  std::set<HostName> hosts_to_probe_;
   bool is_entry_leaving_ = false;
-  bool is_announced_ = false;
+  bool is_leaving_ = false;
   std::uint64_t observation_sequence_;
-  MonotonicTime ticked_at_;
+  MonotonicTime last_plan_update_;
   std::int64_t snapshot_number_;
 };
 
--- a/lib/libmedlarcroft/source/adapters/steer/steer_handler.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_handler.cc
@@ -13,11 +13,12 @@
 
 constexpr std::string_view kLookupPath = "/v1/lookup";
 
-constexpr std::size_t kSmallBodyBytes = 4096;
+/// Limit for requests other than operators' calls, whose limit is larger.
+constexpr std::size_t kMaxBodyBytes = 4096;
 
-/// Operators' calls wait for the platform; more than a few in the queue would
-/// wait longer than anybody watches.
-constexpr std::size_t kMaxOperatorCalls = 32;
+/// Operators' calls are processed one at a time and wait for the platform.
+/// Callers at the end of a longer queue would have given up before their turn.
+constexpr std::size_t kMaxQueuedOperatorCalls = 32;
 
 HttpResponse MakeLookupProblem(int status, std::string_view code) {
   HttpResponse response = MakeJsonResponse(
@@ -40,9 +41,9 @@
           {"weight", host.weight}};
 }
 
-/// Keys are run by their issuer, so a caller that got keys of this host does
-/// best to begin with it.
-void PutFirst(const HostName& self, steering::LookupAnswer& answer) {
+/// Requests with an idempotency key are executed by the host that issued the
+/// key, so a caller that received keys of this host should try this host first.
+void MoveToFront(const HostName& self, steering::LookupAnswer& answer) {
   auto& hosts = answer.entry_hosts;
   const auto own =
       std::ranges::find_if(hosts, [&self](const steering::LookupHost& host) {
@@ -59,15 +60,15 @@
     HttpRequest request,
     const std::shared_ptr<Responder>& responder) {
   if (request.path == kLookupPath) {
-    const MonotonicTime start = parts_.clock.Now();
+    const MonotonicTime start = dependencies_.clock.Now();
     HttpResponse answer = Lookup(request);
-    parts_.telemetry.RecordLookup(parts_.clock.Now() - start);
+    dependencies_.telemetry.RecordLookup(dependencies_.clock.Now() - start);
     return answer;
   }
   if (OperatorRoutes::IsMatch(request.path)) {
     return StartOperatorCall(std::move(request), responder);
   }
-  if (auto page = parts_.pages.Find(request)) {
+  if (auto page = dependencies_.pages.Find(request)) {
     return page;
   }
   return MakeLookupProblem(404, "unknown-path");
@@ -77,34 +78,36 @@
   const auto service = request.FindQuery("service");
   const auto brand = request.FindQuery("brand");
   if (request.method != "GET" || !service || !brand) {
-    parts_.telemetry.CountMalformedLookup();
+    dependencies_.telemetry.CountMalformedLookup();
     return MakeLookupProblem(400, "bad-look-up");
   }
-  const auto named_client = request.FindQuery("client");
+  const auto client_parameter = request.FindQuery("client");
   const auto client =
-      ParseClientAddress(named_client.value_or(request.peer_address));
-  // An answer for some other place would look like one for this client.
-  if (named_client && !client) {
-    parts_.telemetry.CountMalformedLookup();
+      ParseClientAddress(client_parameter.value_or(request.peer_address));
+  // Falling back to the peer's address would return an answer for another
+  // location that looks like one for the named client.
+  if (client_parameter && !client) {
+    dependencies_.telemetry.CountMalformedLookup();
     return MakeLookupProblem(400, "bad-client-address");
   }
-  auto result = parts_.core.Lookup({.service = ServiceName(*service),
-                                    .brand = BrandName(*brand),
-                                    .client = client});
+  auto result = dependencies_.core.Lookup({.service = ServiceName(*service),
+                                           .brand = BrandName(*brand),
+                                           .client = client});
   if (!IsOk(result)) {
     const steering::LookupError error = ErrorOf(result);
-    parts_.telemetry.CountLookup(error);
+    dependencies_.telemetry.CountLookup(error);
     return MakeLookupProblem(StatusOf(error), steering::ToString(error));
   }
 
   steering::LookupAnswer answer = TakeValue(std::move(result));
-  parts_.telemetry.CountLookup(ServiceName(*service), answer.rule);
-  const catalogue::SharedCatalogueView catalogue = parts_.core.Catalogue();
+  dependencies_.telemetry.CountLookup(ServiceName(*service), answer.rule);
+  const catalogue::SharedCatalogueView catalogue =
+      dependencies_.core.Catalogue();
   const auto* entry = catalogue->FindService(ServiceName(*service));
   const bool is_keyed =
       entry != nullptr && !entry->request_class.IsIdempotent();
   if (is_keyed) {
-    PutFirst(parts_.core.Self().host, answer);
+    MoveToFront(dependencies_.core.Self().host, answer);
   }
 
   nlohmann::ordered_json body = {{"revision", answer.revision},
@@ -115,15 +118,15 @@
     body["entry_hosts"].push_back(ToJson(host));
   }
   if (is_keyed) {
-    // A key is run by its issuer. While this host is not the first choice, its
-    // keys would send each order over one more host; the caller asks the host
-    // that it chooses instead.
+    // Requests with a key are executed by the issuer of the key. While this
+    // host is not the first choice, its keys would add a hop to each request;
+    // without keys, the caller requests them from the host that it chooses.
     const bool is_issuer_first =
         !answer.entry_hosts.empty() &&
-        answer.entry_hosts.front().host == parts_.core.Self().host &&
-        parts_.core.Self().phase == membership::HostPhase::kReady;
+        answer.entry_hosts.front().host == dependencies_.core.Self().host &&
+        dependencies_.core.Self().phase == membership::HostPhase::kReady;
     body["idempotency_keys"] =
-        is_issuer_first ? parts_.keys.Take(entry->request_class.key_mode)
+        is_issuer_first ? dependencies_.keys.Take(entry->request_class.key_mode)
                         : std::vector<std::string>();
   }
   return MakeJsonResponse(200, body, JsonLayout::kCompact);
@@ -133,13 +136,13 @@
     HttpRequest request,
     const std::shared_ptr<Responder>& responder) {
   const auto shared = std::make_shared<HttpRequest>(std::move(request));
-  const bool is_queued = parts_.worker.Post(
+  const bool is_queued = dependencies_.worker.Post(
       [this, shared, responder] {
-        auto answer = parts_.operators.Handle(*shared);
+        auto answer = dependencies_.operators.Handle(*shared);
         responder->Send(answer ? *std::move(answer)
                                : MakeLookupProblem(404, "unknown-path"));
       },
-      kMaxOperatorCalls);
+      kMaxQueuedOperatorCalls);
   if (!is_queued) {
     return MakeLookupProblem(503, "too-many-operator-calls");
   }
@@ -148,7 +151,7 @@
 
 std::size_t SteerHandler::MaxBodyBytes(const HttpRequest& request) const {
   return OperatorRoutes::IsMatch(request.path) ? OperatorRoutes::MaxBodyBytes()
-                                               : kSmallBodyBytes;
+                                               : kMaxBodyBytes;
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/steer/steer_handler.h
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_handler.h
@@ -15,11 +15,12 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Serves steerd's listener: look-ups, pages, and the operators'
-/// catalogue calls, which block on the platform and so run on a worker.
+/// @brief Handles steerd's HTTP requests: look-ups, status pages, and the
+/// operators' catalogue calls. The latter block on the platform and therefore
+/// run on a worker thread.
 class SteerHandler final : public HttpHandler {
  public:
-  struct Parts {
+  struct Dependencies {
     SteerCore& core;
     KeyPool& keys;
     OperatorRoutes& operators;
@@ -29,7 +30,8 @@
     const ports::Clock& clock;
   };
 
-  explicit SteerHandler(const Parts& parts) : parts_(parts) {}
+  explicit SteerHandler(const Dependencies& dependencies)
+      : dependencies_(dependencies) {}
 
   std::optional<HttpResponse> Handle(
       HttpRequest request,
@@ -44,7 +46,7 @@
       HttpRequest request,
       const std::shared_ptr<Responder>& responder);
 
-  const Parts parts_;
+  const Dependencies dependencies_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/steer/steer_node.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_node.cc
@@ -37,7 +37,8 @@
 
 constexpr std::array<std::string_view, 4> kFailureNames = {
     "cannot listen for look-ups", "cannot listen for peers",
-    "cannot listen for entryd", "bad TLS material"};
+    "cannot listen for entryd's routing calls",
+    "invalid TLS certificate or key"};
 
 SteerIdentity IdentityOf(const SteerdSettings& settings) {
   return {.host = HostName(settings.host),
@@ -59,10 +60,10 @@
 }
 
 membership::ExchangePacing PacingOf(const SteerdSettings& settings) {
-  constexpr double kExchangePart = 0.5;
+  constexpr double kExchangeBudgetFraction = 0.5;
   return membership::PacingFor(
       {.bytes_per_second =
-           kExchangePart *
+           kExchangeBudgetFraction *
            static_cast<double>(settings.budgets.peer_bytes_per_second)});
 }
 
@@ -80,8 +81,8 @@
   return tokens;
 }
 
-/// @return an id for a change whose operator chose none. Random, so that no two
-/// hosts make the same one.
+/// @return an id for a change whose operator chose none. It is random, so that
+/// no two hosts generate the same one.
 std::string MakeChangeId(ports::RandomSource& random) {
   std::ostringstream text;
   text << "auto-" << std::hex << random.Next() << random.Next();
@@ -94,9 +95,9 @@
   return kFailureNames.at(static_cast<std::size_t>(failure));
 }
 
-class SteerNode::Parts {
+class SteerNode::Impl {
  public:
-  Parts(const SteerdSettings& settings, const ports::Clock& clock)
+  Impl(const SteerdSettings& settings, const ports::Clock& clock)
       : settings_(settings),
         clock_(clock),
         platform_({.base_url = settings.platform_url,
@@ -111,29 +112,29 @@
                {platform_, platform_, clock, store_random_,
                 [](Duration pause) { std::this_thread::sleep_for(pause); }}),
         core_(IdentityOf(settings), clock, core_random_),
-        agent_(replica_,
-               [this](catalogue::SharedCatalogueView view) {
-                 Log(LogLevel::kInfo, "catalogue-applied",
-                     {{"revision", view->Revision()}});
-                 core_.ApplyCatalogue(std::move(view));
-               }),
+        catalogue_sync_(replica_,
+                        [this](catalogue::SharedCatalogueView view) {
+                          Log(LogLevel::kInfo, "catalogue-applied",
+                              {{"revision", view->Revision()}});
+                          core_.ApplyCatalogue(std::move(view));
+                        }),
         exchanger_({.own_address = settings.peer_listen,
                     .bootstrap = settings.peers,
                     .pacing = PacingOf(settings)},
                    core_,
-                   agent_,
+                   catalogue_sync_,
                    exchange_random_),
-        watch_({.core = core_,
-                .relay = relay_,
-                .agent = agent_,
-                .hosts = platform_,
-                .budget = budget_,
-                .table = table_,
-                .objects = objects_,
-                .clock = clock}),
+        platform_poller_({.core = core_,
+                          .relay = relay_,
+                          .catalogue_sync = catalogue_sync_,
+                          .hosts = platform_,
+                          .budget = budget_,
+                          .table = table_,
+                          .objects = objects_,
+                          .clock = clock}),
         operator_api_({store_, replica_,
                        [this] { return MakeChangeId(change_id_random_); }}),
-        operators_({.tokens = TokensOf(settings)}, operator_api_),
+        operator_routes_({.tokens = TokensOf(settings)}, operator_api_),
         telemetry_({.core = core_,
                     .replica = replica_,
                     .budget = budget_,
@@ -152,23 +153,23 @@
                     }}),
         handler_({.core = core_,
                   .keys = keys_,
-                  .operators = operators_,
+                  .operators = operator_routes_,
                   .worker = operator_worker_,
                   .pages = pages_,
                   .telemetry = telemetry_,
                   .clock = clock}),
-        stop_(StopOptionsOf(settings.drain)) {}
+        stop_sequence_(StopOptionsOf(settings.drain)) {}
 
-  ~Parts() {
-    // Listeners first: their threads use everything below.
-    http_.reset();
-    peers_.reset();
-    routing_.reset();
+  ~Impl() {
+    // The listeners go first: their threads use all other components.
+    http_server_.reset();
+    peer_server_.reset();
+    routing_server_.reset();
     exchange_thread_.reset();
     platform_thread_.reset();
   }
-  Parts(const Parts&) = delete;
-  Parts& operator=(const Parts&) = delete;
+  Impl(const Impl&) = delete;
+  Impl& operator=(const Impl&) = delete;
 
   std::optional<SteerStartFailure> Open() {
     auto routing = ThriftServer::Start(
@@ -180,16 +181,16 @@
     if (!IsOk(routing)) {
       return SteerStartFailure::kCannotListenForRouting;
     }
-    routing_ = TakeValue(std::move(routing));
+    routing_server_ = TakeValue(std::move(routing));
 
     auto peers = ThriftServer::Start(
         {.address = settings_.peer_listen},
         std::make_shared<wire::PeerProcessor>(std::make_shared<PeerService>(
-            core_, agent_, PacingOf(settings_).message_bytes)));
+            core_, catalogue_sync_, PacingOf(settings_).message_bytes)));
     if (!IsOk(peers)) {
       return SteerStartFailure::kCannotListenForPeers;
     }
-    peers_ = TakeValue(std::move(peers));
+    peer_server_ = TakeValue(std::move(peers));
 
     const auto certificate = ReadTextFile(settings_.lookup_tls.certificate);
     const auto key = ReadTextFile(settings_.lookup_tls.key);
@@ -207,27 +208,27 @@
                  ? SteerStartFailure::kBadTlsMaterial
                  : SteerStartFailure::kCannotListenForLookups;
     }
-    http_ = TakeValue(std::move(http));
-    telemetry_.WatchListener(http_->Counters());
-    peer_metrics_.Watch(peers_->Counters());
-    routing_metrics_.Watch(routing_->Counters());
+    http_server_ = TakeValue(std::move(http));
+    telemetry_.WatchListener(http_server_->Counters());
+    peer_metrics_.Watch(peer_server_->Counters());
+    routing_metrics_.Watch(routing_server_->Counters());
 
     const Duration period = PacingOf(settings_).period;
     exchange_thread_ = std::make_unique<PeriodicThread>([this, period] {
-      exchanger_.Round();
-      // Jitter keeps hosts that started together from calling together.
+      exchanger_.RunRound();
+      // Jitter keeps hosts that started together from calling at the same time.
       return FromSeconds(ToSeconds(period) *
                          (0.75 + 0.5 * exchange_random_.NextUnit()));
     });
-    platform_thread_ =
-        std::make_unique<PeriodicThread>([this] { return watch_.Step(); });
+    platform_thread_ = std::make_unique<PeriodicThread>(
+        [this] { return platform_poller_.PollDue(); });
     return std::nullopt;
   }
 
   void Tick() {
-    agent_.Publish();
+    catalogue_sync_.Publish();
     core_.Tick();
-    stop_.Advance(http_->Counters().in_flight, clock_.Now());
+    stop_sequence_.Advance(http_server_->Counters().in_flight, clock_.Now());
   }
 
   void Reload(const SteerdSettings& settings) {
@@ -235,12 +236,14 @@
   }
 
   void RequestStop(int count) {
-    core_.Announce();
-    http_->StartDraining();
-    stop_.OnSignal(count, clock_.Now());
+    core_.AnnounceLeaving();
+    http_server_->StartDraining();
+    stop_sequence_.OnSignal(count, clock_.Now());
   }
 
-  [[nodiscard]] const process::StopSequence& Stop() const { return stop_; }
+  [[nodiscard]] const process::StopSequence& Stop() const {
+    return stop_sequence_;
+  }
 
  private:
   const SteerdSettings settings_;
@@ -249,7 +252,7 @@
   SystemRandom store_random_;
   SystemRandom core_random_;
   SystemRandom exchange_random_;
-  SystemRandom change_id_random_;  // Used on the operators' worker only.
+  SystemRandom change_id_random_;  // Used on `operator_worker_` only.
   HttpPlatform platform_;
   catalogue::PlatformRateLimiter budget_;
   catalogue::RateLimitedTableStore table_;
@@ -260,57 +263,57 @@
   catalogue::CatalogueStore store_;
   SteerCore core_;
   KeyPool keys_;
-  CatalogueAgent agent_;
+  CatalogueSync catalogue_sync_;
   PeerExchanger exchanger_;
-  PlatformWatch watch_;
+  PlatformPoller platform_poller_;
   catalogue::OperatorApi operator_api_;
-  OperatorRoutes operators_;
+  OperatorRoutes operator_routes_;
   WorkerThread operator_worker_;
   SteerTelemetry telemetry_;
   ThriftListenerMetrics peer_metrics_;
   ThriftListenerMetrics routing_metrics_;
   SteerPages pages_;
   SteerHandler handler_;
-  process::StopSequence stop_;
-  std::unique_ptr<ThriftServer> routing_;
-  std::unique_ptr<ThriftServer> peers_;
-  std::unique_ptr<HttpServer> http_;
+  process::StopSequence stop_sequence_;
+  std::unique_ptr<ThriftServer> routing_server_;
+  std::unique_ptr<ThriftServer> peer_server_;
+  std::unique_ptr<HttpServer> http_server_;
   std::unique_ptr<PeriodicThread> exchange_thread_;
   std::unique_ptr<PeriodicThread> platform_thread_;
 };
 
-SteerNode::SteerNode(std::unique_ptr<Parts> parts) : parts_(std::move(parts)) {}
+SteerNode::SteerNode(std::unique_ptr<Impl> impl) : impl_(std::move(impl)) {}
 
 SteerNode::~SteerNode() = default;
 
 Result<std::unique_ptr<SteerNode>, SteerStartFailure> SteerNode::Start(
     const SteerdSettings& settings,
     const ports::Clock& clock) {
-  auto parts = std::make_unique<Parts>(settings, clock);
-  if (const auto failure = parts->Open()) {
+  auto impl = std::make_unique<Impl>(settings, clock);
+  if (const auto failure = impl->Open()) {
     return *failure;
   }
-  return std::unique_ptr<SteerNode>(new SteerNode(std::move(parts)));
+  return std::unique_ptr<SteerNode>(new SteerNode(std::move(impl)));
 }
 
 void SteerNode::Tick() {
-  parts_->Tick();
+  impl_->Tick();
 }
 
 void SteerNode::Reload(const SteerdSettings& settings) {
-  parts_->Reload(settings);
+  impl_->Reload(settings);
 }
 
 void SteerNode::RequestStop(int count) {
-  parts_->RequestStop(count);
+  impl_->RequestStop(count);
 }
 
 process::StopPhase SteerNode::Phase() const {
-  return parts_->Stop().Phase();
+  return impl_->Stop().Phase();
 }
 
 std::size_t SteerNode::Cut() const {
-  return parts_->Stop().Cut();
+  return impl_->Stop().Cut();
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/steer/steer_node.h
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_node.h
@@ -12,7 +12,7 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Why a steer node could not start.
+/// @brief Why steerd could not start.
 enum class SteerStartFailure {
   kCannotListenForLookups,
   kCannotListenForPeers,
@@ -22,8 +22,8 @@
 
 [[nodiscard]] std::string_view NameOf(SteerStartFailure failure);
 
-/// @brief One medlar-steerd: all of its parts, wired. A program runs it by
-/// calling `Tick` from a loop; a test constructs it with a clock of its own.
+/// @brief A complete medlar-steerd: constructs and connects all components. A
+/// program runs it by calling `Tick` in a loop; a test can pass its own clock.
 class SteerNode {
  public:
   static Result<std::unique_ptr<SteerNode>, SteerStartFailure> Start(
@@ -34,24 +34,25 @@
   SteerNode(const SteerNode&) = delete;
   SteerNode& operator=(const SteerNode&) = delete;
 
-  /// @brief Renews plans and moves a stop on. Call it at least four times a
-  /// second.
+  /// @brief Updates plans and advances a shutdown in progress. Call it at least
+  /// four times a second.
   void Tick();
 
-  /// @brief Takes the settings that may change while running.
+  /// @brief Applies the settings that may change at run time.
   void Reload(const SteerdSettings& settings);
 
-  /// @param count signals to stop that have come so far.
+  /// @brief Starts or hastens the shutdown.
+  /// @param count number of stop signals received so far.
   void RequestStop(int count);
 
   [[nodiscard]] process::StopPhase Phase() const;
-  /// @return requests that the stop cut.
+  /// @return number of requests that the shutdown aborted.
   [[nodiscard]] std::size_t Cut() const;
 
  private:
-  class Parts;
-  explicit SteerNode(std::unique_ptr<Parts> parts);
-  std::unique_ptr<Parts> parts_;
+  class Impl;
+  explicit SteerNode(std::unique_ptr<Impl> impl);
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/steer/steer_pages.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_pages.cc
@@ -81,7 +81,7 @@
 
 std::vector<std::string> SteerPages::ReasonsNotReady() const {
   std::vector<std::string> reasons;
-  const catalogue::ReplicaStatus replica = parts_.replica.Status();
+  const catalogue::ReplicaStatus replica = dependencies_.replica.Status();
   for (const catalogue::NotReadyReason reason : replica.not_ready_reasons) {
     reasons.emplace_back(reason ==
                                  catalogue::NotReadyReason::kNoRevisionReceived
@@ -92,10 +92,10 @@
   if (replica.is_ready && replica.revision == 0) {
     reasons.emplace_back("catalogue: empty");
   }
-  if (!parts_.core.IsEntryConnected()) {
+  if (!dependencies_.core.IsEntryConnected()) {
     reasons.emplace_back("entryd: no report from this host's entryd");
   }
-  if (parts_.core.IsLeaving()) {
+  if (dependencies_.core.IsLeaving()) {
     reasons.emplace_back("stopping");
   }
   return reasons;
@@ -109,10 +109,11 @@
 }
 
 HttpResponse SteerPages::Status(const HttpRequest& /*request*/) const {
-  const membership::HostState self = parts_.core.Self();
-  const catalogue::ReplicaStatus replica = parts_.replica.Status();
-  const catalogue::PlatformReachability platform = parts_.budget.Reachability();
-  const catalogue::PlatformCallCounts counts = parts_.budget.Counts();
+  const membership::HostState self = dependencies_.core.Self();
+  const catalogue::ReplicaStatus replica = dependencies_.replica.Status();
+  const catalogue::PlatformReachability platform =
+      dependencies_.budget.Reachability();
+  const catalogue::PlatformCallCounts counts = dependencies_.budget.Counts();
   const std::vector<std::string> reasons = ReasonsNotReady();
 
   Json body = {{"host", self.host.Value()},
@@ -137,25 +138,27 @@
     body["seats"][domain.Value()] = seat;
   }
   body["members"] = Json::array();
-  for (const membership::Member& member : parts_.core.Members()) {
+  for (const membership::Member& member : dependencies_.core.Members()) {
     body["members"].push_back(MemberToJson(member));
   }
 
-  Json serves = Json::array();
-  Json cannot = Json::array();
-  (replica.revision > 0 ? serves : cannot).push_back("look-ups");
-  (parts_.core.IsEntryConnected() ? serves : cannot).push_back("requests");
-  (platform.is_reachable ? serves : cannot).push_back("catalogue changes");
-  (platform.is_reachable ? serves : cannot).push_back("seat changes");
-  (platform.is_reachable ? serves : cannot).push_back("durable keys");
-  body["serves"] = serves;
-  body["cannot"] = cannot;
+  Json available = Json::array();
+  Json unavailable = Json::array();
+  (replica.revision > 0 ? available : unavailable).push_back("look-ups");
+  (dependencies_.core.IsEntryConnected() ? available : unavailable)
+      .push_back("requests");
+  (platform.is_reachable ? available : unavailable)
+      .push_back("catalogue changes");
+  (platform.is_reachable ? available : unavailable).push_back("seat changes");
+  (platform.is_reachable ? available : unavailable).push_back("durable keys");
+  body["serves"] = available;
+  body["cannot"] = unavailable;
   return MakeJsonResponse(200, body);
 }
 
 HttpResponse SteerPages::Explain(const HttpRequest& request) const {
   const ServiceName service(request.FindQuery("service").value_or(""));
-  const catalogue::SharedCatalogueView view = parts_.core.Catalogue();
+  const catalogue::SharedCatalogueView view = dependencies_.core.Catalogue();
   const catalogue::ServiceEntry* entry = view->FindService(service);
   if (entry == nullptr) {
     return MakeJsonResponse(404, {{"code", "unknown-service"}});
@@ -169,7 +172,7 @@
                  {"headroom", entry->weights.headroom},
                  {"drain_time", entry->weights.drain_time}}}};
   body["domains"] = Json::array();
-  for (const steering::DomainLoad& domain : parts_.core.DomainLoads()) {
+  for (const steering::DomainLoad& domain : dependencies_.core.DomainLoads()) {
     Json item = {{"failure_domain", domain.failure_domain.Value()},
                  {"live_hosts", domain.live_hosts},
                  {"age_ms", ToMilliseconds(domain.age)}};
@@ -181,7 +184,7 @@
     body["domains"].push_back(item);
   }
   body["shifts"] = Json::array();
-  for (const steering::PlannedShift& shift : parts_.core.Plan().shifts) {
+  for (const steering::PlannedShift& shift : dependencies_.core.Plan().shifts) {
     if (shift.service == service) {
       body["shifts"].push_back(ShiftToJson(shift));
     }
@@ -189,7 +192,7 @@
   body["targets"] = Json::array();
   for (const catalogue::TargetSpec& target : entry->targets) {
     const membership::MergedTargetStatus seen =
-        parts_.core.MergedStatusOf(target.name);
+        dependencies_.core.MergedStatusOf(target.name);
     body["targets"].push_back(
         {{"target", target.name.Value()},
          {"failure_domain", target.failure_domain.Value()},
@@ -204,7 +207,7 @@
 }
 
 HttpResponse SteerPages::Metrics(const HttpRequest& /*request*/) const {
-  return MakeMetricsResponse(parts_.metrics());
+  return MakeMetricsResponse(dependencies_.metrics());
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/steer/steer_pages.h
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_pages.h
@@ -14,10 +14,11 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief steerd's pages for operators: status, explain, health, metrics.
+/// @brief steerd's HTTP pages for operators: health, readiness, status, explain
+/// and metrics.
 class SteerPages {
  public:
-  struct Parts {
+  struct Dependencies {
     SteerCore& core;
     const catalogue::CatalogueReplica& replica;
     const catalogue::PlatformRateLimiter& budget;
@@ -25,9 +26,10 @@
     std::function<std::string()> metrics;  ///< Prometheus text.
   };
 
-  explicit SteerPages(Parts parts) : parts_(std::move(parts)) {}
+  explicit SteerPages(Dependencies dependencies)
+      : dependencies_(std::move(dependencies)) {}
 
-  /// @return the page, or nullopt when there is none at that path.
+  /// @return the page, or nullopt when there is none at the requested path.
   [[nodiscard]] std::optional<HttpResponse> Find(
       const HttpRequest& request) const;
 
@@ -42,7 +44,7 @@
 
   [[nodiscard]] std::vector<std::string> ReasonsNotReady() const;
 
-  const Parts parts_;
+  const Dependencies dependencies_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/steer/steer_telemetry.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_telemetry.cc
@@ -38,7 +38,7 @@
     "medlar_exchange_bytes_total",
     "Bytes of the calls to peers that this host began; its peers' calls cost "
     "about as much again."};
-constexpr MetricDescription kDeltas = {
+constexpr MetricDescription kCatalogueFetches = {
     "medlar_catalogue_fetches_total",
     "Calls that brought catalogue changes from a peer."};
 constexpr MetricDescription kPlatformCalls = {
@@ -107,7 +107,8 @@
   metrics_.GaugeOf(kInForceSeconds).Set(ToSeconds(replica.time_in_force));
   metrics_.CounterOf(kRefusedDeltas).RaiseTo(replica.refused_deltas);
   metrics_.GaugeOf(kBlockMapVersion)
-      .Set(static_cast<double>(sources_.core.Blocks().Current()->Version()));
+      .Set(static_cast<double>(
+          sources_.core.ClientBlockMap().Current()->Version()));
   if (const auto age = sources_.core.HostListAge()) {
     metrics_.GaugeOf(kHostListAge).Set(ToSeconds(*age));
   }
@@ -127,31 +128,32 @@
 
 void SteerTelemetry::RefreshExchanges() {
   const ExchangeCounters& counts = sources_.exchanges;
-  const auto raise = [this](const MetricDescription& metric,
-                            std::string_view label, std::string_view value,
-                            std::uint64_t count) {
-    metrics_.CounterOf(metric, {Label::OfConstant(label, value)})
-        .RaiseTo(count);
-  };
-  raise(kExchanges, "end", "answered", counts.answered);
-  raise(kExchanges, "end", "failed", counts.failed);
-  raise(kExchanges, "end", "refused", counts.refused);
-  raise(kExchangeBytes, "direction", "sent", counts.bytes.sent);
-  raise(kExchangeBytes, "direction", "received", counts.bytes.received);
-  metrics_.CounterOf(kDeltas).RaiseTo(counts.deltas);
+  const auto raise_counter =
+      [this](const MetricDescription& metric, std::string_view label,
+             std::string_view value, std::uint64_t count) {
+        metrics_.CounterOf(metric, {Label::OfConstant(label, value)})
+            .RaiseTo(count);
+      };
+  raise_counter(kExchanges, "end", "answered", counts.answered);
+  raise_counter(kExchanges, "end", "failed", counts.failed);
+  raise_counter(kExchanges, "end", "refused", counts.refused);
+  raise_counter(kExchangeBytes, "direction", "sent", counts.bytes.sent);
+  raise_counter(kExchangeBytes, "direction", "received", counts.bytes.received);
+  metrics_.CounterOf(kCatalogueFetches).RaiseTo(counts.deltas);
 }
 
 void SteerTelemetry::RefreshPlatform() {
   const catalogue::PlatformCallCounts counts = sources_.budget.Counts();
-  const auto raise = [this](const MetricDescription& metric,
-                            std::string_view kind, std::uint64_t count) {
+  const auto raise_counter = [this](const MetricDescription& metric,
+                                    std::string_view kind,
+                                    std::uint64_t count) {
     metrics_.CounterOf(metric, {Label::OfConstant("kind", kind)})
         .RaiseTo(count);
   };
-  raise(kPlatformCalls, "read", counts.reads);
-  raise(kPlatformCalls, "write", counts.writes);
-  raise(kPlatformRefused, "read", counts.refused_reads);
-  raise(kPlatformRefused, "write", counts.refused_writes);
+  raise_counter(kPlatformCalls, "read", counts.reads);
+  raise_counter(kPlatformCalls, "write", counts.writes);
+  raise_counter(kPlatformRefused, "read", counts.refused_reads);
+  raise_counter(kPlatformRefused, "write", counts.refused_writes);
   metrics_.CounterOf(kPlatformFailures).RaiseTo(counts.failures);
   const bool is_reachable = sources_.budget.Reachability().is_reachable;
   metrics_.GaugeOf(kPlatformReachable).Set(is_reachable ? 1 : 0);
--- a/lib/libmedlarcroft/source/adapters/steer/steer_telemetry.h
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_telemetry.h
@@ -14,8 +14,8 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief steerd's metrics. Look-ups are counted as they are answered; all else
-/// is read from its owner when somebody asks for the page.
+/// @brief steerd's metrics. Look-ups are counted as they are answered; all
+/// other values are read from their owners when the metrics page is requested.
 class SteerTelemetry {
  public:
   struct Sources {
@@ -27,23 +27,24 @@
 
   explicit SteerTelemetry(const Sources& sources);
 
-  /// @param service one that the catalogue has, so that callers can't invent
-  /// series.
+  /// @param service must exist in the catalogue; otherwise callers could create
+  /// any number of time series.
   void CountLookup(const ServiceName& service, steering::LookupRule rule);
   void CountLookup(steering::LookupError error);
   void CountMalformedLookup();
-  /// @param latency from the request's arrival to its answer, whatever it says.
+  /// @param latency from the arrival of the request to its answer; failed
+  /// look-ups count too.
   void RecordLookup(Duration latency) { lookup_seconds_.Record(latency); }
 
-  /// @brief Counts of the listener are known from now on.
+  /// @brief Includes the counters of the HTTP listener from now on.
   void WatchListener(const HttpServerCounters& counters) {
     listener_.Watch(counters);
   }
 
-  /// @return where other parts register their metrics.
+  /// @return the registry in which other components register their metrics.
   [[nodiscard]] telemetry::MetricsRegistry& Registry() { return metrics_; }
 
-  /// @return all metrics in Prometheus' text format.
+  /// @return all metrics in the Prometheus text format.
   [[nodiscard]] std::string FormatPrometheus();
 
  private:
--- a/lib/libmedlarcroft/source/adapters/steer/steering_view.h
+++ b/lib/libmedlarcroft/source/adapters/steer/steering_view.h
@@ -9,17 +9,19 @@
 #include "medlarcroft/steering/shift_planner.h"
 
 /// @file
-/// @brief What membership knows, as look-ups and shifts are planned with it.
+/// @brief Converts the membership state into the inputs of the look-up planner
+/// and the shift planner.
 
 namespace medlarcroft::adapters {
 
-/// @return this host and all members that callers could be sent to. Drained
-/// ones and those that say or are said to leave are marked as leaving.
+/// @return this host and all members that callers could be sent to. Hosts that
+/// are drained, that announce leaving or that are reported as leaving are
+/// marked as leaving.
 [[nodiscard]] std::vector<steering::EntryHost> EntryHostsOf(
     const membership::MembershipTable& members,
     const catalogue::CatalogueView& catalogue);
 
-/// @return the loads of all failure domains, this host's own first.
+/// @return the loads of all failure domains, beginning with this host's.
 [[nodiscard]] std::vector<steering::DomainLoad> DomainLoadsOf(
     const membership::MembershipTable& members);
 
--- a/tests/unit/adapters/http_server_test.cc
+++ b/tests/unit/adapters/http_server_test.cc
@@ -7,7 +7,8 @@
 namespace medlarcroft::adapters {
 namespace {
 
-/// Answers with the connection's id; "/cut" announces more than it sends.
+/// Answers with the connection's id. For "/cut", the announced length exceeds
+/// the body sent.
 class IdHandler final : public HttpHandler {
  public:
   std::optional<HttpResponse> Handle(
@@ -47,9 +48,9 @@
   EXPECT_EQ(server_->Counters().connections, 2U);
 }
 
-// A server that dies while it answers leaves the caller with a part of the
-// announced bytes. The part must never pass for the answer.
-TEST_F(HttpServerTest, AnswerCutShortIsTruncated) {
+// A server that crashes while it sends an answer leaves the caller with a part
+// of the announced bytes. The part must never be taken for the whole answer.
+TEST_F(HttpServerTest, ShortAnswerIsTruncated) {
   const ClientResult result = Get("/cut", false);
 
   ASSERT_FALSE(IsOk(result));
--- a/tests/unit/adapters/http_test.cc
+++ b/tests/unit/adapters/http_test.cc
@@ -9,7 +9,8 @@
 namespace medlarcroft::adapters {
 namespace {
 
-/// Echoes the body; "/later" answers from another thread.
+/// Echoes the body and the request target; "/later" answers from another
+/// thread.
 class EchoHandler final : public HttpHandler {
  public:
   ~EchoHandler() override {
@@ -40,9 +41,9 @@
   std::vector<std::thread> threads_;
 };
 
-class HttpLoop : public testing::Test {
+class HttpRoundTripTest : public testing::Test {
  protected:
-  HttpLoop() {
+  HttpRoundTripTest() {
     auto started =
         HttpServer::Start({.address = "127.0.0.1:0", .threads = 2}, handler_);
     server_ = TakeValue(std::move(started));
@@ -58,7 +59,7 @@
   HttpClient client_{{}};
 };
 
-TEST_F(HttpLoop, EchoesBodyAndTarget) {
+TEST_F(HttpRoundTripTest, EchoesBodyAndTarget) {
   const auto result = client_.SendAndWait(
       {.method = "POST", .url = Url("/x%20y?q=1"), .body = "hello "});
 
@@ -66,7 +67,7 @@
   EXPECT_EQ(ValueOf(result).body, "hello /x%20y?q=1");
 }
 
-TEST_F(HttpLoop, OnlyTheFirstLateAnswerCounts) {
+TEST_F(HttpRoundTripTest, OnlyFirstDeferredAnswerIsSent) {
   for (int i = 0; i < 20; ++i) {
     const auto result = client_.SendAndWait({.url = Url("/later")});
     ASSERT_TRUE(IsOk(result));
@@ -75,7 +76,7 @@
   }
 }
 
-TEST_F(HttpLoop, OversizedBodyIsRefusedAndTheNextRequestServed) {
+TEST_F(HttpRoundTripTest, OversizedBodyIsRejectedAndNextRequestServed) {
   const auto refused = client_.SendAndWait(
       {.method = "POST", .url = Url("/"), .body = std::string(5000, 'x')});
   const auto served = client_.SendAndWait({.url = Url("/")});
@@ -87,7 +88,7 @@
   EXPECT_EQ(server_->Counters().bodies_too_large, 1U);
 }
 
-TEST_F(HttpLoop, AnswerOverTheLimitIsNoAnswer) {
+TEST_F(HttpRoundTripTest, AnswerOverSizeLimitFails) {
   const auto result = client_.SendAndWait(
       {.url = Url("/a-path-longer-than-the-limit"), .max_answer_bytes = 5});
 
--- a/tests/unit/adapters/peer/peer_channel_test.cc
+++ b/tests/unit/adapters/peer/peer_channel_test.cc
@@ -19,7 +19,7 @@
 using peer_updates::PeerUpdate;
 using peer_updates::UpdateRoute;
 
-PeerUpdate MakeNews() {
+PeerUpdate MakeUpdate() {
   return {
       .way = UpdateRoute::kExchange,
       .sender = 0xF0000001U,
@@ -30,34 +30,34 @@
       .heartbeats = {{.host_hash = 3, .incarnation_hash = 5, .sequence = 7}}};
 }
 
-TEST(PeerNewsTest, ReadsTheSameButForTheLoads) {
-  const auto decoded = DecodePeerUpdate(EncodePeerUpdate(MakeNews()));
+TEST(PeerUpdateTest, RoundTripsWithoutServiceLoads) {
+  const auto decoded = DecodePeerUpdate(EncodePeerUpdate(MakeUpdate()));
   ASSERT_TRUE(decoded && decoded->state);
   EXPECT_EQ(decoded->state->host, HostName("edge-1"));
   EXPECT_EQ(decoded->state->number, MakeState().number);
   EXPECT_EQ(decoded->state->phase, membership::HostPhase::kReady);
   EXPECT_EQ(decoded->state->entry_address, "127.0.0.1:80");
   EXPECT_TRUE(decoded->state->loads.empty());
-  EXPECT_EQ(decoded->heartbeats, MakeNews().heartbeats);
+  EXPECT_EQ(decoded->heartbeats, MakeUpdate().heartbeats);
   EXPECT_EQ(decoded->way, UpdateRoute::kExchange);
-  EXPECT_EQ(decoded->sender, MakeNews().sender);
-  EXPECT_EQ(decoded->placed, MakeNews().placed);
-  EXPECT_EQ(decoded->loads, MakeNews().loads);
+  EXPECT_EQ(decoded->sender, MakeUpdate().sender);
+  EXPECT_EQ(decoded->placed, MakeUpdate().placed);
+  EXPECT_EQ(decoded->loads, MakeUpdate().loads);
 }
 
-TEST(PeerNewsTest, EitherPartMayBeMissing) {
+TEST(PeerUpdateTest, StateAndPlacementsAreOptional) {
   EXPECT_FALSE(DecodePeerUpdate(EncodePeerUpdate({}))->state);
-  PeerUpdate placed = MakeNews();
+  PeerUpdate placed = MakeUpdate();
   placed.state.reset();
   EXPECT_EQ(DecodePeerUpdate(EncodePeerUpdate(placed))->placed.size(), 1U);
 }
 
-TEST(PeerNewsTest, FitsWellIntoOneDatagram) {
-  EXPECT_LT(EncodePeerUpdate(MakeNews()).size(), 200U);
+TEST(PeerUpdateTest, FitsIntoOneDatagram) {
+  EXPECT_LT(EncodePeerUpdate(MakeUpdate()).size(), 200U);
 }
 
-TEST(PeerNewsTest, WhatIsCutOrNoneIsRefused) {
-  const std::string datagram = EncodePeerUpdate(MakeNews());
+TEST(PeerUpdateTest, RejectsTruncatedAndForeignDatagrams) {
+  const std::string datagram = EncodePeerUpdate(MakeUpdate());
   for (std::size_t length = 0; length < datagram.size(); ++length) {
     EXPECT_FALSE(DecodePeerUpdate(datagram.substr(0, length))) << length;
   }
--- a/tests/unit/adapters/platform/catalogue_over_http_test.cc
+++ b/tests/unit/adapters/platform/catalogue_over_http_test.cc
@@ -14,10 +14,11 @@
 using catalogue::CatalogueStore;
 using fakes::DomainChange;
 
-/// The catalogue's parts over real HTTP against the platform's stand-in.
-class CatalogueOverHttp : public testing::Test {
+/// Runs the catalogue's components over HTTP against a stand-in for the
+/// platform.
+class CatalogueOverHttpTest : public testing::Test {
  protected:
-  CatalogueOverHttp()
+  CatalogueOverHttpTest()
       : server_(
             TakeValue(HttpServer::Start({.address = "127.0.0.1:0"}, handler_))),
         platform_({.base_url =
@@ -37,10 +38,10 @@
   CatalogueStore store_;
 };
 
-// Every third commit takes effect and its answer is lost on the way. Operators
-// must hear "accepted" for each change, and every change must be there once.
-TEST_F(CatalogueOverHttp, LostAnswersAreSettled) {
-  std::uint64_t settled = 0;
+// Every third commit takes effect but its answer is lost. Each change must
+// still be reported as accepted, and be applied exactly once.
+TEST_F(CatalogueOverHttpTest, LostAnswersAreResolved) {
+  std::uint64_t resolved = 0;
   for (std::uint64_t i = 0; i < 30; ++i) {
     handler_.ActiveFaults().Set(
         {.responses_to_drop = std::uint64_t{i % 3 == 0 ? 1U : 0U}});
@@ -48,14 +49,14 @@
         "c" + std::to_string(i), "a", i, static_cast<std::uint32_t>(1 + i)));
     ASSERT_TRUE(IsOk(result)) << i;
     EXPECT_EQ(ValueOf(result).revision, i + 1);
-    settled += ValueOf(result).was_already_accepted ? 1 : 0;
+    resolved += ValueOf(result).was_already_accepted ? 1 : 0;
   }
 
-  EXPECT_EQ(settled, 10U);
+  EXPECT_EQ(resolved, 10U);
   EXPECT_EQ(ValueOf(store_.Read(EntryName("a"))).version, 30U);
 }
 
-TEST_F(CatalogueOverHttp, AFreshHostStartsFromASnapshotAndChanges) {
+TEST_F(CatalogueOverHttpTest, NewHostLoadsSnapshotAndChanges) {
   for (std::uint64_t i = 0; i < 100; ++i) {
     ASSERT_TRUE(
         IsOk(store_.Accept(DomainChange("c" + std::to_string(i), "a", i))));
--- a/tests/unit/adapters/platform/catalogue_wire_conversion_test.cc
+++ b/tests/unit/adapters/platform/catalogue_wire_conversion_test.cc
@@ -14,7 +14,7 @@
                        .change_id = "c"}}};
 }
 
-TEST(CatalogueWire, RoundTrips) {
+TEST(CatalogueWireConversionTest, RoundTripsDelta) {
   const auto back = FromWire(ToWire(OneChange("desk")));
 
   ASSERT_TRUE(back.has_value());
@@ -24,7 +24,7 @@
   EXPECT_EQ(back->changes, OneChange("desk").changes);
 }
 
-TEST(CatalogueWire, RefusesWhatNoHostSends) {
+TEST(CatalogueWireConversionTest, RejectsNegativeRevisionsAndInvalidNames) {
   wire::CatalogueDelta negative = ToWire(OneChange("desk"));
   negative.to_revision = -1;
   wire::CatalogueDelta negative_change = ToWire(OneChange("desk"));
--- a/tests/unit/adapters/platform/http_platform_test.cc
+++ b/tests/unit/adapters/platform/http_platform_test.cc
@@ -50,7 +50,7 @@
   EXPECT_EQ(ValueOf(rows)[0].key, odd_key);
 }
 
-TEST_F(HttpPlatformTest, KeepsObjectsOfAnyBytes) {
+TEST_F(HttpPlatformTest, StoresBinaryObjects) {
   const std::string bytes("\0\xff\n", 3);
   ASSERT_TRUE(IsOk(platform_.Put("snapshot 1", bytes)));
 
@@ -58,7 +58,7 @@
   EXPECT_EQ(ValueOf(platform_.Get("other")), std::nullopt);
 }
 
-TEST_F(HttpPlatformTest, ListsHostsAndKeepsAStaleList) {
+TEST_F(HttpPlatformTest, ListsHostsAndServesStaleList) {
   const ports::ListedHost host{.name = "h1",
                                .role = ports::ListedRole::kTarget,
                                .failure_domain = FailureDomainName("a"),
@@ -77,24 +77,25 @@
   EXPECT_TRUE(ValueOf(platform_.List()).empty());
 }
 
-// The platform refuses with its own word that nothing was done: the caller may
-// retry or say so, because no write can appear later.
-TEST_F(HttpPlatformTest, DownIsUnavailable) {
+// The platform refuses the call with the error code that states that it had no
+// effect. The caller may retry or report the failure, because no write can
+// appear later.
+TEST_F(HttpPlatformTest, RefusedCallIsUnavailable) {
   handler_.ActiveFaults().Set({.is_down = true});
 
   EXPECT_EQ(ErrorOf(platform_.Commit(Insert("k"))), StoreFailure::kUnavailable);
   EXPECT_EQ(ErrorOf(platform_.Read("k")), StoreFailure::kUnavailable);
 }
 
-TEST(HttpPlatformRefused, NoListenerIsUnavailable) {
+TEST(HttpPlatformConnectionTest, NoListenerIsUnavailable) {
   HttpPlatform platform({.base_url = "http://127.0.0.1:1"});
 
   EXPECT_EQ(ErrorOf(platform.Commit({})), StoreFailure::kUnavailable);
 }
 
-// The write takes effect and something on the way answers 504 instead. The
-// caller must not hear "not done", since a reader finds the row.
-TEST_F(HttpPlatformTest, LostAnswerLeavesTheOutcomeOpen) {
+// The write takes effect, but a proxy on the way returns 504. The caller must
+// not be told that nothing was done, since a reader finds the row.
+TEST_F(HttpPlatformTest, LostAnswerIsOutcomeUnknown) {
   handler_.ActiveFaults().Set({.responses_to_drop = 1});
 
   const auto lost = platform_.Commit(Insert("k"));
@@ -105,8 +106,9 @@
 }
 
 // The service is slower than the timeout. The caller gives up while the write
-// is still under way, and it lands afterwards: no "not done" here either.
-TEST_F(HttpPlatformTest, TimeoutLeavesTheOutcomeOpen) {
+// is in progress, and the write takes effect later. The caller must not be told
+// that nothing was done here either.
+TEST_F(HttpPlatformTest, TimeoutIsOutcomeUnknown) {
   handler_.ActiveFaults().Set({.delay = milliseconds(600)});
   const auto late = platform_.Commit(Insert("k"));
   handler_.ActiveFaults().Set({});
@@ -119,7 +121,7 @@
   EXPECT_EQ(handler_.Platform().Read("k").version, 1U);
 }
 
-TEST_F(HttpPlatformTest, AnswerOverTheLimitIsABadAnswer) {
+TEST_F(HttpPlatformTest, AnswerOverSizeLimitIsBadAnswer) {
   handler_.Platform().Commit(
       {.conditions = {},
        .writes = {{.key = "k", .value = std::string(2000, 'x')}}});
@@ -128,14 +130,14 @@
   EXPECT_EQ(ErrorOf(small.Read("k")), StoreFailure::kBadAnswer);
 }
 
-struct BadBody {
+struct MalformedBody {
   std::string name;
   std::string body;
 };
 
-class PlatformBodies : public testing::TestWithParam<BadBody> {};
+class PlatformJsonTest : public testing::TestWithParam<MalformedBody> {};
 
-TEST_P(PlatformBodies, AreNotUnderstood) {
+TEST_P(PlatformJsonTest, RejectsMalformedBodies) {
   const std::string& body = GetParam().body;
   EXPECT_FALSE(ParseRow(body).has_value());
   EXPECT_FALSE(ParseRows(body).has_value());
@@ -146,17 +148,18 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Table,
-    PlatformBodies,
-    testing::Values(BadBody{"Empty", ""},
-                    BadBody{"Number", "3"},
-                    BadBody{"OtherTypes",
-                            R"({"key":1,"rows":3,"conditions":0,"code":7,)"
-                            R"("committed":"yes","hosts":[1]})"},
-                    BadBody{"Cut", R"({"rows":[)"}),
+    MalformedBodies,
+    PlatformJsonTest,
+    testing::Values(MalformedBody{"Empty", ""},
+                    MalformedBody{"Number", "3"},
+                    MalformedBody{
+                        "OtherTypes",
+                        R"({"key":1,"rows":3,"conditions":0,"code":7,)"
+                        R"("committed":"yes","hosts":[1]})"},
+                    MalformedBody{"Truncated", R"({"rows":[)"}),
     [](const auto& tested) { return tested.param.name; });
 
-TEST(PlatformBodiesOut, TextThatIsNotUtf8IsNeverSent) {
+TEST(PlatformJsonFormatTest, RejectsTextThatIsNotUtf8) {
   HttpPlatform platform({.base_url = "http://127.0.0.1:1"});
 
   EXPECT_FALSE(FormatRow({.key = "k", .value = "\xff"}).has_value());
--- a/tests/unit/adapters/steer/steer_telemetry_test.cc
+++ b/tests/unit/adapters/steer/steer_telemetry_test.cc
@@ -53,7 +53,7 @@
   EXPECT_THAT(page, HasSubstr("medlar_lookup_seconds_count 1"));
 }
 
-TEST_F(SteerTelemetryTest, TakesOverCountsOfOthersAtEachReading) {
+TEST_F(SteerTelemetryTest, RefreshesExternalCountersAtEachScrape) {
   exchanges_.failed = 3;
   exchanges_.bytes.sent = 900;
   static_cast<void>(budget_.TryAcquireRead());
@@ -78,9 +78,9 @@
               HasSubstr("medlar_exchanges_total{end=\"failed\"} 4"));
 }
 
-// An operator alarms on the age of the host list. Before it was ever read there
-// is no age: a 0 there would say that it is fresh.
-TEST_F(SteerTelemetryTest, TellsNoAgeOfAHostListNeverRead) {
+// Operators set alerts on the age of the host list. Before the first read the
+// metric must be absent: a value of 0 would show a fresh list.
+TEST_F(SteerTelemetryTest, OmitsHostListAgeBeforeFirstRead) {
   EXPECT_THAT(telemetry_.FormatPrometheus(),
               Not(HasSubstr("medlar_host_list_age_seconds ")));
 
--- a/tests/unit/adapters/thrift_test.cc
+++ b/tests/unit/adapters/thrift_test.cc
@@ -25,9 +25,9 @@
               const wire::EntryReport& /*report*/) override {}
 };
 
-class ThriftLoop : public testing::Test {
+class ThriftRoundTripTest : public testing::Test {
  protected:
-  ThriftLoop() {
+  ThriftRoundTripTest() {
     auto started = ThriftServer::Start(
         {.address = "127.0.0.1:0", .threads = 2, .max_connections = 8},
         std::make_shared<wire::RoutingProcessor>(
@@ -39,7 +39,7 @@
     return "127.0.0.1:" + std::to_string(server_->Port());
   }
 
-  static Result<std::int64_t, PeerFailure> Ask(
+  static Result<std::int64_t, ThriftCallFailure> CallSnapshot(
       ThriftChannel<wire::RoutingClient>& channel,
       std::int64_t number) {
     return channel.Invoke([number](wire::RoutingClient& client) {
@@ -52,7 +52,7 @@
   std::unique_ptr<ThriftServer> server_;
 };
 
-TEST_F(ThriftLoop, AnswersManyCallersEachItsOwn) {
+TEST_F(ThriftRoundTripTest, ConcurrentCallersGetTheirOwnAnswers) {
   std::vector<std::thread> callers;
   callers.reserve(6);
   std::atomic<int> wrong{0};
@@ -61,7 +61,7 @@
       ThriftChannel<wire::RoutingClient> channel(Address(),
                                                  std::chrono::seconds(5));
       for (int i = 0; i < 50; ++i) {
-        const auto result = Ask(channel, caller * 1000 + i);
+        const auto result = CallSnapshot(channel, caller * 1000 + i);
         wrong += !IsOk(result) || ValueOf(result) != caller * 1000 + i + 1;
       }
     });
@@ -72,33 +72,33 @@
   EXPECT_EQ(wrong, 0);
 }
 
-TEST_F(ThriftLoop, RefusalIsTypedAndTheChannelGoesOn) {
+TEST_F(ThriftRoundTripTest, RefusalIsReportedAndChannelStaysUsable) {
   ThriftChannel<wire::RoutingClient> channel(Address(),
                                              std::chrono::seconds(5));
-  const auto refused = Ask(channel, -1);
+  const auto refused = CallSnapshot(channel, -1);
   ASSERT_FALSE(IsOk(refused));
-  EXPECT_EQ(ErrorOf(refused), PeerFailure::kRefused);
-  EXPECT_TRUE(IsOk(Ask(channel, 1)));
+  EXPECT_EQ(ErrorOf(refused), ThriftCallFailure::kRefused);
+  EXPECT_TRUE(IsOk(CallSnapshot(channel, 1)));
 }
 
-// A peer dies and another process takes its address. The call that meets the
-// dead connection fails typed, and the next one connects anew.
-TEST_F(ThriftLoop, ReconnectsAfterAPeerDied) {
+// A peer crashes and another process listens on its address. The call on the
+// broken connection returns a failure, and the next call reconnects.
+TEST_F(ThriftRoundTripTest, ReconnectsAfterPeerRestart) {
   ThriftChannel<wire::RoutingClient> channel(Address(),
                                              std::chrono::seconds(5));
-  ASSERT_TRUE(IsOk(Ask(channel, 1)));
+  ASSERT_TRUE(IsOk(CallSnapshot(channel, 1)));
   const std::string address = Address();
   server_.reset();
-  EXPECT_FALSE(IsOk(Ask(channel, 1)));
+  EXPECT_FALSE(IsOk(CallSnapshot(channel, 1)));
 
-  auto again = ThriftServer::Start({.address = address, .threads = 1},
-                                   std::make_shared<wire::RoutingProcessor>(
-                                       std::make_shared<RoutingStub>()));
-  ASSERT_TRUE(IsOk(again));
-  EXPECT_TRUE(IsOk(Ask(channel, 1)));
+  auto restarted = ThriftServer::Start({.address = address, .threads = 1},
+                                       std::make_shared<wire::RoutingProcessor>(
+                                           std::make_shared<RoutingStub>()));
+  ASSERT_TRUE(IsOk(restarted));
+  EXPECT_TRUE(IsOk(CallSnapshot(channel, 1)));
 }
 
-TEST(Frame, LengthOutOfBoundsIsCorrupt) {
+TEST(FrameReaderTest, OversizedLengthIsCorrupt) {
   FrameReader reader;
   const std::array<std::uint8_t, 4> huge = {0xff, 0xff, 0xff, 0xff};
   reader.Append(huge);
@@ -106,7 +106,7 @@
   EXPECT_TRUE(reader.IsCorrupt());
 }
 
-TEST(Frame, ArrivesInPieces) {
+TEST(FrameReaderTest, ReassemblesFragmentedFrame) {
   FrameReader reader;
   const std::array<std::uint8_t, 6> bytes = {0, 0, 0, 2, 'o', 'k'};
   for (const std::uint8_t byte : bytes) {
