--- a/lib/libmedlarcroft/source/adapters/event/event_http_client.cc
+++ b/lib/libmedlarcroft/source/adapters/event/event_http_client.cc
@@ -11,8 +11,8 @@
     : loop_(loop), options_(options) {}
 
 EventHttpClient::~EventHttpClient() {
-  const auto busy = std::exchange(busy_, {});
-  for (const auto& [exchange, connection] : busy) {
+  const auto active = std::exchange(active_, {});
+  for (const auto& [exchange, connection] : active) {
     connection->Close();
   }
 }
@@ -34,18 +34,18 @@
     connection = std::make_shared<HttpClientConnection>(*this, request.address,
                                                         *address);
   }
-  busy_.emplace(exchange, connection);
+  active_.emplace(exchange, connection);
   connection->Start(exchange, std::move(request), std::move(callback));
   return exchange;
 }
 
 void EventHttpClient::Cancel(ExchangeId exchange) {
-  const auto found = busy_.find(exchange);
-  if (found == busy_.end()) {
+  const auto found = active_.find(exchange);
+  if (found == active_.end()) {
     return;
   }
   const auto connection = found->second;
-  busy_.erase(found);
+  active_.erase(found);
   connection->Close();
 }
 
@@ -77,7 +77,7 @@
     return nullptr;
   }
   const MonotonicTime now = loop_.Now();
-  // The latest one first, so that those not needed run into their end.
+  // The most recently used one first, so that surplus connections expire.
   auto connection = found->second.back();
   if (now - connection->IdleSince() >= max_idle) {
     return nullptr;
@@ -94,7 +94,7 @@
   return connection;
 }
 
-void EventHttpClient::KeepIdle(
+void EventHttpClient::AddIdle(
     const std::shared_ptr<HttpClientConnection>& connection) {
   auto& connections = idle_[connection->Address()];
   if (connections.size() >= options_.max_idle_per_address) {
@@ -105,7 +105,7 @@
   connections.push_back(connection);
 }
 
-void EventHttpClient::Forget(HttpClientConnection& connection) {
+void EventHttpClient::RemoveIdle(HttpClientConnection& connection) {
   const auto found = idle_.find(connection.Address());
   if (found != idle_.end()) {
     std::erase_if(found->second,
--- a/lib/libmedlarcroft/source/adapters/event/event_http_client.h
+++ b/lib/libmedlarcroft/source/adapters/event/event_http_client.h
@@ -16,21 +16,21 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Why an exchange has no whole answer.
+/// @brief Why an exchange has no complete response.
 enum class ExchangeFailure {
-  kCannotConnect,  ///< No connection came about.
-  kTimedOut,       ///< The timeout passed.
-  kClosed,         ///< The connection ended before any byte of an answer.
-  kTruncated,      ///< The answer ended before its end.
-  kMalformed,      ///< What came is no answer, or no answer to this request.
-  kTooLarge,       ///< The answer is larger than the request allows.
+  kCannotConnect,  ///< The connection could not be established.
+  kTimedOut,       ///< The timeout expired.
+  kClosed,         ///< The connection ended before any byte of a response.
+  kTruncated,      ///< The connection ended within the response.
+  kMalformed,      ///< Not a valid response, or none to this request.
+  kTooLarge,       ///< The response exceeds `max_answer_bytes`.
 };
 
-/// @brief A failed exchange.
+/// @brief Describes a failed exchange.
 struct ExchangeError {
   ExchangeFailure failure = ExchangeFailure::kClosed;
-  /// No byte of the request reached the kernel: the other end can't have seen
-  /// any.
+  /// No byte of the request was passed to the kernel, so the server can't have
+  /// received any.
   bool is_proved_unsent = false;
   bool was_connection_reused = false;
 };
@@ -39,47 +39,50 @@
 using ExchangeCallback = std::function<void(ExchangeResult)>;
 using ExchangeId = std::uint64_t;
 
-/// @brief One request to send.
+/// @brief A request to send.
 struct OutboundRequest {
   std::string address;  ///< IP:port.
-  std::string text;     ///< Head and body, see FormatRequest.
+  std::string text;     ///< Serialized head and body, see FormatRequest.
   bool is_head_request = false;
   Duration connect_timeout = std::chrono::milliseconds(500);
-  /// For all of it; a maximal value: the owner cancels it in time.
+  /// For the exchange once connected. Only an upper bound: the owner cancels
+  /// the exchange at its own deadline.
   Duration timeout = std::chrono::seconds(2);
-  /// A pooled connection may carry it only when it was idle for less. Zero:
-  /// always a new connection.
+  /// A pooled connection is reused only when it has been idle for less than
+  /// this; zero always opens a new connection.
   Duration max_idle = std::chrono::seconds(8);
   std::size_t max_answer_bytes = std::size_t{64} * 1024 * 1024;
-  /// Tells whether an answer belongs to this request; one that does not is
-  /// skipped, and its connection is used no more.
+  /// Tells whether a response belongs to this request. One that does not is
+  /// discarded, and its connection is not reused.
   std::function<bool(const HttpResponse&)> is_matching_response;
-  /// Hears how long a new connection took: about one round trip.
+  /// Called with the time that a new connection took to establish, about one
+  /// round trip.
   std::function<void(Duration)> on_connected;
 };
 
-/// @brief What a caller has done.
+/// @brief Counters of a client.
 struct EventHttpClientCounters {
   std::uint64_t connections_opened = 0;
   std::uint64_t connections_reused = 0;
   std::uint64_t connect_failures = 0;
-  std::uint64_t foreign_answers = 0;  ///< Of another request.
+  std::uint64_t mismatched_responses = 0;  ///< Belong to another request.
 };
 
 class HttpClientConnection;
 
-/// @brief Sends requests on an event loop, parsed by Boost.Beast, over pooled
-/// connections.
+/// @brief HTTP/1.1 client on an event loop with pooled connections; responses
+/// are parsed by Boost.Beast.
 ///
-/// It stands beside the client on libcurl since that one sends a request again
-/// by itself when a reused connection ends before the first byte of an answer,
-/// which would be a second run beside every budget. Here one call is one send.
+/// Exists beside the libcurl-based `HttpClient` because libcurl by itself
+/// resends a request when a reused connection ends before the first byte of a
+/// response: a second execution that no retry budget accounts for. Here each
+/// call sends exactly once.
 class EventHttpClient {
  public:
   struct Options {
     std::size_t max_idle_per_address = 6;
-    /// Ends connections whose other end is silent.
-    Duration silence_limit = std::chrono::seconds(3);
+    /// Closes connections whose peer acknowledges nothing for this long.
+    Duration unacknowledged_timeout = std::chrono::seconds(3);
   };
 
   EventHttpClient(EventLoop& loop, const Options& options);
@@ -87,11 +90,12 @@
   EventHttpClient(const EventHttpClient&) = delete;
   EventHttpClient& operator=(const EventHttpClient&) = delete;
 
-  /// @brief Starts an exchange; `callback` runs once, never within this call.
+  /// @brief Starts an exchange; `callback` runs once, never from within this
+  /// call.
   ExchangeId Send(OutboundRequest request, ExchangeCallback callback);
-  /// @brief Ends an exchange and closes its connection, without a callback.
+  /// @brief Aborts an exchange and closes its connection, without a callback.
   void Cancel(ExchangeId exchange);
-  /// @brief No idle connection to `address` is used again.
+  /// @brief Closes the idle connections to `address`.
   void CloseIdleConnections(const std::string& address);
 
   [[nodiscard]] const EventHttpClientCounters& Counters() const {
@@ -104,14 +108,14 @@
 
   std::shared_ptr<HttpClientConnection> TakeIdle(const std::string& address,
                                                  Duration max_idle);
-  void KeepIdle(const std::shared_ptr<HttpClientConnection>& connection);
-  void Forget(HttpClientConnection& connection);
+  void AddIdle(const std::shared_ptr<HttpClientConnection>& connection);
+  void RemoveIdle(HttpClientConnection& connection);
 
   EventLoop& loop_;
   const Options options_;
   EventHttpClientCounters counters_;
   ExchangeId last_exchange_ = 0;
-  std::unordered_map<ExchangeId, std::shared_ptr<HttpClientConnection>> busy_;
+  std::unordered_map<ExchangeId, std::shared_ptr<HttpClientConnection>> active_;
   std::unordered_map<std::string,
                      std::vector<std::shared_ptr<HttpClientConnection>>>
       idle_;
--- a/lib/libmedlarcroft/source/adapters/event/event_loop.cc
+++ b/lib/libmedlarcroft/source/adapters/event/event_loop.cc
@@ -16,20 +16,21 @@
 
 namespace {
 
-// A signal interrupts the wait; one that comes just before it is seen when the
-// wait ends. Longer waits would delay a stop, shorter ones cost wake-ups.
-constexpr Duration kLongestWait = std::chrono::milliseconds(250);
-
-/// Rounded up to whole milliseconds: the library cuts fractions off, and the
-/// loop would spin for the last one before a timer.
-ACE_Time_Value ToWait(Duration duration) {
+// Bounds how late a signal that arrives just before the poll is handled: only a
+// signal during the poll interrupts it. A longer wait would delay a shutdown, a
+// shorter one costs wake-ups.
+constexpr Duration kMaxPollWait = std::chrono::milliseconds(250);
+
+/// Rounds up to whole milliseconds: the reactor truncates fractions, and the
+/// loop would busy-wait for the last one before a timer is due.
+ACE_Time_Value ToTimeValue(Duration duration) {
   const std::int64_t milliseconds =
       std::max<std::int64_t>(ToMilliseconds(duration) + 1, 0);
   return ACE_Time_Value(milliseconds / 1000,
                         static_cast<suseconds_t>(milliseconds % 1000 * 1000));
 }
 
-ACE_Reactor_Mask ToMask(bool wants_read, bool wants_write) {
+ACE_Reactor_Mask ToReactorMask(bool wants_read, bool wants_write) {
   ACE_Reactor_Mask mask = ACE_Event_Handler::NULL_MASK;
   if (wants_read) {
     mask |= ACE_Event_Handler::READ_MASK;
@@ -42,13 +43,14 @@
 
 }  // namespace
 
-/// @brief One handler for all descriptors; the reactor tells which one.
-class EventLoop::Engine final : public ACE_Event_Handler {
+/// @brief Handles the events of all descriptors and dispatches them by
+/// descriptor.
+class EventLoop::Impl final : public ACE_Event_Handler {
  public:
-  explicit Engine(const ports::Clock& clock)
+  explicit Impl(const ports::Clock& clock)
       : clock_(clock), reactor_(new ACE_Dev_Poll_Reactor(), true) {}
 
-  ~Engine() override {
+  ~Impl() override {
     for (const auto& [descriptor, handler] : handlers_) {
       reactor_.remove_handler(descriptor, ACE_Event_Handler::ALL_EVENTS_MASK |
                                               ACE_Event_Handler::DONT_CALL);
@@ -61,7 +63,7 @@
   }
 
   void SetInterest(int descriptor, bool wants_read, bool wants_write) {
-    reactor_.mask_ops(descriptor, ToMask(wants_read, wants_write),
+    reactor_.mask_ops(descriptor, ToReactorMask(wants_read, wants_write),
                       ACE_Reactor::SET_MASK);
   }
 
@@ -92,24 +94,24 @@
     const TimerId id = ++last_timer_;
     const MonotonicTime due = clock_.Now() + delay;
     timers_.emplace(std::pair(due, id), std::move(task));
-    due_times_.emplace(id, due);
+    timer_due_times_.emplace(id, due);
     return id;
   }
 
   void Cancel(TimerId timer) {
-    const auto found = due_times_.find(timer);
-    if (found == due_times_.end()) {
+    const auto found = timer_due_times_.find(timer);
+    if (found == timer_due_times_.end()) {
       return;
     }
     timers_.erase(std::pair(found->second, timer));
-    due_times_.erase(found);
+    timer_due_times_.erase(found);
   }
 
   int Run() {
     signals.Unblock();
     reactor_.owner(ACE_Thread::self());
     while (!is_finished_) {
-      ACE_Time_Value wait = ToWait(NextWait());
+      ACE_Time_Value wait = ToTimeValue(NextPollWait());
       reactor_.handle_events(wait);
       signals.DispatchPending();
       RunDueTimers();
@@ -125,12 +127,12 @@
   DaemonSignals signals;
 
  private:
-  [[nodiscard]] Duration NextWait() const {
+  [[nodiscard]] Duration NextPollWait() const {
     if (timers_.empty()) {
-      return kLongestWait;
+      return kMaxPollWait;
     }
     const Duration until_due = timers_.begin()->first.first - clock_.Now();
-    return std::clamp(until_due, Duration(0), kLongestWait);
+    return std::clamp(until_due, Duration(0), kMaxPollWait);
   }
 
   void RunDueTimers() {
@@ -138,7 +140,7 @@
     while (!timers_.empty() && timers_.begin()->first.first <= now) {
       const auto first = timers_.begin();
       const std::function<void()> task = std::move(first->second);
-      due_times_.erase(first->first.second);
+      timer_due_times_.erase(first->first.second);
       timers_.erase(first);
       task();
     }
@@ -148,31 +150,31 @@
   ACE_Reactor reactor_;
   std::unordered_map<int, DescriptorHandler*> handlers_;
   std::map<std::pair<MonotonicTime, TimerId>, std::function<void()>> timers_;
-  std::unordered_map<TimerId, MonotonicTime> due_times_;
+  std::unordered_map<TimerId, MonotonicTime> timer_due_times_;
   TimerId last_timer_ = 0;
   bool is_finished_ = false;
   int exit_code_ = 0;
 };
 
 EventLoop::EventLoop(const ports::Clock& clock)
-    : clock_(clock), engine_(std::make_unique<Engine>(clock)) {}
+    : clock_(clock), impl_(std::make_unique<Impl>(clock)) {}
 
 EventLoop::~EventLoop() = default;
 
 void EventLoop::Watch(int descriptor, DescriptorHandler& handler) {
-  engine_->Watch(descriptor, handler);
+  impl_->Watch(descriptor, handler);
 }
 
 void EventLoop::SetInterest(int descriptor, bool wants_read, bool wants_write) {
-  engine_->SetInterest(descriptor, wants_read, wants_write);
+  impl_->SetInterest(descriptor, wants_read, wants_write);
 }
 
 void EventLoop::Unwatch(int descriptor) {
-  engine_->Unwatch(descriptor);
+  impl_->Unwatch(descriptor);
 }
 
 TimerId EventLoop::After(Duration delay, std::function<void()> task) {
-  return engine_->After(delay, std::move(task));
+  return impl_->After(delay, std::move(task));
 }
 
 void EventLoop::Every(Duration period, std::function<void()> task) {
@@ -183,23 +185,23 @@
 }
 
 void EventLoop::Cancel(TimerId timer) {
-  engine_->Cancel(timer);
+  impl_->Cancel(timer);
 }
 
 void EventLoop::OnTerminate(std::function<void(int count)> task) {
-  engine_->signals.on_terminate = std::move(task);
+  impl_->signals.on_terminate = std::move(task);
 }
 
 void EventLoop::OnReload(std::function<void()> task) {
-  engine_->signals.on_reload = std::move(task);
+  impl_->signals.on_reload = std::move(task);
 }
 
 int EventLoop::Run() {
-  return engine_->Run();
+  return impl_->Run();
 }
 
 void EventLoop::Finish(int exit_code) {
-  engine_->Finish(exit_code);
+  impl_->Finish(exit_code);
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/event/event_loop.h
+++ b/lib/libmedlarcroft/source/adapters/event/event_loop.h
@@ -12,7 +12,7 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Hears when a descriptor can be read or written.
+/// @brief Receives the readiness events of a descriptor.
 class DescriptorHandler {
  public:
   virtual ~DescriptorHandler() = default;
@@ -21,12 +21,12 @@
   virtual void OnWritable() = 0;
 };
 
-/// @brief Names a timer of one loop; 0 names none.
+/// @brief Identifies a timer of one loop; 0 is no timer.
 using TimerId = std::uint64_t;
 
-/// @brief One thread that serves descriptors, timers and signals on an ACE
-/// reactor. Everything it calls runs on the thread of `Run`, so that parts
-/// which share a loop need no locks. Call `BlockDaemonSignals` before.
+/// @brief Single-threaded event loop for descriptors, timers and signals on an
+/// ACE reactor. All callbacks run on the thread that calls `Run`, so components
+/// that share a loop need no locks. Call `BlockDaemonSignals` first.
 class EventLoop final : public ports::Timers {
  public:
   explicit EventLoop(const ports::Clock& clock);
@@ -34,14 +34,15 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  /// @param handler must stay until `Unwatch`; it hears of reads from now on.
+  /// @param handler must stay valid until `Unwatch`; it receives read events
+  /// from now on.
   void Watch(int descriptor, DescriptorHandler& handler);
   void SetInterest(int descriptor, bool wants_read, bool wants_write);
   void Unwatch(int descriptor);
 
-  /// @brief Runs `task` once, no earlier than after `delay`.
+  /// @brief Runs `task` once, no earlier than `delay` from now.
   TimerId After(Duration delay, std::function<void()> task);
-  /// @brief Runs `task` once a `period`.
+  /// @brief Runs `task` once per `period`, first after one `period`.
   void Every(Duration period, std::function<void()> task);
   void Cancel(TimerId timer);
   void RunAfter(Duration delay, std::function<void()> task) override {
@@ -51,20 +52,20 @@
   void OnTerminate(std::function<void(int count)> task);
   void OnReload(std::function<void()> task);
 
-  /// @return the code given to `Finish`.
+  /// @return the exit code passed to `Finish`.
   int Run();
-  /// @brief Ends `Run` after the current callback.
+  /// @brief Makes `Run` return at the end of the current loop iteration.
   void Finish(int exit_code);
 
-  /// @return the time at which the present callback began.
+  /// @return the current time of the loop's clock.
   [[nodiscard]] MonotonicTime Now() const override { return clock_.Now(); }
   [[nodiscard]] const ports::Clock& Clock() const { return clock_; }
 
  private:
-  class Engine;
+  class Impl;
 
   const ports::Clock& clock_;
-  std::unique_ptr<Engine> engine_;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/event/http_client_connection.cc
+++ b/lib/libmedlarcroft/source/adapters/event/http_client_connection.cc
@@ -12,19 +12,21 @@
 
 namespace http = boost::beast::http;
 
-// A server closes an idle connection at the time that it announced; a request
-// sent just then meets a closed port. So it is let go that much earlier.
-constexpr Duration kIdleMargin = std::chrono::milliseconds(700);
+// A server closes an idle connection after the timeout that it announced; a
+// request sent at that moment reaches a closed connection. So connections
+// expire this much earlier.
+constexpr Duration kIdleExpiryMargin = std::chrono::milliseconds(700);
 
-std::optional<std::chrono::seconds> AnnouncedIdleTime(
+std::optional<std::chrono::seconds> ParseKeepAliveTimeout(
     const HttpHeaders& headers) {
   const auto value = headers.Find("Keep-Alive");
   constexpr std::string_view kName = "timeout=";
-  const std::size_t at = value ? value->find(kName) : std::string_view::npos;
-  if (at == std::string_view::npos) {
+  const std::size_t position =
+      value ? value->find(kName) : std::string_view::npos;
+  if (position == std::string_view::npos) {
     return std::nullopt;
   }
-  const std::string_view number = value->substr(at + kName.size());
+  const std::string_view number = value->substr(position + kName.size());
   int seconds = 0;
   const auto parsed =
       std::from_chars(number.data(), number.data() + number.size(), seconds);
@@ -36,16 +38,16 @@
 
 }  // namespace
 
-HttpClientConnection::HttpClientConnection(EventHttpClient& caller,
+HttpClientConnection::HttpClientConnection(EventHttpClient& client,
                                            std::string address,
                                            const SocketAddress& socket_address)
-    : caller_(caller),
+    : client_(client),
       address_(std::move(address)),
-      stream_(caller.loop_,
+      stream_(client.loop_,
               socket_address,
-              caller.options_.silence_limit,
+              client.options_.unacknowledged_timeout,
               *this) {
-  ++caller_.counters_.connections_opened;
+  ++client_.counters_.connections_opened;
 }
 
 HttpClientConnection::~HttpClientConnection() {
@@ -59,16 +61,16 @@
   request_ = std::move(request);
   callback_ = std::move(callback);
   is_reused_ = stream_.IsConnected();
-  started_at_ = caller_.loop_.Now();
-  has_answer_bytes_ = false;
+  started_at_ = client_.loop_.Now();
+  has_response_bytes_ = false;
   has_started_sending_ = false;
   ResetParser();
   if (is_reused_) {
-    ++caller_.counters_.connections_reused;
+    ++client_.counters_.connections_reused;
     OnConnected();
     return;
   }
-  timer_ = caller_.loop_.After(
+  timer_ = client_.loop_.After(
       std::min(request_.connect_timeout, request_.timeout), [this] {
         timer_ = 0;
         Fail(ExchangeFailure::kCannotConnect);
@@ -78,9 +80,9 @@
 void HttpClientConnection::OnConnected() {
   StopTimer();
   if (!is_reused_ && request_.on_connected) {
-    request_.on_connected(caller_.loop_.Now() - started_at_);
+    request_.on_connected(client_.loop_.Now() - started_at_);
   }
-  timer_ = caller_.loop_.After(request_.timeout, [this] {
+  timer_ = client_.loop_.After(request_.timeout, [this] {
     timer_ = 0;
     Fail(ExchangeFailure::kTimedOut);
   });
@@ -91,11 +93,11 @@
 void HttpClientConnection::OnBytes(std::string_view bytes) {
   const auto self = shared_from_this();
   if (exchange_ == 0) {
-    // Bytes after a whole answer belong to no request.
-    caller_.Forget(*this);
+    // Bytes after a complete response belong to no request.
+    client_.RemoveIdle(*this);
     return;
   }
-  has_answer_bytes_ = true;
+  has_response_bytes_ = true;
   input_.append(bytes);
   Parse();
 }
@@ -121,13 +123,13 @@
     if (!parser_->is_done()) {
       return;
     }
-    if (!TakeAnswer()) {
+    if (!HandleResponse()) {
       return;
     }
   }
 }
 
-bool HttpClientConnection::TakeAnswer() {
+bool HttpClientConnection::HandleResponse() {
   const bool keeps_alive = parser_->keep_alive();
   auto message = parser_->release();
   if (message.result_int() / 100 == 1) {
@@ -136,12 +138,12 @@
   }
   HttpResponse response;
   response.status = static_cast<int>(message.result_int());
-  response.headers = CopyFields(message);
+  response.headers = CopyHeaders(message);
   response.body = std::move(message.body());
   if (request_.is_matching_response &&
       !request_.is_matching_response(response)) {
-    ++caller_.counters_.foreign_answers;
-    may_be_kept_ = false;
+    ++client_.counters_.mismatched_responses;
+    is_reusable_ = false;
     if (!keeps_alive) {
       Fail(ExchangeFailure::kMalformed);
       return false;
@@ -149,18 +151,18 @@
     ResetParser();
     return true;
   }
-  // An answer before the whole request was read leaves the rest of its body
-  // due on the connection.
-  may_be_kept_ =
-      may_be_kept_ && keeps_alive && input_.empty() && stream_.IsDrained();
-  NoteKeepAlive(response.headers);
+  // After a response that came before the whole request was read, the rest of
+  // the request's body is still due on the connection.
+  is_reusable_ =
+      is_reusable_ && keeps_alive && input_.empty() && stream_.IsDrained();
+  UpdateIdleLimit(response.headers);
   Succeed(std::move(response));
   return false;
 }
 
-void HttpClientConnection::NoteKeepAlive(const HttpHeaders& headers) {
-  if (const auto announced = AnnouncedIdleTime(headers)) {
-    idle_limit_ = *announced - kIdleMargin;
+void HttpClientConnection::UpdateIdleLimit(const HttpHeaders& headers) {
+  if (const auto announced = ParseKeepAliveTimeout(headers)) {
+    idle_limit_ = *announced - kIdleExpiryMargin;
   }
 }
 
@@ -169,14 +171,14 @@
   StopTimer();
   parser_.reset();
   std::string().swap(input_);
-  caller_.busy_.erase(exchange_);
+  client_.active_.erase(exchange_);
   exchange_ = 0;
   request_ = {};
   const ExchangeCallback callback = std::exchange(callback_, nullptr);
-  idle_since_ = caller_.loop_.Now();
+  idle_since_ = client_.loop_.Now();
   idle_until_ = idle_since_ + idle_limit_;
-  if (may_be_kept_ && idle_limit_ > Duration(0)) {
-    caller_.KeepIdle(self);
+  if (is_reusable_ && idle_limit_ > Duration(0)) {
+    client_.AddIdle(self);
   } else {
     stream_.Close();
   }
@@ -189,10 +191,10 @@
                             .is_proved_unsent = !has_started_sending_,
                             .was_connection_reused = is_reused_};
   if (failure == ExchangeFailure::kCannotConnect) {
-    ++caller_.counters_.connect_failures;
+    ++client_.counters_.connect_failures;
   }
   const ExchangeCallback callback = std::exchange(callback_, nullptr);
-  caller_.busy_.erase(exchange_);
+  client_.active_.erase(exchange_);
   Close();
   if (callback) {
     callback(error);
@@ -202,25 +204,26 @@
 void HttpClientConnection::OnEnd(StreamEnd end) {
   const auto self = shared_from_this();
   if (exchange_ == 0) {
-    caller_.Forget(*this);
+    client_.RemoveIdle(*this);
     return;
   }
   if (end == StreamEnd::kCannotConnect) {
     Fail(ExchangeFailure::kCannotConnect);
     return;
   }
-  if (!has_answer_bytes_) {
+  if (!has_response_bytes_) {
     Fail(ExchangeFailure::kClosed);
     return;
   }
-  // An answer without a length ends with its connection, if that ends in order.
+  // A response without an announced length ends with its connection, if that
+  // closes in order.
   boost::beast::error_code error;
   if (end == StreamEnd::kClosed && parser_->is_header_done() &&
       parser_->need_eof()) {
     parser_->put_eof(error);
     if (!error && parser_->is_done()) {
-      may_be_kept_ = false;
-      if (TakeAnswer()) {
+      is_reusable_ = false;
+      if (HandleResponse()) {
         Fail(ExchangeFailure::kMalformed);
       }
       return;
@@ -237,7 +240,7 @@
 }
 
 void HttpClientConnection::StopTimer() {
-  caller_.loop_.Cancel(timer_);
+  client_.loop_.Cancel(timer_);
   timer_ = 0;
 }
 
--- a/lib/libmedlarcroft/source/adapters/event/http_client_connection.h
+++ b/lib/libmedlarcroft/source/adapters/event/http_client_connection.h
@@ -18,7 +18,7 @@
     : public StreamHandler,
       public std::enable_shared_from_this<HttpClientConnection> {
  public:
-  HttpClientConnection(EventHttpClient& caller,
+  HttpClientConnection(EventHttpClient& client,
                        std::string address,
                        const SocketAddress& socket_address);
   ~HttpClientConnection() override;
@@ -26,7 +26,7 @@
   void Start(ExchangeId exchange,
              OutboundRequest request,
              ExchangeCallback callback);
-  /// @brief Closes at once, without a callback.
+  /// @brief Closes immediately, without a callback.
   void Close();
 
   [[nodiscard]] const std::string& Address() const { return address_; }
@@ -44,14 +44,14 @@
 
   void ResetParser();
   void Parse();
-  /// @return whether another answer may follow the one just parsed.
-  bool TakeAnswer();
-  void NoteKeepAlive(const HttpHeaders& headers);
+  /// @return whether another response may follow the one just parsed.
+  bool HandleResponse();
+  void UpdateIdleLimit(const HttpHeaders& headers);
   void Succeed(HttpResponse response);
   void Fail(ExchangeFailure failure);
   void StopTimer();
 
-  EventHttpClient& caller_;
+  EventHttpClient& client_;
   const std::string address_;
   ExchangeId exchange_ = 0;
   OutboundRequest request_;
@@ -59,8 +59,8 @@
   std::optional<Parser> parser_;
   std::string input_;
   bool is_reused_ = false;
-  bool may_be_kept_ = true;
-  bool has_answer_bytes_ = false;
+  bool is_reusable_ = true;
+  bool has_response_bytes_ = false;
   bool has_started_sending_ = false;
   MonotonicTime started_at_;
   MonotonicTime idle_since_;
--- a/lib/libmedlarcroft/source/adapters/event/http_listener.cc
+++ b/lib/libmedlarcroft/source/adapters/event/http_listener.cc
@@ -65,7 +65,8 @@
   if (descriptor_ < 0) {
     return;
   }
-  // Connections that the kernel has taken already would be reset.
+  // Accepts the connections that the kernel has already established; closing
+  // the socket would reset them.
   OnReadable();
   loop_.Unwatch(descriptor_);
   ::close(descriptor_);
@@ -83,7 +84,7 @@
     const auto connection =
         std::make_shared<HttpServerConnection>(*this, accepted);
     connections_.insert(connection);
-    connection->Begin();
+    connection->Start();
   }
 }
 
--- a/lib/libmedlarcroft/source/adapters/event/http_listener.h
+++ b/lib/libmedlarcroft/source/adapters/event/http_listener.h
@@ -15,55 +15,57 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief What a caller's connection may use.
+/// @brief Limits of a client's connection.
 struct HttpLimits {
   std::size_t max_header_bytes = std::size_t{16} * 1024;
   std::size_t max_body_bytes = std::size_t{1024} * 1024;
-  /// For a request's head, from its first byte.
+  /// For receiving a request's head, from its first byte.
   Duration header_timeout = std::chrono::seconds(3);
-  /// For a connection that carries no request.
+  /// For a connection without a request, and for receiving a request's body.
   Duration idle_timeout = std::chrono::seconds(15);
 };
 
-/// @brief One request that waits for its answer.
+/// @brief A request that awaits its response.
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
 
-  /// Only the first answer counts; none is sent once the caller is gone.
+  /// Only the first response counts; none is sent once the client has
+  /// disconnected.
   virtual void Respond(HttpResponse response) = 0;
-  /// @brief Runs `task` when the caller closes its connection before the
-  /// answer.
+  /// @brief Runs `task` when the client closes its connection before the
+  /// response.
   virtual void OnCallerGone(std::function<void()> task) = 0;
 };
 
-/// @brief Takes the requests of a listener.
+/// @brief Handles the requests of a listener.
 class HttpRequestHandler {
  public:
   virtual ~HttpRequestHandler() = default;
 
-  /// `request.path` and `request.query` are left empty: `raw_target` holds
-  /// what the caller sent, unchanged.
+  /// `request.path` and `request.query` are empty; `raw_target` holds the
+  /// request target as the client sent it.
   virtual void OnRequest(HttpRequest request,
                          const std::shared_ptr<HttpExchange>& exchange) = 0;
 };
 
-/// @brief What a listener has seen.
+/// @brief Counters of a listener.
 struct HttpListenerCounters {
   std::uint64_t connections = 0;
   std::uint64_t requests = 0;
   std::uint64_t malformed = 0;
   std::uint64_t timed_out = 0;
-  std::uint64_t left_early = 0;  ///< Callers gone before their answer.
+  std::uint64_t disconnected_before_response = 0;
 };
 
 class HttpServerConnection;
 
-/// @brief An HTTP/1.1 listener on an event loop, parsed by Boost.Beast.
+/// @brief HTTP/1.1 server on an event loop; requests are parsed by Boost.Beast.
 ///
-/// It stands beside the one on libmicrohttpd for two needs which that does not
-/// meet: a caller that leaves while its request waits is heard of at once, and
-/// the request target reaches the handler unchanged.
+/// Exists beside the libmicrohttpd-based `HttpServer` for two requirements that
+/// libmicrohttpd does not meet: a client that disconnects while its request is
+/// pending is reported at once, and the request target reaches the handler
+/// unchanged.
 class HttpListener final : public DescriptorHandler {
  public:
   enum class Failure { kBadAddress, kCannotBind };
@@ -74,11 +76,12 @@
       HttpRequestHandler& handler);
   ~HttpListener() override;
 
-  /// @brief In force for what begins from now on.
+  /// @brief Applies to connections, requests and timeouts that start from now
+  /// on.
   void SetLimits(const HttpLimits& limits) { limits_ = limits; }
-  /// @brief From now on each answer asks its caller to close the connection.
+  /// @brief From now on each response carries `Connection: close`.
   void StartDraining() { is_draining_ = true; }
-  /// @brief Takes no more connections; those open are served on.
+  /// @brief Accepts no more connections; those open continue to be served.
   void StopAccepting();
 
   [[nodiscard]] const HttpListenerCounters& Counters() const {
--- a/lib/libmedlarcroft/source/adapters/event/http_serialization.cc
+++ b/lib/libmedlarcroft/source/adapters/event/http_serialization.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 10> kConnectionFields = {
+constexpr std::array<std::string_view, 10> kHopByHopHeaders = {
     "Connection",
     "Keep-Alive",
     "Proxy-Connection",
@@ -22,7 +22,7 @@
     "Proxy-Authorization",
     "Content-Length"};
 
-std::vector<std::string> NamedByConnection(const HttpHeaders& headers) {
+std::vector<std::string> HeadersNamedByConnection(const HttpHeaders& headers) {
   std::vector<std::string> names;
   for (const HttpHeader& field : headers.Fields()) {
     if (!IsSameHeaderName(field.name, "Connection")) {
@@ -44,19 +44,19 @@
   });
 }
 
-void AppendFields(std::string& text, const HttpHeaders& headers) {
+void AppendHeaders(std::string& text, const HttpHeaders& headers) {
   for (const HttpHeader& field : headers.Fields()) {
-    AppendField(text, field.name, field.value);
+    AppendHeader(text, field.name, field.value);
   }
 }
 
-bool HasBodyByMethod(std::string_view method) {
+bool MethodExpectsBody(std::string_view method) {
   return method == "POST" || method == "PUT" || method == "PATCH";
 }
 
 }  // namespace
 
-HttpHeaders CopyFields(
+HttpHeaders CopyHeaders(
     const boost::beast::http::basic_fields<std::allocator<char>>& fields) {
   HttpHeaders headers;
   for (const auto& field : fields) {
@@ -67,10 +67,10 @@
 }
 
 HttpHeaders WithoutHopByHopHeaders(const HttpHeaders& headers) {
-  const std::vector<std::string> named = NamedByConnection(headers);
+  const std::vector<std::string> named = HeadersNamedByConnection(headers);
   HttpHeaders kept;
   for (const HttpHeader& field : headers.Fields()) {
-    if (!Contains(kConnectionFields, field.name) &&
+    if (!Contains(kHopByHopHeaders, field.name) &&
         !Contains(named, field.name)) {
       kept.Add(field.name, field.value);
     }
@@ -78,13 +78,13 @@
   return kept;
 }
 
-bool IsBodyless(int status) {
+bool HasNoBodyByStatus(int status) {
   return status / 100 == 1 || status == 204 || status == 304;
 }
 
-void AppendField(std::string& text,
-                 std::string_view name,
-                 std::string_view value) {
+void AppendHeader(std::string& text,
+                  std::string_view name,
+                  std::string_view value) {
   text.append(name).append(": ").append(value).append("\r\n");
 }
 
@@ -95,16 +95,16 @@
   std::string text;
   text.reserve(512 + body.size());
   text.append(method).append(" ").append(target).append(" HTTP/1.1\r\n");
-  AppendFields(text, headers);
-  if (!body.empty() || HasBodyByMethod(method)) {
-    AppendField(text, "Content-Length", std::to_string(body.size()));
+  AppendHeaders(text, headers);
+  if (!body.empty() || MethodExpectsBody(method)) {
+    AppendHeader(text, "Content-Length", std::to_string(body.size()));
   }
   text.append("\r\n").append(body);
   return text;
 }
 
 std::string FormatResponse(const HttpResponse& response,
-                           AnswerFraming framing) {
+                           ResponseFraming framing) {
   const auto reason =
       boost::beast::http::obsolete_reason(boost::beast::http::int_to_status(
           static_cast<unsigned>(response.status)));
@@ -115,15 +115,15 @@
       .append(" ")
       .append(reason.data(), reason.size())
       .append("\r\n");
-  AppendFields(text, response.headers);
-  if (!IsBodyless(response.status) && !framing.is_head_request) {
-    AppendField(text, "Content-Length", std::to_string(response.body.size()));
+  AppendHeaders(text, response.headers);
+  if (!HasNoBodyByStatus(response.status) && !framing.is_head_request) {
+    AppendHeader(text, "Content-Length", std::to_string(response.body.size()));
   }
   if (!framing.keeps_alive) {
-    AppendField(text, "Connection", "close");
+    AppendHeader(text, "Connection", "close");
   }
   text.append("\r\n");
-  if (!IsBodyless(response.status) && !framing.is_head_request) {
+  if (!HasNoBodyByStatus(response.status) && !framing.is_head_request) {
     text.append(response.body);
   }
   return text;
--- a/lib/libmedlarcroft/source/adapters/event/http_serialization.h
+++ b/lib/libmedlarcroft/source/adapters/event/http_serialization.h
@@ -9,38 +9,38 @@
 
 namespace medlarcroft::adapters {
 
-/// @return the fields of a parsed message, in their order.
-[[nodiscard]] HttpHeaders CopyFields(
+/// @return the header fields of a parsed message, in their order.
+[[nodiscard]] HttpHeaders CopyHeaders(
     const boost::beast::http::basic_fields<std::allocator<char>>& fields);
 
-/// @return the headers that may be passed on: without those that concern one
-/// connection only (RFC 9110, 7.6.1), those that `Connection` names, and the
+/// @return the headers that may be forwarded: without hop-by-hop headers (RFC
+/// 9110, section 7.6.1), headers listed in `Connection`, and the message
 /// framing, which each sender sets itself.
 [[nodiscard]] HttpHeaders WithoutHopByHopHeaders(const HttpHeaders& headers);
 
-/// @return whether a message of that status never has a body.
-[[nodiscard]] bool IsBodyless(int status);
+/// @return whether a message with this status never has a body.
+[[nodiscard]] bool HasNoBodyByStatus(int status);
 
-void AppendField(std::string& text,
-                 std::string_view name,
-                 std::string_view value);
+void AppendHeader(std::string& text,
+                  std::string_view name,
+                  std::string_view value);
 
-/// @return a request's head and body as sent, with Content-Length where the
-/// method or the body asks for it.
+/// @return the serialized head and body of a request, with Content-Length where
+/// the method or the body requires it.
 [[nodiscard]] std::string FormatRequest(std::string_view method,
                                         std::string_view target,
                                         const HttpHeaders& headers,
                                         std::string_view body);
 
-/// @brief How an answer is framed.
-struct AnswerFraming {
+/// @brief How a response is framed.
+struct ResponseFraming {
   bool keeps_alive = true;
   bool is_head_request = false;
 };
 
-/// @return an answer's head and body as sent.
+/// @return the serialized head and body of a response.
 [[nodiscard]] std::string FormatResponse(const HttpResponse& response,
-                                         AnswerFraming framing);
+                                         ResponseFraming framing);
 
 }  // namespace medlarcroft::adapters
 
--- a/lib/libmedlarcroft/source/adapters/event/http_server_connection.cc
+++ b/lib/libmedlarcroft/source/adapters/event/http_server_connection.cc
@@ -10,14 +10,14 @@
 
 namespace http = boost::beast::http;
 
-// An answer that ends a connection is followed by this wait for the caller's
-// own close: closing with unread bytes resets the connection, and the caller
-// may lose the answer that it has not read yet.
-constexpr Duration kLinger = std::chrono::seconds(1);
-// What a caller may send ahead while its request is served.
+// How long to wait for the client to close after a response that ends the
+// connection: closing a socket with unread bytes resets the connection, and the
+// client may lose the response that it has not read yet.
+constexpr Duration kLingerTimeout = std::chrono::seconds(1);
+// How much a client may pipeline while its request is served.
 constexpr std::size_t kMaxPipelinedBytes = std::size_t{64} * 1024;
 
-int StatusFor(const boost::beast::error_code& error) {
+int StatusOf(const boost::beast::error_code& error) {
   if (error == http::error::header_limit) {
     return 431;
   }
@@ -32,7 +32,7 @@
 
 HttpServerConnection::~HttpServerConnection() = default;
 
-void HttpServerConnection::Begin() {
+void HttpServerConnection::Start() {
   WaitForRequest();
 }
 
@@ -56,7 +56,7 @@
   if (phase_ == Phase::kIdle) {
     phase_ = Phase::kReading;
     keeps_alive_ = true;
-    has_asked_for_body_ = false;
+    has_handled_header_ = false;
     parser_.emplace();
     parser_->eager(true);
     parser_->header_limit(
@@ -64,7 +64,7 @@
     parser_->body_limit(listener_->limits_.max_body_bytes);
     SetDeadline(listener_->limits_.header_timeout, [this] {
       ++listener_->counters_.timed_out;
-      Refuse(408);
+      RejectRequest(408);
     });
   }
 
@@ -77,28 +77,28 @@
   }
   if (error) {
     ++listener_->counters_.malformed;
-    Refuse(StatusFor(error));
+    RejectRequest(StatusOf(error));
     return;
   }
   if (parser_->is_done()) {
-    HandOver();
+    DispatchRequest();
     return;
   }
-  if (parser_->is_header_done() && !has_asked_for_body_) {
-    has_asked_for_body_ = true;
+  if (parser_->is_header_done() && !has_handled_header_) {
+    has_handled_header_ = true;
     const auto expectation = parser_->get()[http::field::expect];
     if (boost::beast::iequals(expectation, "100-continue")) {
       stream_.Write("HTTP/1.1 100 Continue\r\n\r\n");
     }
-    // The time for the head is over; a body may take as long as a pause.
+    // The head is complete; a body may take as long as an idle period.
     SetDeadline(listener_->limits_.idle_timeout, [this] {
       ++listener_->counters_.timed_out;
-      Refuse(408);
+      RejectRequest(408);
     });
   }
 }
 
-void HttpServerConnection::HandOver() {
+void HttpServerConnection::DispatchRequest() {
   phase_ = Phase::kServing;
   listener_->loop_.Cancel(deadline_);
   deadline_ = 0;
@@ -111,7 +111,7 @@
   request.method.assign(message.method_string().data(),
                         message.method_string().size());
   request.raw_target.assign(message.target().data(), message.target().size());
-  request.headers = CopyFields(message);
+  request.headers = CopyHeaders(message);
   request.body = std::move(message.body());
   is_head_request_ = request.method == "HEAD";
   listener_->handler_.OnRequest(std::move(request), shared_from_this());
@@ -122,11 +122,12 @@
     return;
   }
   const auto self = shared_from_this();
-  on_caller_gone_ = nullptr;
-  const bool stays = keeps_alive_ && !listener_->is_draining_;
+  on_client_disconnected_ = nullptr;
+  const bool keeps_alive = keeps_alive_ && !listener_->is_draining_;
   stream_.Write(FormatResponse(
-      response, {.keeps_alive = stays, .is_head_request = is_head_request_}));
-  if (!stays) {
+      response,
+      {.keeps_alive = keeps_alive, .is_head_request = is_head_request_}));
+  if (!keeps_alive) {
     LingerAndClose();
     return;
   }
@@ -135,7 +136,7 @@
     std::string().swap(input_);
     return;
   }
-  // A request that was sent ahead: not from within the handler's own call.
+  // Parses a pipelined request, but not from within the handler's own call.
   listener_->loop_.After(Duration(0), [this, self] {
     if (phase_ == Phase::kIdle && listener_ != nullptr && !input_.empty()) {
       Parse();
@@ -143,7 +144,7 @@
   });
 }
 
-void HttpServerConnection::Refuse(int status) {
+void HttpServerConnection::RejectRequest(int status) {
   phase_ = Phase::kServing;
   keeps_alive_ = false;
   is_head_request_ = false;
@@ -170,14 +171,14 @@
 void HttpServerConnection::LingerAndClose() {
   phase_ = Phase::kClosing;
   stream_.FinishWriting();
-  SetDeadline(kLinger, [this] { Release(); });
+  SetDeadline(kLingerTimeout, [this] { Release(); });
 }
 
 void HttpServerConnection::OnEnd(StreamEnd /*end*/) {
   const auto self = shared_from_this();
-  if (phase_ == Phase::kServing && on_caller_gone_) {
-    ++listener_->counters_.left_early;
-    std::exchange(on_caller_gone_, nullptr)();
+  if (phase_ == Phase::kServing && on_client_disconnected_) {
+    ++listener_->counters_.disconnected_before_response;
+    std::exchange(on_client_disconnected_, nullptr)();
   }
   Release();
 }
@@ -187,8 +188,8 @@
     return;
   }
   const auto self = shared_from_this();
-  if (phase_ == Phase::kServing && on_caller_gone_) {
-    std::exchange(on_caller_gone_, nullptr)();
+  if (phase_ == Phase::kServing && on_client_disconnected_) {
+    std::exchange(on_client_disconnected_, nullptr)();
   }
   HttpListener& listener = *std::exchange(listener_, nullptr);
   phase_ = Phase::kClosing;
--- a/lib/libmedlarcroft/source/adapters/event/http_server_connection.h
+++ b/lib/libmedlarcroft/source/adapters/event/http_server_connection.h
@@ -15,8 +15,8 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief One caller's connection: reads a request, waits for its answer,
-/// writes it, and only then looks at what came behind it.
+/// @brief A client's connection: reads a request, waits for its response,
+/// writes it, and only then parses pipelined bytes.
 class HttpServerConnection final
     : public HttpExchange,
       public StreamHandler,
@@ -25,11 +25,11 @@
   HttpServerConnection(HttpListener& listener, int descriptor);
   ~HttpServerConnection() override;
 
-  void Begin();
+  void Start();
 
   void Respond(HttpResponse response) override;
   void OnCallerGone(std::function<void()> task) override {
-    on_caller_gone_ = std::move(task);
+    on_client_disconnected_ = std::move(task);
   }
 
   void OnBytes(std::string_view bytes) override;
@@ -42,14 +42,14 @@
   enum class Phase { kIdle, kReading, kServing, kClosing };
 
   void Parse();
-  void HandOver();
-  void Refuse(int status);
+  void DispatchRequest();
+  void RejectRequest(int status);
   void WaitForRequest();
   void SetDeadline(Duration delay, std::function<void()> task);
   void LingerAndClose();
   void Release();
 
-  // Null once the listener has let go of this connection.
+  // Null once the listener has released this connection.
   HttpListener* listener_;
   TcpStream stream_;
   Phase phase_ = Phase::kIdle;
@@ -57,9 +57,9 @@
   std::optional<Parser> parser_;
   bool is_head_request_ = false;
   bool keeps_alive_ = true;
-  bool has_asked_for_body_ = false;
+  bool has_handled_header_ = false;
   TimerId deadline_ = 0;
-  std::function<void()> on_caller_gone_;
+  std::function<void()> on_client_disconnected_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/event/tcp_stream.cc
+++ b/lib/libmedlarcroft/source/adapters/event/tcp_stream.cc
@@ -14,22 +14,24 @@
 constexpr std::size_t kReadBytes = std::size_t{16} * 1024;
 
 void SetOption(int descriptor, int level, int name, int value) {
-  // A kernel that does not know the option serves without it.
+  // Best effort: a kernel that does not support the option works without it.
   (void)::setsockopt(descriptor, level, name, &value, sizeof(value));
 }
 
-/// Failure: something between the two ends loses track of a connection, or the
-/// other end loses power. Symptom: it stays open, and whoever waits on it waits
-/// for good. The kernel's own probes end it, also while nothing is sent.
-void WatchForSilence(int descriptor, Duration limit) {
-  constexpr int kProbeSeconds = 1;
-  constexpr int kProbes = 2;
+/// Guards against a peer that disappears without closing the connection: a
+/// device between the two ends loses its connection state, or the peer loses
+/// power. Without it the connection stays open, and whoever waits for it waits
+/// forever. The kernel's keepalive probes end such a connection, also while no
+/// data is sent.
+void EnableDeadPeerDetection(int descriptor, Duration limit) {
+  constexpr int kKeepAliveIntervalSeconds = 1;
+  constexpr int kKeepAliveProbeCount = 2;
   SetOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT,
             static_cast<int>(ToMilliseconds(limit)));
   SetOption(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
-  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, kProbeSeconds);
-  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kProbeSeconds);
-  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
+  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveIntervalSeconds);
+  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kKeepAliveIntervalSeconds);
+  SetOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kKeepAliveProbeCount);
 }
 
 bool WouldBlock() {
@@ -49,7 +51,7 @@
 
 TcpStream::TcpStream(EventLoop& loop,
                      const SocketAddress& address,
-                     Duration silence_limit,
+                     Duration unacknowledged_timeout,
                      StreamHandler& handler)
     : loop_(loop), handler_(handler) {
   descriptor_ = ::socket(address.storage.ss_family,
@@ -57,7 +59,7 @@
   bool has_failed = descriptor_ < 0;
   if (!has_failed) {
     SetOption(descriptor_, IPPROTO_TCP, TCP_NODELAY, 1);
-    WatchForSilence(descriptor_, silence_limit);
+    EnableDeadPeerDetection(descriptor_, unacknowledged_timeout);
     has_failed = ::connect(descriptor_, address.Get(), address.length) != 0 &&
                  errno != EINPROGRESS;
   }
@@ -105,7 +107,7 @@
 
 void TcpStream::OnReadable() {
   if (!is_connected_) {
-    FinishConnecting();
+    CompleteConnect();
     return;
   }
   std::array<char, kReadBytes> buffer;
@@ -122,13 +124,13 @@
 
 void TcpStream::OnWritable() {
   if (!is_connected_) {
-    FinishConnecting();
+    CompleteConnect();
     return;
   }
   Flush();
 }
 
-void TcpStream::FinishConnecting() {
+void TcpStream::CompleteConnect() {
   int failure = 0;
   socklen_t length = sizeof(failure);
   if (::getsockopt(descriptor_, SOL_SOCKET, SO_ERROR, &failure, &length) != 0 ||
@@ -154,8 +156,8 @@
     const ssize_t count =
         ::send(descriptor_, unsent_.data(), unsent_.size(), MSG_NOSIGNAL);
     if (count < 0) {
-      // A broken connection is reported by the next read, after what the other
-      // end sent before it broke.
+      // The next read reports a broken connection, after the data that the peer
+      // sent before it broke.
       if (!WouldBlock()) {
         unsent_.clear();
       }
--- a/lib/libmedlarcroft/source/adapters/event/tcp_stream.h
+++ b/lib/libmedlarcroft/source/adapters/event/tcp_stream.h
@@ -12,54 +12,55 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief How the other end of a connection went.
+/// @brief How a connection ended.
 enum class StreamEnd {
-  kClosed,         ///< In order: all it sent has been read.
-  kReset,          ///< Broken off; what it sent last may be missing.
-  kCannotConnect,  ///< No connection came about: no byte was sent.
+  kClosed,         ///< Orderly close by the peer; all its data was read.
+  kReset,          ///< Reset; the last data of the peer may be lost.
+  kCannotConnect,  ///< Not established; no byte was sent.
 };
 
-/// @brief Hears what a connection brings. A stream may be closed and destroyed
-/// from within any of these calls.
+/// @brief Receives the events of a stream. The stream may be closed and
+/// destroyed from within any of these callbacks.
 class StreamHandler {
  public:
   virtual ~StreamHandler() = default;
 
   virtual void OnConnected() {}
   virtual void OnBytes(std::string_view bytes) = 0;
-  /// Nothing follows.
+  /// The last callback of a stream.
   virtual void OnEnd(StreamEnd end) = 0;
-  /// All that was written has been handed to the kernel.
+  /// All written data has been passed to the kernel.
   virtual void OnDrained() {}
 };
 
-/// @brief A TCP connection on an event loop. It never blocks; what the kernel
-/// does not take at once is kept and written later.
+/// @brief A non-blocking TCP connection on an event loop. Data that the kernel
+/// does not accept at once is buffered and written later.
 class TcpStream final : public DescriptorHandler {
  public:
-  /// @brief Takes over an accepted descriptor.
+  /// @brief Takes ownership of an accepted descriptor.
   TcpStream(EventLoop& loop, int descriptor, StreamHandler& handler);
-  /// @brief Begins to connect; `OnConnected` or `OnEnd` follows, never from
-  /// within this call. @param silence_limit closes a connection whose other end
-  /// acknowledges nothing for so long (TCP_USER_TIMEOUT).
+  /// @brief Starts to connect; `OnConnected` or `OnEnd` follows, never from
+  /// within this call.
+  /// @param unacknowledged_timeout closes the connection when the peer has
+  /// acknowledged nothing for this long (TCP_USER_TIMEOUT).
   TcpStream(EventLoop& loop,
             const SocketAddress& address,
-            Duration silence_limit,
+            Duration unacknowledged_timeout,
             StreamHandler& handler);
   ~TcpStream() override;
   TcpStream(const TcpStream&) = delete;
   TcpStream& operator=(const TcpStream&) = delete;
 
   void Write(std::string_view bytes);
-  /// @brief Sends what was written, then closes the sending side.
+  /// @brief Closes the sending side once all written data has been sent.
   void FinishWriting();
-  /// @brief Closes at once. Nothing is called any more.
+  /// @brief Closes immediately; no callback follows.
   void Close();
 
   [[nodiscard]] bool IsOpen() const { return descriptor_ >= 0; }
   [[nodiscard]] bool IsConnected() const { return is_connected_; }
-  /// @return whether any byte went to the kernel: before that the other end
-  /// can't have seen anything.
+  /// @return whether any byte was passed to the kernel; before that the peer
+  /// can't have received anything.
   [[nodiscard]] bool HasSent() const { return has_sent_; }
   [[nodiscard]] bool IsDrained() const { return unsent_.empty(); }
 
@@ -67,7 +68,7 @@
   void OnWritable() override;
 
  private:
-  void FinishConnecting();
+  void CompleteConnect();
   void Flush();
   void End(StreamEnd end);
   void UpdateInterest();
@@ -81,7 +82,7 @@
   bool wants_write_ = false;
   TimerId failure_timer_ = 0;
   std::string unsent_;
-  // Lets a call see that its stream was destroyed meanwhile.
+  // Lets a member function detect that a callback destroyed the stream.
   std::shared_ptr<bool> is_alive_ = std::make_shared<bool>(true);
 };
 
--- a/lib/libmedlarcroft/source/adapters/http/http_client.cc
+++ b/lib/libmedlarcroft/source/adapters/http/http_client.cc
@@ -15,19 +15,20 @@
 
 namespace {
 
-/// Wake-ups come through curl_multi_wakeup; this only bounds a missed one.
-constexpr int kPollMilliseconds = 1000;
+/// Wake-ups come through curl_multi_wakeup; this only bounds the delay of a
+/// missed one.
+constexpr int kMaxPollMilliseconds = 1000;
 
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-/// @brief One request on its way.
+/// @brief A request in progress.
 struct Transfer {
   HttpClient::RequestId id = 0;
   ClientRequest request;
   ClientCallback callback;
   CURL* easy = nullptr;
   curl_slist* header_list = nullptr;
-  ClientResponse answer;
+  ClientResponse response;
   bool is_framed = false;
   bool is_too_large = false;
 
@@ -48,11 +49,12 @@
                    void* self) {
   auto& transfer = *static_cast<Transfer*>(self);
   const std::size_t bytes = size * count;
-  if (transfer.answer.body.size() + bytes > transfer.request.max_answer_bytes) {
+  if (transfer.response.body.size() + bytes >
+      transfer.request.max_answer_bytes) {
     transfer.is_too_large = true;
     return 0;
   }
-  transfer.answer.body.append(data, bytes);
+  transfer.response.body.append(data, bytes);
   return bytes;
 }
 
@@ -71,8 +73,9 @@
   auto& transfer = *static_cast<Transfer*>(self);
   const std::string_view line(data, size * count);
   if (line.starts_with("HTTP/")) {
-    // An interim answer (1xx) came before; only the last block counts.
-    transfer.answer.headers = {};
+    // Headers of an interim response (1xx) are discarded; only the last block
+    // counts.
+    transfer.response.headers = {};
     transfer.is_framed = false;
     return line.size();
   }
@@ -80,7 +83,7 @@
   const auto colon = line.find(':');
   if (colon != std::string_view::npos) {
     const std::string_view name = TrimSpace(line.substr(0, colon));
-    transfer.answer.headers.Add(name, TrimSpace(line.substr(colon + 1)));
+    transfer.response.headers.Add(name, TrimSpace(line.substr(colon + 1)));
     transfer.is_framed |= IsSameHeaderName(name, "Content-Length") ||
                           IsSameHeaderName(name, "Transfer-Encoding");
   }
@@ -99,7 +102,7 @@
 }
 
 bool HasNoBody(const Transfer& transfer) {
-  const int status = transfer.answer.status;
+  const int status = transfer.response.status;
   return transfer.request.method == "HEAD" || status == 204 || status == 304;
 }
 
@@ -119,7 +122,7 @@
   }
 }
 
-/// @return true when not one byte of the request was handed to a connection.
+/// @return whether no byte of the request was passed to a connection.
 bool IsProvedUnsent(CURL* easy) {
   long request_bytes = 1;
   curl_easy_getinfo(easy, CURLINFO_REQUEST_SIZE, &request_bytes);
@@ -135,7 +138,7 @@
 ClientResult MakeResult(CURLcode code, Transfer& transfer) {
   long status = 0;
   curl_easy_getinfo(transfer.easy, CURLINFO_RESPONSE_CODE, &status);
-  transfer.answer.status = static_cast<int>(status);
+  transfer.response.status = static_cast<int>(status);
 
   const bool was_reused = WasConnectionReused(transfer.easy);
   if (code != CURLE_OK) {
@@ -148,7 +151,7 @@
                           .is_proved_unsent = false,
                           .was_connection_reused = was_reused};
   }
-  return std::move(transfer.answer);
+  return std::move(transfer.response);
 }
 
 }  // namespace
@@ -192,7 +195,7 @@
       const std::lock_guard lock(mutex_);
       id = ++last_id_;
       transfer->id = id;
-      arriving_.push_back(std::move(transfer));
+      queued_.push_back(std::move(transfer));
     }
     curl_multi_wakeup(multi_);
     return id;
@@ -201,61 +204,61 @@
   void Cancel(RequestId id) {
     {
       const std::lock_guard lock(mutex_);
-      cancelled_.push_back(id);
+      cancelled_ids_.push_back(id);
     }
     curl_multi_wakeup(multi_);
   }
 
   void RetireConnections(std::string_view origin) {
     const std::lock_guard lock(mutex_);
-    retired_at_[std::string(origin)] = std::chrono::steady_clock::now();
+    retirement_times_[std::string(origin)] = std::chrono::steady_clock::now();
   }
 
  private:
   void Run() {
-    while (!TakeOrders()) {
+    while (!ProcessCommands()) {
       int running = 0;
       curl_multi_perform(multi_, &running);
-      FinishEnded();
-      curl_multi_poll(multi_, nullptr, 0, kPollMilliseconds, nullptr);
+      CompleteFinishedTransfers();
+      curl_multi_poll(multi_, nullptr, 0, kMaxPollMilliseconds, nullptr);
     }
     while (!active_.empty()) {
-      End(active_.begin()->second->easy,
-          TransportError{.failure = TransportFailure::kCancelled});
+      CompleteTransfer(active_.begin()->second->easy,
+                       TransportError{.failure = TransportFailure::kCancelled});
     }
   }
 
-  /// @return true when the loop has to stop.
-  bool TakeOrders() {
-    std::vector<std::unique_ptr<Transfer>> arriving;
-    std::vector<RequestId> cancelled;
+  /// @return whether the loop has to stop.
+  bool ProcessCommands() {
+    std::vector<std::unique_ptr<Transfer>> queued;
+    std::vector<RequestId> cancelled_ids;
     bool is_stopping = false;
     {
       const std::lock_guard lock(mutex_);
-      arriving.swap(arriving_);
-      cancelled.swap(cancelled_);
+      queued.swap(queued_);
+      cancelled_ids.swap(cancelled_ids_);
       is_stopping = is_stopping_;
     }
-    for (auto& transfer : arriving) {
-      Begin(std::move(transfer));
+    for (auto& transfer : queued) {
+      StartTransfer(std::move(transfer));
     }
-    for (const RequestId id : cancelled) {
-      CancelNow(id);
+    for (const RequestId id : cancelled_ids) {
+      CancelTransfer(id);
     }
     return is_stopping;
   }
 
-  void Begin(std::unique_ptr<Transfer> transfer) {
+  void StartTransfer(std::unique_ptr<Transfer> transfer) {
     transfer->easy = curl_easy_init();
-    SetRequest(*transfer);
-    SetConnectionRules(*transfer);
+    SetRequestOptions(*transfer);
+    SetConnectionOptions(*transfer);
     CURL* easy = transfer->easy;
     by_id_[transfer->id] = easy;
     active_[easy] = std::move(transfer);
     curl_multi_add_handle(multi_, easy);
   }
 
-  void SetRequest(Transfer& transfer) {
+  void SetRequestOptions(Transfer& transfer) {
     CURL* easy = transfer.easy;
     const ClientRequest& request = transfer.request;
     for (const HttpHeader& field : request.headers.Fields()) {
@@ -263,8 +266,8 @@
       transfer.header_list =
           curl_slist_append(transfer.header_list, line.c_str());
     }
-    // Without "Expect" the body goes out at once; a target that refuses it
-    // would otherwise cost a second of waiting for "100 Continue".
+    // Without "Expect" libcurl sends the body at once; a target that rejects
+    // the header would otherwise cost a second of waiting for "100 Continue".
     transfer.header_list = curl_slist_append(transfer.header_list, "Expect:");
 
     curl_easy_setopt(easy, CURLOPT_URL, request.url.c_str());
@@ -285,7 +288,7 @@
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, &transfer);
   }
 
-  void SetConnectionRules(Transfer& transfer) {
+  void SetConnectionOptions(Transfer& transfer) {
     CURL* easy = transfer.easy;
     const ClientRequest& request = transfer.request;
     curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
@@ -308,14 +311,15 @@
     LimitConnectionAge(transfer);
   }
 
-  /// libcurl can't be told to close chosen connections, but it can be told the
-  /// greatest age of one to reuse: all that are older than the retirement.
+  /// libcurl can't close selected connections, but it can limit the age of a
+  /// connection to reuse, which excludes all that are older than the
+  /// retirement.
   void LimitConnectionAge(Transfer& transfer) {
     SteadyTime retired_at;
     {
       const std::lock_guard lock(mutex_);
-      const auto found = retired_at_.find(OriginOf(transfer.request.url));
-      if (found == retired_at_.end()) {
+      const auto found = retirement_times_.find(OriginOf(transfer.request.url));
+      if (found == retirement_times_.end()) {
         return;
       }
       retired_at = found->second;
@@ -330,18 +334,19 @@
                      static_cast<long>(since.count()));
   }
 
-  void CancelNow(RequestId id) {
+  void CancelTransfer(RequestId id) {
     const auto found = by_id_.find(id);
     if (found == by_id_.end()) {
       return;
     }
     CURL* easy = found->second;
-    End(easy, TransportError{.failure = TransportFailure::kCancelled,
-                             .is_proved_unsent = IsProvedUnsent(easy),
-                             .was_connection_reused = false});
+    CompleteTransfer(easy,
+                     TransportError{.failure = TransportFailure::kCancelled,
+                                    .is_proved_unsent = IsProvedUnsent(easy),
+                                    .was_connection_reused = false});
   }
 
-  void FinishEnded() {
+  void CompleteFinishedTransfers() {
     int left = 0;
     while (CURLMsg* message = curl_multi_info_read(multi_, &left)) {
       if (message->msg != CURLMSG_DONE) {
@@ -349,11 +354,11 @@
       }
       CURL* easy = message->easy_handle;
       const CURLcode code = message->data.result;
-      End(easy, MakeResult(code, *active_.at(easy)));
+      CompleteTransfer(easy, MakeResult(code, *active_.at(easy)));
     }
   }
 
-  void End(CURL* easy, ClientResult result) {
+  void CompleteTransfer(CURL* easy, ClientResult result) {
     const auto found = active_.find(easy);
     const std::unique_ptr<Transfer> transfer = std::move(found->second);
     active_.erase(found);
@@ -366,14 +371,14 @@
   CURLM* multi_;
   std::thread thread_;
 
-  // Only the loop's thread touches these.
+  // Accessed only by the loop's thread.
   std::map<CURL*, std::unique_ptr<Transfer>> active_;
   std::map<RequestId, CURL*> by_id_;
 
   std::mutex mutex_;
-  std::vector<std::unique_ptr<Transfer>> arriving_;
-  std::vector<RequestId> cancelled_;
-  std::map<std::string, SteadyTime> retired_at_;
+  std::vector<std::unique_ptr<Transfer>> queued_;
+  std::vector<RequestId> cancelled_ids_;
+  std::map<std::string, SteadyTime> retirement_times_;
   RequestId last_id_ = 0;
   bool is_stopping_ = false;
 };
--- a/lib/libmedlarcroft/source/adapters/http/http_client.h
+++ b/lib/libmedlarcroft/source/adapters/http/http_client.h
@@ -14,42 +14,42 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief One request to send.
+/// @brief A request to send.
 struct ClientRequest {
   std::string method = "GET";
   std::string url;
   HttpHeaders headers;
   std::string body;
   Duration timeout = std::chrono::seconds(2);
-  /// Set for a non-idempotent request. On a reused connection that the other
-  /// end closes before its first byte of answer, libcurl sends the request
-  /// again by itself; on a fresh one it never does. Costs a connect, ~1 ms.
+  /// Set for a non-idempotent request. When a reused connection closes before
+  /// the first byte of a response, libcurl by itself resends the request; on a
+  /// new connection it never does. Costs a connect, about 1 ms.
   bool needs_fresh_connection = false;
   std::size_t max_answer_bytes = std::size_t{1024} * 1024;
 };
 
-/// @brief A whole answer.
+/// @brief A complete response.
 struct ClientResponse {
   int status = 0;
   HttpHeaders headers;
   std::string body;
 };
 
-/// @brief Why there is no whole answer.
+/// @brief Why there is no complete response.
 enum class TransportFailure {
-  kCannotConnect,  ///< No connection came about.
-  kTimedOut,       ///< The timeout passed.
-  kTruncated,      ///< The answer ended before its announced end.
-  kUnframed,   ///< The answer's end was not announced, so it can't be known.
-  kTooLarge,   ///< The answer is larger than the request allows.
-  kBroken,     ///< The connection failed otherwise.
-  kCancelled,  ///< `Cancel` was called.
+  kCannotConnect,  ///< The connection could not be established.
+  kTimedOut,       ///< The timeout expired.
+  kTruncated,      ///< The response ended before its announced length.
+  kUnframed,       ///< The response announced no length, so its end is unknown.
+  kTooLarge,       ///< The response exceeds `max_answer_bytes`.
+  kBroken,         ///< Any other failure of the connection.
+  kCancelled,      ///< `Cancel` was called.
 };
 
-/// @brief A failed exchange.
+/// @brief Describes a failed exchange.
 struct TransportError {
   TransportFailure failure = TransportFailure::kBroken;
-  /// True only when it is proved that no byte of the request was sent.
+  /// True only when it is certain that no byte of the request was sent.
   bool is_proved_unsent = false;
   bool was_connection_reused = false;
 };
@@ -57,14 +57,15 @@
 using ClientResult = Result<ClientResponse, TransportError>;
 using ClientCallback = std::function<void(ClientResult)>;
 
-/// @brief Sends requests from one thread on a libcurl multi handle, with pooled
-/// connections.
+/// @brief HTTP client that runs a libcurl multi handle with pooled connections
+/// on one thread.
 class HttpClient {
  public:
   struct Options {
-    /// Idle connections kept in all; today about 12 targets with 330 each.
+    /// Idle connections in total; there are about 12 targets with 330
+    /// connections each.
     long max_idle_connections = 1024;
-    /// Connections to one origin at once; 0: no limit.
+    /// Concurrent connections to one origin; 0: unlimited.
     long max_connections_per_origin = 0;
     Duration connect_timeout = std::chrono::milliseconds(500);
     std::string ca_file;  ///< Trust anchors for https; empty: the system's.
@@ -77,22 +78,23 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// @brief Starts the exchange. `callback` runs once, on the client's thread.
+  /// @brief Starts an exchange; `callback` runs once, on the client's thread.
   RequestId Send(ClientRequest request, ClientCallback callback);
 
-  /// @brief Ends an exchange with kCancelled unless it has ended already.
+  /// @brief Ends an exchange with kCancelled unless it has already ended.
   void Cancel(RequestId id);
 
-  /// @brief Sends and blocks for the result; not for a client callback.
+  /// @brief Sends and blocks for the result; must not be called from a client
+  /// callback.
   ClientResult SendAndWait(ClientRequest request);
 
-  /// @brief Ends all exchanges with kCancelled; after it nothing is sent or
-  /// called back any more. For owners whose callbacks use parts that are
+  /// @brief Ends all exchanges with kCancelled; afterwards nothing is sent and
+  /// no callback runs. For owners whose callbacks use objects that are
   /// destroyed before the client.
   void Stop();
 
-  /// @brief No connection to `origin` ("http://ip:port") that is open now will
-  /// carry another request.
+  /// @brief Connections to `origin` ("http://ip:port") that are open now carry
+  /// no further requests.
   void RetireConnections(std::string_view origin);
 
  private:
--- a/lib/libmedlarcroft/source/adapters/http/http_message.h
+++ b/lib/libmedlarcroft/source/adapters/http/http_message.h
@@ -17,14 +17,14 @@
   std::string value;
 };
 
-/// @brief Header fields in the order received; names compare without case.
+/// @brief Header fields in the order received; names are case-insensitive.
 class HttpHeaders {
  public:
   HttpHeaders() = default;
   HttpHeaders(std::initializer_list<HttpHeader> fields) : fields_(fields) {}
 
   void Add(std::string_view name, std::string_view value);
-  /// @brief Removes every field of that name and adds one.
+  /// @brief Replaces all fields of that name with one.
   void Set(std::string_view name, std::string_view value);
   void Remove(std::string_view name);
 
@@ -39,7 +39,7 @@
   std::vector<HttpHeader> fields_;
 };
 
-/// @brief A request as a server received it, body and all.
+/// @brief A request as received by a server, including its body.
 struct HttpRequest {
   std::string method;
   std::string path;        ///< Percent-decoded, without the query.
@@ -47,8 +47,9 @@
   std::map<std::string, std::string, std::less<>> query;
   HttpHeaders headers;
   std::string body;
-  std::string peer_address;  ///< IP number of the other end.
-  /// Counts the connections of a listener from 1, in the order of acceptance.
+  std::string peer_address;  ///< IP address of the client.
+  /// Number of the connection on its listener, from 1 in the order of
+  /// acceptance.
   std::uint64_t connection_id = 0;
 
   /// @return the query parameter, or nullopt.
@@ -56,18 +57,18 @@
       std::string_view name) const;
 };
 
-/// @brief An answer; Content-Length is set by the server.
+/// @brief A response; the server sets Content-Length.
 struct HttpResponse {
   int status = 200;
   HttpHeaders headers;
   std::string body;
-  /// Announced beyond `body` and never sent: the connection is closed after
-  /// `body`, which is what a caller sees of a server that dies while it
-  /// answers. Only the stand-ins set it.
+  /// Bytes announced beyond `body` and never sent: the connection is closed
+  /// after `body`, as a client sees it when a server crashes while it responds.
+  /// Set only by the test stand-ins.
   std::size_t missing_bytes = 0;
 };
 
-/// @return whether two header names are the same, without regard to case.
+/// @return whether two header names are equal, ignoring case.
 [[nodiscard]] bool IsSameHeaderName(std::string_view left,
                                     std::string_view right);
 
--- a/lib/libmedlarcroft/source/adapters/http/http_server.cc
+++ b/lib/libmedlarcroft/source/adapters/http/http_server.cc
@@ -16,13 +16,13 @@
 
 namespace {
 
-/// A request's head must fit; a larger one is refused by the library with 431.
+/// A request's head must fit; libmicrohttpd rejects a larger one with 431.
 constexpr std::size_t kConnectionMemoryBytes = 32 * 1024;
 
-constexpr int kFirstClientError = 400;
-constexpr int kFirstServerError = 500;
+constexpr int kFirstClientErrorStatus = 400;
+constexpr int kFirstServerErrorStatus = 500;
 
-HttpResponse MakePlainError(int status, std::string_view code) {
+HttpResponse MakeProblemResponse(int status, std::string_view code) {
   HttpResponse response{.status = status};
   response.headers.Add("Content-Type", "application/problem+json");
   response.headers.Add("Medlar-Outcome", "not-run");
@@ -30,25 +30,25 @@
   return response;
 }
 
-/// A stop that cuts a request cannot tell whether it ran.
-HttpResponse MakeStoppingAnswer() {
-  HttpResponse response = MakePlainError(503, "stopping");
+/// It is unknown whether a request that a shutdown interrupts has run.
+HttpResponse MakeStoppingResponse() {
+  HttpResponse response = MakeProblemResponse(503, "stopping");
   response.headers.Set("Medlar-Outcome", "unknown");
   return response;
 }
 
-MHD_Result CollectHeader(void* target,
-                         MHD_ValueKind /*kind*/,
-                         const char* name,
-                         const char* value) {
+MHD_Result AddHeader(void* target,
+                     MHD_ValueKind /*kind*/,
+                     const char* name,
+                     const char* value) {
   static_cast<HttpHeaders*>(target)->Add(name, value ? value : "");
   return MHD_YES;
 }
 
-MHD_Result CollectQuery(void* target,
-                        MHD_ValueKind /*kind*/,
-                        const char* name,
-                        const char* value) {
+MHD_Result AddQueryParameter(void* target,
+                             MHD_ValueKind /*kind*/,
+                             const char* name,
+                             const char* value) {
   (*static_cast<HttpRequest*>(target)).query[name] = value ? value : "";
   return MHD_YES;
 }
@@ -65,43 +65,44 @@
   return info ? *static_cast<const std::uint64_t*>(info->socket_context) : 0;
 }
 
-/// @brief An answer that ends before its announced end.
-struct CutAnswer {
+/// @brief A response body that ends before its announced length.
+struct TruncatedResponse {
   std::string body;
 
   static ssize_t Read(void* self,
                       std::uint64_t position,
                       char* buffer,
                       std::size_t size) {
-    const std::string& body = static_cast<CutAnswer*>(self)->body;
+    const std::string& body = static_cast<TruncatedResponse*>(self)->body;
     if (position >= body.size()) {
       return MHD_CONTENT_READER_END_WITH_ERROR;
     }
     return static_cast<ssize_t>(body.copy(buffer, size, position));
   }
 
-  static void Free(void* self) { delete static_cast<CutAnswer*>(self); }
+  static void Free(void* self) { delete static_cast<TruncatedResponse*>(self); }
 };
 
-MHD_Response* MakeLibraryResponse(const HttpResponse& answer) {
-  if (answer.missing_bytes > 0) {
+MHD_Response* CreateMhdResponse(const HttpResponse& response) {
+  if (response.missing_bytes > 0) {
     return MHD_create_response_from_callback(
-        answer.body.size() + answer.missing_bytes, kConnectionMemoryBytes,
-        &CutAnswer::Read, new CutAnswer{answer.body}, &CutAnswer::Free);
+        response.body.size() + response.missing_bytes, kConnectionMemoryBytes,
+        &TruncatedResponse::Read, new TruncatedResponse{response.body},
+        &TruncatedResponse::Free);
   }
-  return MHD_create_response_from_buffer(answer.body.size(),
-                                         const_cast<char*>(answer.body.data()),
-                                         MHD_RESPMEM_MUST_COPY);
+  return MHD_create_response_from_buffer(
+      response.body.size(), const_cast<char*>(response.body.data()),
+      MHD_RESPMEM_MUST_COPY);
 }
 
 }  // namespace
 
-/// @brief One request between its first header and its answer. Shared with the
-/// handler, so it outlives the connection; `connection_` is cleared when the
-/// library drops the connection.
-class ConnectionContext final : public Responder {
+/// @brief A request from its first header until its response. Shared with the
+/// handler, so it can outlive the connection; `connection_` is cleared when
+/// libmicrohttpd releases the connection.
+class RequestContext final : public Responder {
  public:
-  ConnectionContext(HttpServer& server, MHD_Connection* connection)
+  RequestContext(HttpServer& server, MHD_Connection* connection)
       : server_(server), connection_(connection) {
     const MHD_ConnectionInfo* info =
         MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD);
@@ -125,16 +126,16 @@
     if (connection_ == nullptr) {
       return true;
     }
-    // The library does not watch a suspended connection, so the socket is
-    // asked: an orderly close shows as end of file, a reset as an error.
+    // libmicrohttpd does not monitor a suspended connection, so this peeks at
+    // the socket: an orderly close shows as end of file, a reset as an error.
     char byte = 0;
     const ssize_t got = recv(socket_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK &&
                         errno != EINTR);
   }
 
-  /// @return true when the connection now waits for `Send`.
-  bool SuspendUnlessAnswered() {
+  /// @return true when the connection is now suspended until `Send`.
+  bool SuspendUnlessResponded() {
     const std::lock_guard lock(mutex_);
     if (response_) {
       return false;
@@ -170,87 +171,89 @@
   std::optional<HttpResponse> response_;
 };
 
-/// @brief The requests a listener holds, so that a stop can answer them.
-class WaitingRequests {
+/// @brief The pending requests of a listener, so that a shutdown can respond to
+/// them.
+class PendingRequests {
  public:
-  void Add(const std::shared_ptr<ConnectionContext>& context) {
+  void Add(const std::shared_ptr<RequestContext>& context) {
     const std::lock_guard lock(mutex_);
     contexts_.insert(context);
   }
 
-  void Remove(const std::shared_ptr<ConnectionContext>& context) {
+  void Remove(const std::shared_ptr<RequestContext>& context) {
     const std::lock_guard lock(mutex_);
     contexts_.erase(context);
   }
 
-  std::vector<std::shared_ptr<ConnectionContext>> All() const {
+  std::vector<std::shared_ptr<RequestContext>> All() const {
     const std::lock_guard lock(mutex_);
     return {contexts_.begin(), contexts_.end()};
   }
 
  private:
   mutable std::mutex mutex_;
-  std::set<std::shared_ptr<ConnectionContext>> contexts_;
+  std::set<std::shared_ptr<RequestContext>> contexts_;
 };
 
-/// @brief The library's slot for one request.
-struct RequestSlot {
+/// @brief State that libmicrohttpd keeps for one request.
+struct MhdRequestState {
   std::string raw_target;
-  std::shared_ptr<ConnectionContext> context;
+  std::shared_ptr<RequestContext> context;
 };
 
 struct ServerCallbacks {
   static MHD_Result Queue(MHD_Connection* connection,
                           HttpServer& server,
-                          const HttpResponse& answer) {
-    if (answer.status >= kFirstClientError &&
-        answer.status < kFirstServerError) {
+                          const HttpResponse& response) {
+    if (response.status >= kFirstClientErrorStatus &&
+        response.status < kFirstServerErrorStatus) {
       server.counters_.client_errors++;
     }
-    MHD_Response* response = MakeLibraryResponse(answer);
-    for (const HttpHeader& field : answer.headers.Fields()) {
-      MHD_add_response_header(response, field.name.c_str(),
+    MHD_Response* mhd_response = CreateMhdResponse(response);
+    for (const HttpHeader& field : response.headers.Fields()) {
+      MHD_add_response_header(mhd_response, field.name.c_str(),
                               field.value.c_str());
     }
     if (server.is_draining_) {
-      MHD_add_response_header(response, MHD_HTTP_HEADER_CONNECTION, "close");
+      MHD_add_response_header(mhd_response, MHD_HTTP_HEADER_CONNECTION,
+                              "close");
     }
     const MHD_Result result = MHD_queue_response(
-        connection, static_cast<unsigned>(answer.status), response);
-    MHD_destroy_response(response);
+        connection, static_cast<unsigned>(response.status), mhd_response);
+    MHD_destroy_response(mhd_response);
     return result;
   }
 
-  static void Begin(HttpServer& server,
-                    MHD_Connection* connection,
-                    const char* url,
-                    const char* method,
-                    RequestSlot& slot) {
-    slot.context = std::make_shared<ConnectionContext>(server, connection);
-    HttpRequest& request = slot.context->request;
+  static void BeginRequest(HttpServer& server,
+                           MHD_Connection* connection,
+                           const char* url,
+                           const char* method,
+                           MhdRequestState& state) {
+    state.context = std::make_shared<RequestContext>(server, connection);
+    HttpRequest& request = state.context->request;
     request.method = method;
     request.path = url;
-    request.raw_target = std::move(slot.raw_target);
+    request.raw_target = std::move(state.raw_target);
     request.peer_address = PeerAddressOf(connection);
     request.connection_id = ConnectionIdOf(connection);
-    MHD_get_connection_values(connection, MHD_HEADER_KIND, &CollectHeader,
+    MHD_get_connection_values(connection, MHD_HEADER_KIND, &AddHeader,
                               &request.headers);
-    MHD_get_connection_values(connection, MHD_GET_ARGUMENT_KIND, &CollectQuery,
-                              &request);
-    slot.context->max_body_bytes = server.handler_.MaxBodyBytes(request);
+    MHD_get_connection_values(connection, MHD_GET_ARGUMENT_KIND,
+                              &AddQueryParameter, &request);
+    state.context->max_body_bytes = server.handler_.MaxBodyBytes(request);
 
     server.counters_.requests++;
     server.counters_.in_flight++;
-    server.waiting_->Add(slot.context);
+    server.pending_requests_->Add(state.context);
   }
 
-  static void Collect(ConnectionContext& context,
-                      const char* data,
-                      std::size_t size) {
+  static void AppendBody(RequestContext& context,
+                         const char* data,
+                         std::size_t size) {
     std::string& body = context.request.body;
     if (body.size() + size > context.max_body_bytes) {
-      // The rest is read and dropped, so that the caller gets its refusal
-      // and not a reset in the middle of its own sending.
+      // The rest is read and discarded, so that the client gets the error
+      // response and not a reset while it is still sending.
       context.is_body_too_large = true;
       body.clear();
     }
@@ -259,19 +262,21 @@
     }
   }
 
-  static MHD_Result Dispatch(const std::shared_ptr<ConnectionContext>& context,
+  static MHD_Result Dispatch(const std::shared_ptr<RequestContext>& context,
                              MHD_Connection* connection) {
     HttpServer& server = context->Server();
     if (context->is_body_too_large) {
       server.counters_.bodies_too_large++;
-      return Queue(connection, server, MakePlainError(413, "body-too-large"));
+      return Queue(connection, server,
+                   MakeProblemResponse(413, "body-too-large"));
     }
 
-    auto answer = server.handler_.Handle(std::move(context->request), context);
-    if (answer) {
-      return Queue(connection, server, *answer);
+    auto response =
+        server.handler_.Handle(std::move(context->request), context);
+    if (response) {
+      return Queue(connection, server, *response);
     }
-    if (context->SuspendUnlessAnswered()) {
+    if (context->SuspendUnlessResponded()) {
       return MHD_YES;
     }
     return Queue(connection, server, *context->TakeResponse());
@@ -293,7 +298,7 @@
   static void* OnUri(void* /*self*/,
                      const char* uri,
                      MHD_Connection* /*connection*/) {
-    return new RequestSlot{.raw_target = uri, .context = nullptr};
+    return new MhdRequestState{.raw_target = uri, .context = nullptr};
   }
 
   static MHD_Result OnRequest(void* self,
@@ -303,42 +308,42 @@
                               const char* /*version*/,
                               const char* upload_data,
                               std::size_t* upload_size,
-                              void** opaque_slot) {
+                              void** opaque_state) {
     auto& server = *static_cast<HttpServer*>(self);
-    auto& slot = *static_cast<RequestSlot*>(*opaque_slot);
-    if (!slot.context) {
-      Begin(server, connection, url, method, slot);
+    auto& state = *static_cast<MhdRequestState*>(*opaque_state);
+    if (!state.context) {
+      BeginRequest(server, connection, url, method, state);
       return MHD_YES;
     }
 
-    const std::shared_ptr<ConnectionContext> context = slot.context;
+    const std::shared_ptr<RequestContext> context = state.context;
     if (*upload_size > 0) {
-      Collect(*context, upload_data, *upload_size);
+      AppendBody(*context, upload_data, *upload_size);
       *upload_size = 0;
       return MHD_YES;
     }
     if (!std::exchange(context->is_dispatched, true)) {
       return Dispatch(context, connection);
     }
-    if (auto answer = context->TakeResponse()) {
-      return Queue(connection, server, *answer);
+    if (auto response = context->TakeResponse()) {
+      return Queue(connection, server, *response);
     }
     return MHD_YES;
   }
 
   static void OnCompleted(void* self,
                           MHD_Connection* /*connection*/,
-                          void** opaque_slot,
+                          void** opaque_state,
                           MHD_RequestTerminationCode /*code*/) {
     auto& server = *static_cast<HttpServer*>(self);
-    const std::unique_ptr<RequestSlot> slot(
-        static_cast<RequestSlot*>(*opaque_slot));
-    *opaque_slot = nullptr;
-    if (!slot || !slot->context) {
+    const std::unique_ptr<MhdRequestState> state(
+        static_cast<MhdRequestState*>(*opaque_state));
+    *opaque_state = nullptr;
+    if (!state || !state->context) {
       return;
     }
-    slot->context->Detach();
-    server.waiting_->Remove(slot->context);
+    state->context->Detach();
+    server.pending_requests_->Remove(state->context);
     server.counters_.in_flight--;
   }
 };
@@ -403,7 +408,8 @@
 }
 
 HttpServer::HttpServer(HttpHandler& handler)
-    : handler_(handler), waiting_(std::make_unique<WaitingRequests>()) {}
+    : handler_(handler),
+      pending_requests_(std::make_unique<PendingRequests>()) {}
 
 HttpServer::~HttpServer() {
   Stop();
@@ -414,9 +420,9 @@
     return;
   }
   is_draining_ = true;
-  // The library may not be stopped while a connection is suspended.
-  for (const auto& context : waiting_->All()) {
-    context->Send(MakeStoppingAnswer());
+  // libmicrohttpd must not be stopped while a connection is suspended.
+  for (const auto& context : pending_requests_->All()) {
+    context->Send(MakeStoppingResponse());
   }
   MHD_stop_daemon(std::exchange(daemon_, nullptr));
 }
--- a/lib/libmedlarcroft/source/adapters/http/http_server.h
+++ b/lib/libmedlarcroft/source/adapters/http/http_server.h
@@ -18,25 +18,26 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Where the answer to one request goes. Any thread may use it; only the
-/// first answer counts, so a late one can never reach another request.
+/// @brief Sends the response to one request. Any thread may use it; only the
+/// first response counts, so a late one can never reach another request.
 class Responder {
  public:
   virtual ~Responder() = default;
 
   virtual void Send(HttpResponse response) = 0;
 
-  /// @return whether the caller has closed its connection meanwhile.
+  /// @return whether the client has closed its connection.
   [[nodiscard]] virtual bool IsClientDisconnected() const = 0;
 };
 
-/// @brief Serves requests of one listener.
+/// @brief Handles the requests of one listener.
 class HttpHandler {
  public:
   virtual ~HttpHandler() = default;
 
   /// @brief Runs on a listener thread and must not block.
-  /// @return the answer, or nullopt when `responder` will be given it later.
+  /// @return the response, or nullopt when it will be sent through `responder`
+  /// later.
   virtual std::optional<HttpResponse> Handle(
       HttpRequest request,
       const std::shared_ptr<Responder>& responder) = 0;
@@ -49,28 +50,29 @@
   }
 };
 
-/// @brief What a listener has seen and refused.
+/// @brief Counters of accepted and rejected requests of a listener.
 struct HttpServerCounters {
   std::atomic<std::uint64_t> connections{0};  ///< Accepted; the last one's id.
   std::atomic<std::uint64_t> requests{0};
   std::atomic<std::uint64_t> bodies_too_large{0};
-  std::atomic<std::uint64_t> client_errors{0};  ///< Answers of 400 to 499.
+  std::atomic<std::uint64_t> client_errors{0};  ///< Responses of 400 to 499.
   std::atomic<std::uint64_t> in_flight{0};
 };
 
 /// @brief Why a listener could not be opened.
 enum class ListenFailure { kBadAddress, kCannotBind, kBadTlsMaterial };
 
-/// @brief An HTTP/1.1 listener on libmicrohttpd: an epoll loop a thread, and
-/// requests that wait for their answer hold no thread.
+/// @brief HTTP/1.1 server on libmicrohttpd with one epoll loop per thread;
+/// pending requests occupy no thread.
 class HttpServer {
  public:
   struct Options {
-    std::string address;  ///< IP:port; port 0 takes a free one.
+    std::string address;  ///< IP:port; port 0 picks a free one.
     unsigned threads = 2;
-    /// Bounds memory: each connection holds a buffer of 32 KB at most.
+    /// Bounds memory: each connection has a buffer of at most 32 KB.
     unsigned max_connections = 4096;
-    /// Closes senders that stall; longer than any deadline of a class.
+    /// Closes stalled connections; longer than the deadline of any request
+    /// class.
     std::chrono::seconds idle_timeout{60};
     std::string tls_certificate_pem;  ///< Empty: plain HTTP.
     std::string tls_key_pem;
@@ -87,16 +89,16 @@
   [[nodiscard]] std::uint16_t Port() const { return port_; }
   [[nodiscard]] const HttpServerCounters& Counters() const { return counters_; }
 
-  /// @brief From now on every answer asks its caller to close the connection,
-  /// so that callers move away without a request being cut.
+  /// @brief From now on every response carries `Connection: close`, so that
+  /// clients move away without a request being interrupted.
   void StartDraining() { is_draining_ = true; }
 
-  /// @brief Closes the listener and its connections. Requests still waiting
-  /// are answered with 503 first.
+  /// @brief Closes the listener and its connections. Pending requests are first
+  /// answered with 503.
   void Stop();
 
  private:
-  friend class ConnectionContext;
+  friend class RequestContext;
   friend struct ServerCallbacks;
 
   explicit HttpServer(HttpHandler& handler);
@@ -108,7 +110,7 @@
   std::string tls_key_;
   std::atomic<bool> is_draining_{false};
   HttpServerCounters counters_;
-  std::unique_ptr<class WaitingRequests> waiting_;
+  std::unique_ptr<class PendingRequests> pending_requests_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/http/json_response.cc
+++ b/lib/libmedlarcroft/source/adapters/http/json_response.cc
@@ -7,12 +7,12 @@
 HttpResponse MakeJsonResponse(int status,
                               const nlohmann::ordered_json& body,
                               JsonLayout layout) {
-  constexpr int kOneLine = -1;
+  constexpr int kNoIndent = -1;
   constexpr int kIndent = 1;
   HttpResponse response{.status = status};
   response.headers.Add("Content-Type", "application/json");
   response.body =
-      body.dump(layout == JsonLayout::kCompact ? kOneLine : kIndent) + "\n";
+      body.dump(layout == JsonLayout::kCompact ? kNoIndent : kIndent) + "\n";
   return response;
 }
 
--- a/lib/libmedlarcroft/source/adapters/http/json_response.h
+++ b/lib/libmedlarcroft/source/adapters/http/json_response.h
@@ -7,16 +7,16 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief How an answer's JSON is laid out.
+/// @brief Layout of a JSON body.
 enum class JsonLayout { kCompact, kReadable };
 
-/// @return an `application/json` answer.
+/// @return a response of type `application/json`.
 [[nodiscard]] HttpResponse MakeJsonResponse(
     int status,
     const nlohmann::ordered_json& body,
     JsonLayout layout = JsonLayout::kReadable);
 
-/// @return Prometheus text, version 0.0.4.
+/// @return a response in the Prometheus text format, version 0.0.4.
 [[nodiscard]] HttpResponse MakeMetricsResponse(std::string text);
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/http/listener_metrics.h
+++ b/lib/libmedlarcroft/source/adapters/http/listener_metrics.h
@@ -8,16 +8,17 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Metrics of a daemon's HTTP listener. The listener itself serves them,
-/// so its threads may ask before it is known here; then they stay at 0.
+/// @brief Metrics of a daemon's HTTP listener. The listener itself serves the
+/// metrics page, so its threads may call `Refresh` before `Watch`; the values
+/// then stay 0.
 class ListenerMetrics {
  public:
   explicit ListenerMetrics(telemetry::MetricsRegistry& metrics);
 
-  /// @param counters outlive the listener's last answer.
+  /// @param counters must outlive the listener's last response.
   void Watch(const HttpServerCounters& counters) { counters_ = &counters; }
 
-  /// @brief Takes over the counters' values; called when metrics are read.
+  /// @brief Copies the counters' values; called when metrics are read.
   void Refresh();
 
  private:
--- a/lib/libmedlarcroft/source/adapters/http/operator_responses.cc
+++ b/lib/libmedlarcroft/source/adapters/http/operator_responses.cc
@@ -14,16 +14,16 @@
 constexpr std::string_view kChangeIdHeader = "Medlar-Change-Id";
 constexpr std::string_view kOutcomeHeader = "Medlar-Outcome";
 
-/// @brief How a failure looks over HTTP.
-struct FailureForm {
+/// @brief HTTP representation of a failure.
+struct FailureMapping {
   OperatorFailureCode code;
   int status;
   std::string_view name;
   std::string_view outcome;
-  bool may_retry;
+  bool is_retryable;
 };
 
-constexpr std::array<FailureForm, 12> kFailureForms{{
+constexpr std::array<FailureMapping, 12> kFailureMappings{{
     {OperatorFailureCode::kBadEntryName, 400, "bad-entry-name", "not-run",
      false},
     {OperatorFailureCode::kBadChangeId, 400, "bad-change-id", "not-run", false},
@@ -46,13 +46,14 @@
      true},
 }};
 
-const FailureForm& FormOf(OperatorFailureCode code) {
-  for (const FailureForm& form : kFailureForms) {
-    if (form.code == code) {
-      return form;
+const FailureMapping& MappingOf(OperatorFailureCode code) {
+  for (const FailureMapping& mapping : kFailureMappings) {
+    if (mapping.code == code) {
+      return mapping;
     }
   }
-  return kFailureForms.back();  // The one that promises nothing.
+  // kOutcomeUnknown, which claims neither outcome.
+  return kFailureMappings.back();
 }
 
 HttpResponse MakeJson(int status, const Json& body) {
@@ -101,19 +102,19 @@
 
 }  // namespace
 
-HttpResponse MakeRefusal(int status, std::string_view code) {
+HttpResponse MakeErrorResponse(int status, std::string_view code) {
   HttpResponse response = MakeJson(status, {{"code", code}});
   response.headers.Add(kOutcomeHeader, "not-run");
   return response;
 }
 
-HttpResponse MakeAnswer(const OperatorFailure& failure) {
-  const FailureForm& form = FormOf(failure.code);
-  Json body = {{"code", form.name}};
+HttpResponse MakeResponse(const OperatorFailure& failure) {
+  const FailureMapping& mapping = MappingOf(failure.code);
+  Json body = {{"code", mapping.name}};
   if (!failure.faults.empty()) {
     body["faults"] = ToJsonList(failure.faults);
   }
-  if (form.status == 412 || form.status == 428) {
+  if (mapping.status == 412 || mapping.status == 428) {
     body["current_version"] = failure.current_version;
   }
   if (!failure.current_document.empty()) {
@@ -123,21 +124,21 @@
     body["change_id"] = failure.change_id;
   }
 
-  HttpResponse response = MakeJson(form.status, body);
-  response.headers.Add(kOutcomeHeader, form.outcome);
+  HttpResponse response = MakeJson(mapping.status, body);
+  response.headers.Add(kOutcomeHeader, mapping.outcome);
   if (!failure.change_id.empty()) {
     response.headers.Add(kChangeIdHeader, failure.change_id);
   }
   if (failure.current_version > 0) {
     response.headers.Add("ETag", MakeETag(failure.current_version));
   }
-  if (form.may_retry) {
+  if (mapping.is_retryable) {
     response.headers.Add("Retry-After", "2");
   }
   return response;
 }
 
-HttpResponse MakeAnswer(const catalogue::EntryAnswer& answer) {
+HttpResponse MakeResponse(const catalogue::EntryAnswer& answer) {
   HttpResponse response{.status = 200, .body = answer.document};
   response.headers.Add("Content-Type", "application/json");
   response.headers.Add("ETag", MakeETag(answer.version));
@@ -146,7 +147,7 @@
   return response;
 }
 
-HttpResponse MakeAnswer(const catalogue::ChangeAnswer& answer) {
+HttpResponse MakeResponse(const catalogue::ChangeAnswer& answer) {
   HttpResponse response =
       MakeJson(answer.is_created ? 201 : 200,
                {{"change_id", answer.change_id},
@@ -159,12 +160,12 @@
   return response;
 }
 
-HttpResponse MakeAnswer(const catalogue::ListAnswer& answer) {
+HttpResponse MakeResponse(const catalogue::ListAnswer& answer) {
   return MakeJson(200, {{"revision", answer.revision},
                         {"entries", ToJsonList(answer.entries)}});
 }
 
-HttpResponse MakeAnswer(const std::vector<catalogue::HistoryItem>& history) {
+HttpResponse MakeResponse(const std::vector<catalogue::HistoryItem>& history) {
   return MakeJson(200, {{"changes", ToJsonList(history)}});
 }
 
--- a/lib/libmedlarcroft/source/adapters/http/operator_responses.h
+++ b/lib/libmedlarcroft/source/adapters/http/operator_responses.h
@@ -9,18 +9,19 @@
 #include "medlarcroft/catalogue/operator_api.h"
 
 /// @file
-/// @brief The operators' answers as HTTP.
+/// @brief Results of `OperatorApi` as HTTP responses.
 
 namespace medlarcroft::adapters {
 
-/// @brief A refusal before the operators' interface was asked.
-[[nodiscard]] HttpResponse MakeRefusal(int status, std::string_view code);
+/// @brief The response to a request that is rejected before it reaches
+/// `OperatorApi`.
+[[nodiscard]] HttpResponse MakeErrorResponse(int status, std::string_view code);
 
-[[nodiscard]] HttpResponse MakeAnswer(const catalogue::OperatorFailure&);
-[[nodiscard]] HttpResponse MakeAnswer(const catalogue::EntryAnswer&);
-[[nodiscard]] HttpResponse MakeAnswer(const catalogue::ChangeAnswer&);
-[[nodiscard]] HttpResponse MakeAnswer(const catalogue::ListAnswer&);
-[[nodiscard]] HttpResponse MakeAnswer(
+[[nodiscard]] HttpResponse MakeResponse(const catalogue::OperatorFailure&);
+[[nodiscard]] HttpResponse MakeResponse(const catalogue::EntryAnswer&);
+[[nodiscard]] HttpResponse MakeResponse(const catalogue::ChangeAnswer&);
+[[nodiscard]] HttpResponse MakeResponse(const catalogue::ListAnswer&);
+[[nodiscard]] HttpResponse MakeResponse(
     const std::vector<catalogue::HistoryItem>&);
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/http/operator_routes.cc
+++ b/lib/libmedlarcroft/source/adapters/http/operator_routes.cc
@@ -15,18 +15,18 @@
 
 constexpr std::string_view kRoot = "/v1/catalogue";
 constexpr std::string_view kHistorySuffix = "/history";
-constexpr std::size_t kDefaultHistory = 20;
-constexpr std::size_t kMaxHistory = 200;
+constexpr std::size_t kDefaultHistoryLimit = 20;
+constexpr std::size_t kMaxHistoryLimit = 200;
 
 std::optional<std::uint64_t> ParseCount(std::string_view text) {
   std::uint64_t value = 0;
   const char* end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(text.data(), end, value);
-  return error == std::errc() && stop == end ? std::optional(value)
-                                             : std::nullopt;
+  const auto [parsed_end, error] = std::from_chars(text.data(), end, value);
+  return error == std::errc() && parsed_end == end ? std::optional(value)
+                                                   : std::nullopt;
 }
 
-/// @return the version of a strong ETag such as "3" with its quotes.
+/// @return the version of a strong ETag such as "3", including its quotes.
 std::optional<std::uint64_t> ParseETag(std::string_view text) {
   if (text.size() < 3 || text.front() != '"' || text.back() != '"') {
     return std::nullopt;
@@ -34,7 +34,7 @@
   return ParseCount(text.substr(1, text.size() - 2));
 }
 
-/// @return nullopt when the headers contradict each other or make no sense.
+/// @return nullopt when the headers contradict each other or are malformed.
 std::optional<Precondition> ParsePrecondition(const HttpHeaders& headers) {
   const auto if_match = headers.Find("If-Match");
   const auto if_none_match = headers.Find("If-None-Match");
@@ -75,9 +75,10 @@
 }
 
 template <typename Value>
-HttpResponse Answer(const Result<Value, catalogue::OperatorFailure>& result) {
-  return IsOk(result) ? MakeAnswer(ValueOf(result))
-                      : MakeAnswer(ErrorOf(result));
+HttpResponse ToResponse(
+    const Result<Value, catalogue::OperatorFailure>& result) {
+  return IsOk(result) ? MakeResponse(ValueOf(result))
+                      : MakeResponse(ErrorOf(result));
 }
 
 }  // namespace
@@ -98,9 +99,9 @@
   const auto owner =
       tokens_.FindOwner(request.headers.Find("Authorization").value_or(""));
   if (!owner) {
-    HttpResponse refusal = MakeRefusal(401, "unknown-operator");
-    refusal.headers.Add("WWW-Authenticate", "Bearer");
-    return refusal;
+    HttpResponse response = MakeErrorResponse(401, "unknown-operator");
+    response.headers.Add("WWW-Authenticate", "Bearer");
+    return response;
   }
 
   return Dispatch(Resolve(request.path), request, *owner);
@@ -135,51 +136,51 @@
     }
     allowed += (allowed.empty() ? "" : ", ") + std::string(route.method);
   }
-  HttpResponse refusal = MakeRefusal(405, "method-not-allowed");
-  refusal.headers.Add("Allow", allowed);
-  return refusal;
+  HttpResponse response = MakeErrorResponse(405, "method-not-allowed");
+  response.headers.Add("Allow", allowed);
+  return response;
 }
 
 HttpResponse OperatorRoutes::List(const HttpRequest& request,
                                   const OwnerName& /*owner*/,
                                   const EntryName& /*entry*/) {
-  return MakeAnswer(api_.List(request.FindQuery("kind").value_or("")));
+  return MakeResponse(api_.List(request.FindQuery("kind").value_or("")));
 }
 
 HttpResponse OperatorRoutes::Get(const HttpRequest& /*request*/,
                                  const OwnerName& /*owner*/,
                                  const EntryName& entry) {
-  return Answer(api_.Get(entry));
+  return ToResponse(api_.Get(entry));
 }
 
 HttpResponse OperatorRoutes::Put(const HttpRequest& request,
                                  const OwnerName& owner,
                                  const EntryName& entry) {
   const auto change = ParseChange(request, owner, entry);
-  return change ? Answer(api_.Put(*change))
-                : MakeRefusal(400, "bad-precondition");
+  return change ? ToResponse(api_.Put(*change))
+                : MakeErrorResponse(400, "bad-precondition");
 }
 
 HttpResponse OperatorRoutes::Delete(const HttpRequest& request,
                                     const OwnerName& owner,
                                     const EntryName& entry) {
   const auto change = ParseChange(request, owner, entry);
-  return change ? Answer(api_.Delete(*change))
-                : MakeRefusal(400, "bad-precondition");
+  return change ? ToResponse(api_.Delete(*change))
+                : MakeErrorResponse(400, "bad-precondition");
 }
 
 HttpResponse OperatorRoutes::History(const HttpRequest& request,
                                      const OwnerName& /*owner*/,
                                      const EntryName& entry) {
-  std::size_t limit = kDefaultHistory;
+  std::size_t limit = kDefaultHistoryLimit;
   if (const auto text = request.FindQuery("limit")) {
     const auto count = ParseCount(*text);
-    if (!count || *count == 0 || *count > kMaxHistory) {
-      return MakeRefusal(400, "bad-limit");
+    if (!count || *count == 0 || *count > kMaxHistoryLimit) {
+      return MakeErrorResponse(400, "bad-limit");
     }
     limit = *count;
   }
-  return Answer(api_.History(entry, limit));
+  return ToResponse(api_.History(entry, limit));
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/http/operator_routes.h
+++ b/lib/libmedlarcroft/source/adapters/http/operator_routes.h
@@ -14,17 +14,18 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief `OperatorApi` over HTTP:
+/// @brief HTTP routes of `OperatorApi`:
 ///
-///     GET    /v1/catalogue[?kind=K]            what is in force on this host
+///     GET    /v1/catalogue[?kind=K]            entries in effect on this host
 ///     GET    /v1/catalogue/{entry}             ETag is the version
 ///     PUT    /v1/catalogue/{entry}             If-Match or If-None-Match: *
 ///     DELETE /v1/catalogue/{entry}             If-Match
 ///     GET    /v1/catalogue/{entry}/history[?limit=N]
 ///
-/// Each needs a bearer token. `Medlar-Change-Id` names a change, so that asking
-/// again settles one whose answer was lost. Refusals are problem+json with a
-/// typed code, and `Medlar-Outcome` says whether the change was made.
+/// Every route requires a bearer token. `Medlar-Change-Id` identifies a change,
+/// so that repeating the request resolves one whose response was lost. Errors
+/// are problem+json with a machine-readable code, and `Medlar-Outcome` says
+/// whether the change was made.
 class OperatorRoutes {
  public:
   struct Options {
@@ -33,27 +34,27 @@
 
   OperatorRoutes(const Options& options, catalogue::OperatorApi& api);
 
-  /// @return whether the path is one of ours.
+  /// @return whether the path belongs to these routes.
   [[nodiscard]] static bool IsMatch(std::string_view path);
-  /// @return the largest body that one of our routes takes, bytes.
+  /// @return the largest body that any of these routes accepts, bytes.
   [[nodiscard]] static constexpr std::size_t MaxBodyBytes() {
     return catalogue::kMaxEntryBytes;
   }
 
-  /// @brief Blocks on the platform: for a worker thread.
-  /// @return the answer, or nullopt when the path is not one of ours.
+  /// @brief Blocks on the platform; call it from a worker thread.
+  /// @return the response, or nullopt when the path belongs to no route.
   [[nodiscard]] std::optional<HttpResponse> Handle(const HttpRequest& request);
 
  private:
-  using Method = HttpResponse (OperatorRoutes::*)(const HttpRequest& request,
-                                                  const OwnerName& owner,
-                                                  const EntryName& entry);
+  using Handler = HttpResponse (OperatorRoutes::*)(const HttpRequest& request,
+                                                   const OwnerName& owner,
+                                                   const EntryName& entry);
   struct Route {
     std::string_view method;
-    Method handle;
+    Handler handle;
   };
 
-  /// What a path names, and what can be done with it.
+  /// The resource that a path identifies, and its routes.
   struct Resource {
     std::span<const Route> routes;
     EntryName entry;
--- a/lib/libmedlarcroft/source/adapters/http/operator_tokens.cc
+++ b/lib/libmedlarcroft/source/adapters/http/operator_tokens.cc
@@ -14,7 +14,8 @@
 OperatorTokens::OperatorTokens(const std::vector<OperatorToken>& tokens) {
   for (const OperatorToken& token : tokens) {
     if (!token.token.empty()) {
-      known_.push_back({.digest = DigestOf(token.token), .owner = token.owner});
+      stored_tokens_.push_back(
+          {.digest = DigestOf(token.token), .owner = token.owner});
     }
   }
 }
@@ -27,9 +28,10 @@
   const Digest digest = DigestOf(header.substr(kScheme.size()));
 
   std::optional<OwnerName> owner;
-  for (const Known& known : known_) {
-    if (CRYPTO_memcmp(digest.data(), known.digest.data(), digest.size()) == 0) {
-      owner = known.owner;
+  for (const StoredToken& stored : stored_tokens_) {
+    if (CRYPTO_memcmp(digest.data(), stored.digest.data(), digest.size()) ==
+        0) {
+      owner = stored.owner;
     }
   }
   return owner;
--- a/lib/libmedlarcroft/source/adapters/http/operator_tokens.h
+++ b/lib/libmedlarcroft/source/adapters/http/operator_tokens.h
@@ -11,33 +11,33 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief One operator's bearer token.
+/// @brief An operator's bearer token.
 struct OperatorToken {
   std::string token;
   OwnerName owner;
 };
 
-/// @brief Finds the owner that a bearer token stands for. Only digests are
-/// kept, and every one is compared in full, so that the time taken tells a
-/// guesser nothing about how much of a token was right.
+/// @brief Maps bearer tokens to owners. Only digests are stored, and all of
+/// them are compared in full, so that the time taken reveals nothing about how
+/// much of a guessed token was right.
 class OperatorTokens {
  public:
   explicit OperatorTokens(const std::vector<OperatorToken>& tokens);
 
-  /// @param header the Authorization field, "Bearer TOKEN".
+  /// @param header value of the Authorization field, "Bearer TOKEN".
   [[nodiscard]] std::optional<OwnerName> FindOwner(
       std::string_view header) const;
 
  private:
   using Digest = std::array<unsigned char, 32>;
-  struct Known {
+  struct StoredToken {
     Digest digest;
     OwnerName owner;
   };
 
   [[nodiscard]] static Digest DigestOf(std::string_view token);
 
-  std::vector<Known> known_;
+  std::vector<StoredToken> stored_tokens_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/http/page_table.h
+++ b/lib/libmedlarcroft/source/adapters/http/page_table.h
@@ -10,14 +10,16 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief One page of an object: its path and the method that makes it.
+/// @brief A page of an object: its path and the member function that renders
+/// it.
 template <typename Owner>
 struct Page {
   std::string_view path;
   HttpResponse (Owner::*make)(const HttpRequest&) const;
 };
 
-/// @return the page that the request names, or nullopt when there is none.
+/// @return the rendered page for the request's path, or nullopt when there is
+/// none.
 template <typename Owner>
 [[nodiscard]] std::optional<HttpResponse> ServePage(
     const Owner& owner,
--- a/tests/unit/adapters/event/event_http_client_test.cc
+++ b/tests/unit/adapters/event/event_http_client_test.cc
@@ -19,8 +19,8 @@
 constexpr std::string_view kOk =
     "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok";
 
-/// @brief Sends requests one after the other and keeps their results.
-class HttpCallerTest : public testing::Test {
+/// @brief Runs one exchange at a time and returns its result.
+class EventHttpClientTest : public testing::Test {
  protected:
   OutboundRequest MakeRequest(const ScriptedServer& server,
                               const std::string& body = "") {
@@ -29,16 +29,16 @@
     request.text = FormatRequest(body.empty() ? "GET" : "POST", "/",
                                  {{"Host", "h"}}, body);
     request.timeout = std::chrono::seconds(5);
-    request.is_matching_response = [](const HttpResponse& answer) {
-      return answer.headers.Find("Id") == "1";
+    request.is_matching_response = [](const HttpResponse& response) {
+      return response.headers.Find("Id") == "1";
     };
     return request;
   }
 
   ExchangeResult Exchange(OutboundRequest request) {
     std::optional<ExchangeResult> result;
-    caller_.Send(std::move(request), [&](ExchangeResult ended) {
-      result = std::move(ended);
+    client_.Send(std::move(request), [&](ExchangeResult completed) {
+      result = std::move(completed);
       loop_.Finish(0);
     });
     loop_.Run();
@@ -46,12 +46,12 @@
   }
 
   SystemClock clock_;
-  // One loop runs once, so each exchange of a test gets a new caller's loop.
+  // A loop runs only once; each test has its own.
   EventLoop loop_{clock_};
-  EventHttpClient caller_{loop_, {}};
+  EventHttpClient client_{loop_, {}};
 };
 
-struct AnswerCase {
+struct ResponseCase {
   std::string name;
   std::string sent;
   bool is_reset_at_end;
@@ -59,17 +59,17 @@
   std::string body;
 };
 
-class AnswerTable : public HttpCallerTest,
-                    public testing::WithParamInterface<AnswerCase> {};
+class ResponseTest : public EventHttpClientTest,
+                     public testing::WithParamInterface<ResponseCase> {};
 
-// The server sends exactly these bytes and ends the connection. A whole answer
-// reaches the caller; anything else is a failure, never part of an answer.
-TEST_P(AnswerTable, WholeOrNothing) {
+// The server sends exactly these bytes and ends the connection. The client must
+// get a complete response or a failure, never part of a response.
+TEST_P(ResponseTest, IsCompleteOrAFailure) {
   ScriptedServer server([](ScriptedConnection& connection, int) {
     connection.ReadHead();
     connection.Write(GetParam().sent);
     if (GetParam().is_reset_at_end) {
-      // What was written goes out before the reset.
+      // Lets the written bytes reach the client before the reset.
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
       connection.Reset();
     }
@@ -89,57 +89,58 @@
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    AnswerTable,
+    ResponseTest,
     testing::Values(
-        AnswerCase{"Whole", std::string(kOk), false, {}, "ok"},
-        AnswerCase{"ExtraBytesBehind",
-                   std::string(kOk) + "HTTP/1.1 200 OK",
-                   false,
-                   {},
-                   "ok"},
-        AnswerCase{
-            "InformationFirst",
+        ResponseCase{"Complete", std::string(kOk), false, {}, "ok"},
+        ResponseCase{"ExtraBytesAfterResponse",
+                     std::string(kOk) + "HTTP/1.1 200 OK",
+                     false,
+                     {},
+                     "ok"},
+        ResponseCase{
+            "InterimResponseFirst",
             "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + std::string(kOk),
             false,
             {},
             "ok"},
-        AnswerCase{"AnotherRequestsAnswerFirst",
-                   "HTTP/1.1 200 OK\r\nId: 0\r\nContent-Length: 3\r\n\r\nold" +
-                       std::string(kOk),
-                   false,
-                   {},
-                   "ok"},
-        AnswerCase{"OnlyAnotherRequestsAnswer",
-                   "HTTP/1.1 200 OK\r\nId: 0\r\nContent-Length: 3\r\n\r\nold",
-                   false, ExchangeFailure::kTruncated, ""},
-        AnswerCase{"Chunked",
-                   "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: "
-                   "chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
-                   false,
-                   {},
-                   "ok"},
-        AnswerCase{"ChunkedCut",
-                   "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: "
-                   "chunked\r\n\r\n2\r\nok\r\n",
-                   false, ExchangeFailure::kTruncated, ""},
-        AnswerCase{"UntilClose",
-                   "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nall of it",
-                   false,
-                   {},
-                   "all of it"},
-        AnswerCase{"UntilReset", "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nall of", true,
-                   ExchangeFailure::kTruncated, ""},
-        AnswerCase{"BodyCut",
-                   "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nok",
-                   false, ExchangeFailure::kTruncated, ""},
-        AnswerCase{"HeadCut", "HTTP/1.1 200 OK\r\nId", false,
-                   ExchangeFailure::kTruncated, ""},
-        AnswerCase{"NoAnswerAtAll", "", false, ExchangeFailure::kClosed, ""},
-        AnswerCase{"NoHttp", "\x01\x02garbage\r\n\r\n", false,
-                   ExchangeFailure::kMalformed, ""}),
+        ResponseCase{
+            "ResponseToAnotherRequestFirst",
+            "HTTP/1.1 200 OK\r\nId: 0\r\nContent-Length: 3\r\n\r\nold" +
+                std::string(kOk),
+            false,
+            {},
+            "ok"},
+        ResponseCase{"OnlyResponseToAnotherRequest",
+                     "HTTP/1.1 200 OK\r\nId: 0\r\nContent-Length: 3\r\n\r\nold",
+                     false, ExchangeFailure::kTruncated, ""},
+        ResponseCase{"Chunked",
+                     "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: "
+                     "chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
+                     false,
+                     {},
+                     "ok"},
+        ResponseCase{"ChunkedTruncated",
+                     "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: "
+                     "chunked\r\n\r\n2\r\nok\r\n",
+                     false, ExchangeFailure::kTruncated, ""},
+        ResponseCase{"UntilClose",
+                     "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nall of it",
+                     false,
+                     {},
+                     "all of it"},
+        ResponseCase{"UntilReset", "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nall of",
+                     true, ExchangeFailure::kTruncated, ""},
+        ResponseCase{"BodyTruncated",
+                     "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nok",
+                     false, ExchangeFailure::kTruncated, ""},
+        ResponseCase{"HeadTruncated", "HTTP/1.1 200 OK\r\nId", false,
+                     ExchangeFailure::kTruncated, ""},
+        ResponseCase{"NoResponse", "", false, ExchangeFailure::kClosed, ""},
+        ResponseCase{"NotHttp", "\x01\x02garbage\r\n\r\n", false,
+                     ExchangeFailure::kMalformed, ""}),
     [](const auto& tested) { return tested.param.name; });
 
-TEST_F(HttpCallerTest, AClosedPortIsProvedUnsent) {
+TEST_F(EventHttpClientTest, AClosedPortIsProvablyUnsent) {
   std::string address;
   {
     const ScriptedServer server([](ScriptedConnection&, int) {});
@@ -156,10 +157,10 @@
   EXPECT_TRUE(ErrorOf(result).is_proved_unsent);
 }
 
-// The server takes a second request on a kept connection and closes without a
-// byte of answer: it may have run. The request must not be sent again behind
-// the back of whoever counts sends.
-TEST_F(HttpCallerTest, ARequestOnAReusedConnectionIsSentOnce) {
+// The server reads a second request on a reused connection and closes without a
+// byte of a response, so the request may have run. The client must not resend
+// it, since that would bypass the count of attempts.
+TEST_F(EventHttpClientTest, SendsARequestOnAReusedConnectionOnce) {
   std::atomic<int> requests{0};
   ScriptedServer server([&](ScriptedConnection& connection, int) {
     connection.ReadHead();
@@ -170,9 +171,9 @@
     }
   });
   std::vector<ExchangeResult> results;
-  caller_.Send(MakeRequest(server, "a"), [&](ExchangeResult first) {
+  client_.Send(MakeRequest(server, "a"), [&](ExchangeResult first) {
     results.push_back(std::move(first));
-    caller_.Send(MakeRequest(server, "b"), [&](ExchangeResult second) {
+    client_.Send(MakeRequest(server, "b"), [&](ExchangeResult second) {
       results.push_back(std::move(second));
       loop_.Finish(0);
     });
@@ -188,33 +189,34 @@
   EXPECT_EQ(server.Connections(), 1);
 }
 
-struct KeepCase {
+struct ReuseCase {
   std::string name;
-  std::string first_answer;
-  bool is_kept;
+  std::string first_response;
+  bool is_reused;
 };
 
-class KeepTable : public HttpCallerTest,
-                  public testing::WithParamInterface<KeepCase> {};
+class ReuseTest : public EventHttpClientTest,
+                  public testing::WithParamInterface<ReuseCase> {};
 
-// Two requests follow each other. The second may use the first one's
-// connection only when nothing of the first is left on it.
-TEST_P(KeepTable, OnlyACleanConnectionIsUsedAgain) {
+// The second of two consecutive requests may reuse the first one's connection
+// only when nothing of the first is left on it.
+TEST_P(ReuseTest, ReusesOnlyACleanConnection) {
   ScriptedServer server([](ScriptedConnection& connection, int number) {
     connection.ReadHead();
-    connection.Write(number == 1 ? GetParam().first_answer : std::string(kOk));
-    if (GetParam().is_kept) {
+    connection.Write(number == 1 ? GetParam().first_response
+                                 : std::string(kOk));
+    if (GetParam().is_reused) {
       connection.ReadHead();
       connection.Write(kOk);
     }
   });
   std::optional<ExchangeResult> second;
-  caller_.Send(MakeRequest(server), [&](const ExchangeResult& first) {
+  client_.Send(MakeRequest(server), [&](const ExchangeResult& first) {
     ASSERT_TRUE(IsOk(first));
-    // Bytes that came with the answer have been seen when this runs.
+    // Bytes that came with the response have been read when this runs.
     loop_.After(std::chrono::milliseconds(30), [&] {
-      caller_.Send(MakeRequest(server), [&](ExchangeResult ended) {
-        second = std::move(ended);
+      client_.Send(MakeRequest(server), [&](ExchangeResult completed) {
+        second = std::move(completed);
         loop_.Finish(0);
       });
     });
@@ -222,28 +224,28 @@
   loop_.Run();
 
   ASSERT_TRUE(second && IsOk(*second));
-  EXPECT_EQ(server.Connections(), GetParam().is_kept ? 1 : 2);
+  EXPECT_EQ(server.Connections(), GetParam().is_reused ? 1 : 2);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    KeepTable,
+    ReuseTest,
     testing::Values(
-        KeepCase{"Clean", std::string(kOk), true},
-        KeepCase{"SecondAnswer", std::string(kOk) + std::string(kOk), false},
-        KeepCase{"Close",
-                 "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\n"
-                 "Content-Length: 0\r\n\r\n",
-                 false},
-        KeepCase{"KeptNotEvenASecond",
-                 "HTTP/1.1 200 OK\r\nId: 1\r\nKeep-Alive: timeout=0\r\n"
-                 "Content-Length: 0\r\n\r\n",
-                 false}),
+        ReuseCase{"Clean", std::string(kOk), true},
+        ReuseCase{"SecondResponse", std::string(kOk) + std::string(kOk), false},
+        ReuseCase{"ConnectionClose",
+                  "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\n"
+                  "Content-Length: 0\r\n\r\n",
+                  false},
+        ReuseCase{"KeepAliveTimeoutZero",
+                  "HTTP/1.1 200 OK\r\nId: 1\r\nKeep-Alive: timeout=0\r\n"
+                  "Content-Length: 0\r\n\r\n",
+                  false}),
     [](const auto& tested) { return tested.param.name; });
 
-// The server answers before it has read a long body. The rest of that body is
-// still due on the connection, so nothing else may be sent on it.
-TEST_F(HttpCallerTest, AnAnswerBeforeTheBodyWasReadEndsTheConnection) {
+// The server responds before it has read a long body. The rest of that body is
+// still due on the connection, so it must not be reused.
+TEST_F(EventHttpClientTest, AnEarlyResponseEndsTheConnection) {
   ScriptedServer server([](ScriptedConnection& connection, int) {
     connection.ReadHead();
     connection.Write(kOk);
@@ -253,10 +255,10 @@
       Exchange(MakeRequest(server, std::string(std::size_t{32} << 20U, 'x')));
 
   EXPECT_TRUE(IsOk(result));
-  EXPECT_EQ(caller_.IdleConnections(), 0U);
+  EXPECT_EQ(client_.IdleConnections(), 0U);
 }
 
-TEST_F(HttpCallerTest, ASilentServerTimesOut) {
+TEST_F(EventHttpClientTest, AnUnresponsiveServerTimesOut) {
   ScriptedServer server([](ScriptedConnection& connection, int) {
     connection.ReadHead();
     connection.WaitForClose();
@@ -270,7 +272,7 @@
   EXPECT_EQ(ErrorOf(result).failure, ExchangeFailure::kTimedOut);
 }
 
-TEST_F(HttpCallerTest, ACancelledExchangeClosesItsConnectionAndSaysNothing) {
+TEST_F(EventHttpClientTest, CancelClosesTheConnectionWithoutACallback) {
   std::atomic<bool> has_closed{false};
   bool was_called = false;
   {
@@ -278,10 +280,10 @@
       connection.ReadHead();
       has_closed = connection.WaitForClose();
     });
-    const ExchangeId exchange = caller_.Send(
+    const ExchangeId exchange = client_.Send(
         MakeRequest(server), [&](const ExchangeResult&) { was_called = true; });
     loop_.After(std::chrono::milliseconds(50),
-                [&, exchange] { caller_.Cancel(exchange); });
+                [&, exchange] { client_.Cancel(exchange); });
     loop_.After(std::chrono::milliseconds(60), [&] { loop_.Finish(0); });
     loop_.Run();
   }
--- a/tests/unit/adapters/event/http_listener_test.cc
+++ b/tests/unit/adapters/event/http_listener_test.cc
@@ -21,17 +21,17 @@
 
 using fakes::ScriptedConnection;
 
-/// @brief Keeps every call; a test answers it.
-class KeepCalls final : public HttpRequestHandler {
+/// @brief Records every request and answers it at once, except for "/hang".
+class RecordingHandler final : public HttpRequestHandler {
  public:
   void OnRequest(HttpRequest request,
                  const std::shared_ptr<HttpExchange>& exchange) override {
     if (request.raw_target == "/hang") {
       exchange->OnCallerGone([this] {
-        has_left = true;
-        on_left();
+        has_disconnected = true;
+        on_disconnected();
       });
-      hanging = exchange;
+      pending_exchange = exchange;
     } else {
       exchange->Respond({.status = 200, .body = request.raw_target});
     }
@@ -39,9 +39,9 @@
   }
 
   std::vector<HttpRequest> requests;
-  std::shared_ptr<HttpExchange> hanging;
-  bool has_left = false;
-  std::function<void()> on_left = [] {};
+  std::shared_ptr<HttpExchange> pending_exchange;
+  bool has_disconnected = false;
+  std::function<void()> on_disconnected = [] {};
 };
 
 class HttpListenerTest : public testing::Test {
@@ -50,9 +50,9 @@
     listener_ = TakeValue(HttpListener::Open(loop_, "127.0.0.1:0", handler_));
   }
 
-  /// Runs the loop while a caller does what `script` says.
+  /// Runs the loop while a client thread runs `script`.
   void RunWith(std::function<void(ScriptedConnection&)> script) {
-    std::thread caller([this, script = std::move(script)] {
+    std::thread client([this, script = std::move(script)] {
       const auto address =
           ParseSocketAddress("127.0.0.1:" + std::to_string(listener_->Port()));
       const int descriptor = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -69,43 +69,43 @@
       }
     });
     loop_.Run();
-    caller.join();
+    client.join();
   }
 
   SystemClock clock_;
   EventLoop loop_{clock_};
-  KeepCalls handler_;
+  RecordingHandler handler_;
   std::unique_ptr<HttpListener> listener_;
   std::atomic<bool> is_done_{false};
 };
 
-TEST_F(HttpListenerTest, TheTargetReachesTheHandlerUnchanged) {
-  std::string answer;
+TEST_F(HttpListenerTest, PassesTheRequestTargetUnchanged) {
+  std::string response;
   RunWith([&](ScriptedConnection& connection) {
     connection.Write("GET /a%2Fb/../c?d=%20&e HTTP/1.1\r\nHost: h\r\n\r\n");
     connection.ReadHead();
-    answer = connection.ReadUntil("&e");
+    response = connection.ReadUntil("&e");
   });
-  EXPECT_EQ(answer, "/a%2Fb/../c?d=%20&e");
+  EXPECT_EQ(response, "/a%2Fb/../c?d=%20&e");
 }
 
-TEST_F(HttpListenerTest, RequestsSentAheadAreAnsweredInTheirOrder) {
-  std::string answers;
+TEST_F(HttpListenerTest, AnswersPipelinedRequestsInOrder) {
+  std::string responses;
   RunWith([&](ScriptedConnection& connection) {
     connection.Write(
         "GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n"
         "GET /3 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-    answers = connection.ReadUntil("never");
+    responses = connection.ReadUntil("never");
   });
-  const std::size_t first = answers.find("/1");
-  const std::size_t second = answers.find("/2");
-  const std::size_t third = answers.find("/3");
+  const std::size_t first = responses.find("/1");
+  const std::size_t second = responses.find("/2");
+  const std::size_t third = responses.find("/3");
   EXPECT_LT(first, second);
   EXPECT_LT(second, third);
   EXPECT_NE(third, std::string::npos);
 }
 
-TEST_F(HttpListenerTest, ABodyMayComeInChunks) {
+TEST_F(HttpListenerTest, AcceptsAChunkedBody) {
   RunWith([&](ScriptedConnection& connection) {
     connection.Write(
         "POST /p HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -117,7 +117,7 @@
   EXPECT_EQ(handler_.requests[0].body, "abcde");
 }
 
-TEST_F(HttpListenerTest, ACallerThatWaitsForItIsAskedForItsBody) {
+TEST_F(HttpListenerTest, SendsContinueToAClientThatExpectsIt) {
   std::string first;
   RunWith([&](ScriptedConnection& connection) {
     connection.Write(
@@ -131,18 +131,18 @@
   EXPECT_EQ(handler_.requests.at(0).body, "ab");
 }
 
-// The caller leaves while its request waits: whoever works on it must hear of
-// it at once, not when the answer is due.
-TEST_F(HttpListenerTest, ACallerThatLeavesIsHeardOf) {
+// A client disconnects while its request is pending. The handler must learn of
+// it at once, not when the response is due.
+TEST_F(HttpListenerTest, ReportsAClientThatDisconnects) {
   RunWith([&](ScriptedConnection& connection) {
     connection.Write("GET /hang HTTP/1.1\r\nHost: h\r\n\r\n");
     std::this_thread::sleep_for(std::chrono::milliseconds(30));
     connection.Close();
     std::this_thread::sleep_for(std::chrono::milliseconds(30));
   });
-  EXPECT_TRUE(handler_.has_left);
-  // An answer that comes now reaches nobody, and harms nothing.
-  handler_.hanging->Respond({.status = 200});
+  EXPECT_TRUE(handler_.has_disconnected);
+  // A response after the disconnect reaches nobody and does no harm.
+  handler_.pending_exchange->Respond({.status = 200});
 }
 
 struct BadRequestCase {
@@ -151,27 +151,27 @@
   std::string status;
 };
 
-class BadRequestTable : public HttpListenerTest,
-                        public testing::WithParamInterface<BadRequestCase> {};
+class BadRequestTest : public HttpListenerTest,
+                       public testing::WithParamInterface<BadRequestCase> {};
 
-TEST_P(BadRequestTable, GetsItsStatusAndTheConnectionEnds) {
+TEST_P(BadRequestTest, GetsItsStatusAndTheConnectionCloses) {
   listener_->SetLimits({.max_header_bytes = 200,
                         .max_body_bytes = 10,
                         .header_timeout = std::chrono::milliseconds(50)});
-  std::string answer;
+  std::string response;
   RunWith([&](ScriptedConnection& connection) {
     connection.Write(GetParam().sent);
-    answer = connection.ReadUntil("never");
+    response = connection.ReadUntil("never");
   });
-  EXPECT_EQ(answer.substr(0, 12), "HTTP/1.1 " + GetParam().status);
+  EXPECT_EQ(response.substr(0, 12), "HTTP/1.1 " + GetParam().status);
   EXPECT_TRUE(handler_.requests.empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    BadRequestTable,
+    BadRequestTest,
     testing::Values(
-        BadRequestCase{"NoHttp", "\x16\x03\x01 hello\r\n\r\n", "400"},
+        BadRequestCase{"NotHttp", "\x16\x03\x01 hello\r\n\r\n", "400"},
         BadRequestCase{"HeadTooLong",
                        "GET / HTTP/1.1\r\nHost: h\r\nX: " +
                            std::string(300, 'x') + "\r\n\r\n",
@@ -180,31 +180,31 @@
                        "POST / HTTP/1.1\r\nHost: h\r\n"
                        "Content-Length: 11\r\n\r\n",
                        "413"},
-        BadRequestCase{"TwoLengths",
+        BadRequestCase{"ContentLengthAndChunked",
                        "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n"
                        "Transfer-Encoding: chunked\r\n\r\n",
                        "400"},
-        BadRequestCase{"HeadNeverEnds", "GET / HTTP/1.1\r\nHost:", "408"}),
+        BadRequestCase{"HeadIncomplete", "GET / HTTP/1.1\r\nHost:", "408"}),
     [](const auto& tested) { return tested.param.name; });
 
-// The host is to stop while a request is under way on a kept connection: it is
-// answered whole, and told to close.
-TEST_F(HttpListenerTest, ADrainingListenerAnswersAndAsksToClose) {
-  std::string answer;
+// The host shuts down while a request is in progress on a keep-alive
+// connection: the client gets the complete response and `Connection: close`.
+TEST_F(HttpListenerTest, DrainingCompletesAResponseAndClosesTheConnection) {
+  std::string response;
   loop_.Every(std::chrono::milliseconds(5), [this] {
-    if (handler_.hanging) {
+    if (handler_.pending_exchange) {
       listener_->StartDraining();
       listener_->StopAccepting();
-      handler_.hanging->Respond({.status = 200, .body = "whole"});
-      handler_.hanging.reset();
+      handler_.pending_exchange->Respond({.status = 200, .body = "whole"});
+      handler_.pending_exchange.reset();
     }
   });
   RunWith([&](ScriptedConnection& connection) {
     connection.Write("GET /hang HTTP/1.1\r\nHost: h\r\n\r\n");
-    answer = connection.ReadUntil("never");
+    response = connection.ReadUntil("never");
   });
-  EXPECT_NE(answer.find("Connection: close"), std::string::npos);
-  EXPECT_TRUE(answer.ends_with("whole"));
+  EXPECT_NE(response.find("Connection: close"), std::string::npos);
+  EXPECT_TRUE(response.ends_with("whole"));
 }
 
 }  // namespace
--- a/tests/unit/adapters/http/operator_routes_test.cc
+++ b/tests/unit/adapters/http/operator_routes_test.cc
@@ -55,19 +55,19 @@
   catalogue::CatalogueReplica replica_{{}, platform_.clock};
   catalogue::OperatorApi api_{
       {.store = store_, .replica = replica_, .make_change_id = [this] {
-         return "made-up-" + std::to_string(++made_ids_);
+         return "generated-" + std::to_string(++generated_ids_);
        }}};
   OperatorRoutes routes_{
       {.tokens = {{.token = "secret-1", .owner = OwnerName("ops")},
                   {.token = "secret-2", .owner = OwnerName("other")}}},
       api_};
-  int made_ids_ = 0;
+  int generated_ids_ = 0;
 };
 
 TEST_F(OperatorRoutesTest, CreatesReadsChangesAndDeletes) {
   const HttpResponse created = Create();
   const HttpResponse read = Send("GET", kDomainPath);
-  // What was read can be sent back as it is.
+  // A document that was read can be sent back unchanged.
   const HttpResponse changed =
       Send("PUT", kDomainPath, {{"If-Match", "\"1\""}}, read.body);
   const HttpResponse deleted =
@@ -75,7 +75,7 @@
 
   EXPECT_EQ(created.status, 201);
   EXPECT_EQ(HeaderOf(created, "ETag"), "\"1\"");
-  EXPECT_EQ(HeaderOf(created, "Medlar-Change-Id"), "made-up-1");
+  EXPECT_EQ(HeaderOf(created, "Medlar-Change-Id"), "generated-1");
   EXPECT_EQ(HeaderOf(created, "Medlar-Outcome"), "ran");
   EXPECT_EQ(read.status, 200);
   EXPECT_EQ(HeaderOf(read, "ETag"), "\"1\"");
@@ -91,7 +91,7 @@
   EXPECT_EQ(json::parse(history.body)["changes"][0]["is_deletion"], true);
 }
 
-struct Refusal {
+struct ErrorCase {
   std::string name;
   std::string method;
   std::string path;
@@ -101,32 +101,32 @@
   std::string code;
 };
 
-void PrintTo(const Refusal& refusal, std::ostream* out) {
-  *out << refusal.name;
+void PrintTo(const ErrorCase& error_case, std::ostream* out) {
+  *out << error_case.name;
 }
 
-class Refusals : public OperatorRoutesTest,
-                 public testing::WithParamInterface<Refusal> {};
+class ErrorResponses : public OperatorRoutesTest,
+                       public testing::WithParamInterface<ErrorCase> {};
 
-TEST_P(Refusals, AreTypedAndChangeNothing) {
+TEST_P(ErrorResponses, HaveACodeAndChangeNothing) {
   ASSERT_EQ(Create().status, 201);
-  const Refusal& tried = GetParam();
+  const ErrorCase& error_case = GetParam();
 
-  const HttpResponse response =
-      Send(tried.method, tried.path, tried.headers, tried.body);
+  const HttpResponse response = Send(error_case.method, error_case.path,
+                                     error_case.headers, error_case.body);
 
-  EXPECT_EQ(response.status, tried.status);
-  EXPECT_EQ(CodeOf(response), tried.code);
+  EXPECT_EQ(response.status, error_case.status);
+  EXPECT_EQ(CodeOf(response), error_case.code);
   EXPECT_EQ(HeaderOf(response, "Content-Type"), "application/problem+json");
   EXPECT_EQ(HeaderOf(response, "Medlar-Outcome"), "not-run");
   EXPECT_EQ(HeaderOf(Send("GET", kDomainPath), "ETag"), "\"1\"");
 }
 
-std::vector<Refusal> RefusalTable() {
+std::vector<ErrorCase> ErrorCases() {
   const std::string path(kDomainPath);
   const std::string body(kDomain);
   return {
-      {"Race",
+      {"StaleVersion",
        "PUT",
        path,
        {{"If-Match", "\"7\""}},
@@ -141,7 +141,13 @@
        412,
        "version-conflict"},
       {"NoPrecondition", "PUT", path, {}, body, 428, "precondition-required"},
-      {"DeleteWithout", "DELETE", path, {}, "", 428, "precondition-required"},
+      {"DeleteWithoutPrecondition",
+       "DELETE",
+       path,
+       {},
+       "",
+       428,
+       "precondition-required"},
       {"WeakTag",
        "PUT",
        path,
@@ -156,7 +162,7 @@
        body,
        400,
        "bad-precondition"},
-      {"VersionNought",
+      {"VersionZero",
        "PUT",
        path,
        {{"If-Match", "\"0\""}},
@@ -177,7 +183,7 @@
        "seats: 3",
        422,
        "invalid-entry"},
-      {"OtherName",
+      {"EntryNameMismatch",
        "PUT",
        path,
        {{"If-Match", "\"1\""}},
@@ -193,7 +199,13 @@
        body,
        400,
        "bad-change-id"},
-      {"Absent", "GET", "/v1/catalogue/none", {}, "", 404, "no-such-entry"},
+      {"UnknownEntry",
+       "GET",
+       "/v1/catalogue/none",
+       {},
+       "",
+       404,
+       "no-such-entry"},
       {"NoHistory",
        "GET",
        "/v1/catalogue/none/history",
@@ -207,13 +219,13 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Table,
-                         Refusals,
-                         testing::ValuesIn(RefusalTable()),
+                         ErrorResponses,
+                         testing::ValuesIn(ErrorCases()),
                          [](const auto& tested) { return tested.param.name; });
 
-// Two operators read version 1 and both write. The one who comes second is
-// refused and shown what is there now, so that nothing is overwritten unseen.
-TEST_F(OperatorRoutesTest, ARaceShowsTheCurrentEntry) {
+// Two operators read version 1 and both write. The second is rejected and gets
+// the current entry, so that no change is overwritten unnoticed.
+TEST_F(OperatorRoutesTest, AVersionConflictReturnsTheCurrentEntry) {
   Create();
   Send("PUT", kDomainPath, {{"If-Match", "\"1\""}}, kDomain);
 
@@ -246,7 +258,7 @@
   EXPECT_EQ(Send("GET", kDomainPath).status, 200);
 }
 
-TEST_F(OperatorRoutesTest, UnknownTokensAreRefused) {
+TEST_F(OperatorRoutesTest, RejectsUnknownTokens) {
   for (const std::string token : {"", "secret", "secret-11", "SECRET-1"}) {
     token_ = token;
     const HttpResponse response = Send("GET", "/v1/catalogue");
@@ -257,12 +269,12 @@
   EXPECT_EQ(bare.status, 401);
 }
 
-TEST_F(OperatorRoutesTest, LeavesOtherPathsAlone) {
+TEST_F(OperatorRoutesTest, IgnoresOtherPaths) {
   EXPECT_FALSE(routes_.Handle({.method = "GET", .path = "/v1/status"}));
   EXPECT_FALSE(routes_.Handle({.method = "GET", .path = "/v1/catalogues"}));
 }
 
-TEST_F(OperatorRoutesTest, FaultsAreListedWithTheirPaths) {
+TEST_F(OperatorRoutesTest, ListsInvalidFieldsWithTheirPaths) {
   const HttpResponse response =
       Send("PUT", kDomainPath, {{"If-None-Match", "*"}},
            R"({"kind":"failure-domain","region":"r","seats":0})");
@@ -275,10 +287,10 @@
   EXPECT_EQ(faults[1]["code"], "out-of-range");
 }
 
-// The commit's answer is lost and nothing can be read. The operator gets 504
-// with the change's id and must not read "not run" in it; with that id, asking
-// again finds the change made, once.
-TEST_F(OperatorRoutesTest, AnUnknownOutcomeIsSettledWithItsId) {
+// The response to the commit is lost and nothing can be read. The operator gets
+// 504 with the change's id, which must not claim "not run"; a retry with that
+// id finds the change made, exactly once.
+TEST_F(OperatorRoutesTest, RepeatingAChangeIdResolvesAnUnknownOutcome) {
   platform_.table.FailNextCommits({CommitFault::kResponseLost});
   platform_.table.SetBeforeCommit(
       [this] { platform_.table.SetReadsFailing(true); });
@@ -299,9 +311,10 @@
   EXPECT_EQ(json::parse(settled.body)["version"], 1);
 }
 
-// The platform is down: changes are refused with proof and a hint to retry,
-// and reads show what is in force here, marked as such.
-TEST_F(OperatorRoutesTest, ADownPlatformLeavesReads) {
+// While the platform is down, changes are rejected as certainly not run, with a
+// hint to retry, and reads return the entries in effect on this host, marked as
+// such.
+TEST_F(OperatorRoutesTest, ReadsWorkWhileThePlatformIsDown) {
   Create();
   catalogue::CatalogueReader reader(platform_.table, platform_.objects);
   (void)replica_.Apply(ValueOf(reader.ReadChanges(0)),
@@ -323,8 +336,8 @@
   EXPECT_EQ(json::parse(list.body)["entries"][0]["entry"], "domain.a");
 }
 
-// The host holds revision 5, the platform has lost all after 1.
-TEST_F(OperatorRoutesTest, APlatformThatLostRevisionsIsNamed) {
+// The host holds revision 5; the platform has lost all revisions after 1.
+TEST_F(OperatorRoutesTest, ReportsAPlatformThatLostRevisions) {
   Create();
   (void)replica_.Apply({.to_revision = 5, .is_snapshot = true},
                        RevisionSource::kPeer);
