--- a/lib/libmedlarcroft/source/adapters/process/common_settings.h
+++ b/lib/libmedlarcroft/source/adapters/process/common_settings.h
@@ -9,37 +9,40 @@
 #include "adapters/process/text_rules.h"
 
 /// @file
-/// @brief Settings that both daemons have.
+/// @brief Settings that the daemons share.
 
 namespace medlarcroft::adapters {
 
-/// @brief From which level on events are logged.
+/// @brief Minimum severity of the events that are logged.
 enum class LogLevel { kDebug, kInfo, kWarning, kError };
 
 constexpr std::array<std::string_view, 4> kLogLevelNames = {"debug", "info",
                                                             "warning", "error"};
 
-/// @brief Files of a listener's TLS material, PEM; both empty: plain.
+/// @brief PEM files of a listener's TLS certificate and key. When both are
+/// empty, the listener does not use TLS.
 struct TlsSettings {
   std::string certificate;
   std::string key;
 };
 
-/// @brief How a planned stop goes.
+/// @brief Timing of a graceful shutdown.
 struct DrainSettings {
-  /// Between saying "leaving" and closing the listeners; longer than the
-  /// longest TTL of a look-up, so that callers have dropped cached answers.
+  /// Delay between announcing the shutdown and closing the listeners. Longer
+  /// than the longest lookup TTL, so that callers have dropped cached answers
+  /// that name this host.
   Duration pause = std::chrono::seconds(12);
-  /// Of the whole stop; what is in flight then is cut and counted.
+  /// Maximum duration of the whole shutdown. Requests still in flight then are
+  /// aborted and counted.
   Duration limit = std::chrono::seconds(60);
 };
 
-/// @brief Where logs and traces go.
+/// @brief Destinations and levels of logs and traces.
 struct TelemetrySettings {
   LogLevel log_level = LogLevel::kInfo;
-  std::string log_config;       ///< log4cplus properties; empty: stderr.
-  std::string trace_file;       ///< OTLP JSON lines; empty: no traces.
-  double trace_sampling = 0.0;  ///< Share of the traces begun here.
+  std::string log_config;       ///< log4cplus properties file; empty: stderr.
+  std::string trace_file;       ///< OTLP JSON lines; empty: no tracing.
+  double trace_sampling = 0.0;  ///< Fraction of the traces that start here.
 };
 
 inline SettingsSchema<TlsSettings> MakeTlsSchema() {
@@ -57,15 +60,17 @@
 inline SettingsSchema<DrainSettings> MakeDrainSchema() {
   SettingsSchema<DrainSettings> schema;
   schema
-      .Milliseconds("pause_ms", &DrainSettings::pause, {0, 600'000},
-                    {.description =
-                         "time for callers to drop cached look-ups before the "
-                         "listeners close; longer than the longest look-up TTL",
-                     .is_reloadable = true})
+      .Milliseconds(
+          "pause_ms", &DrainSettings::pause, {0, 600'000},
+          {.description =
+               "delay before the listeners close, so that callers drop cached "
+               "lookups; must exceed the longest lookup TTL",
+           .is_reloadable = true})
       .Milliseconds(
           "limit_ms", &DrainSettings::limit, {100, 86'400'000},
-          {.description = "longest duration of a stop; what is in flight then "
-                          "is cut and counted",
+          {.description =
+               "maximum duration of a shutdown; requests still in flight then "
+               "are aborted and counted",
            .is_reloadable = true});
   return schema;
 }
@@ -75,38 +80,42 @@
   schema
       .Choice("log_level", &TelemetrySettings::log_level,
               std::span<const std::string_view>(kLogLevelNames),
-              {.description = "events below this level are dropped",
+              {.description = "minimum level of logged events",
                .is_reloadable = true})
-      .Text("log_config", &TelemetrySettings::log_config, kFilePath,
-            {.description = "log4cplus properties file in place of stderr"})
+      .Text(
+          "log_config", &TelemetrySettings::log_config, kFilePath,
+          {.description = "log4cplus properties file; none: logs go to stderr"})
       .Text("trace_file", &TelemetrySettings::trace_file, kFilePath,
-            {.description = "file that gets spans as OTLP JSON lines, or "
-                            "`stderr`; none: no traces are kept"})
+            {.description = "file that spans are appended to as OTLP JSON "
+                            "lines, or `stderr`; none: tracing is off"})
       .Real("trace_sampling", &TelemetrySettings::trace_sampling, {0.0, 1.0},
-            {.description = "share of the traces begun here that is kept; a "
-                            "caller's own decision goes first",
+            {.description =
+                 "fraction of the traces started here that is "
+                 "sampled; a caller's sampling decision takes precedence",
              .is_reloadable = true});
   return schema;
 }
 
-/// @brief Declares who and where the host is.
+/// @brief Declares the settings that identify and locate the host.
 template <typename Settings>
 void AddHostFields(SettingsSchema<Settings>& schema) {
   schema
       .Text("host", &Settings::host, kSettingName,
-            {.description = "name of this host, unique", .is_required = true})
-      .Text("failure_domain", &Settings::failure_domain, kSettingName,
-            {.description = "place of this host", .is_required = true});
+            {.description = "unique name of this host", .is_required = true})
+      .Text(
+          "failure_domain", &Settings::failure_domain, kSettingName,
+          {.description = "failure domain of this host", .is_required = true});
 }
 
-/// @brief Declares what both daemons do beside their job.
+/// @brief Declares the telemetry and shutdown settings of both daemons.
 template <typename Settings>
 void AddOperationFields(SettingsSchema<Settings>& schema) {
   schema
       .Group("telemetry", &Settings::telemetry, MakeTelemetrySchema(),
              {.description = "logs and traces", .is_reloadable = true})
       .Group("drain", &Settings::drain, MakeDrainSchema(),
-             {.description = "how a planned stop goes", .is_reloadable = true});
+             {.description = "timing of a graceful shutdown",
+              .is_reloadable = true});
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/process/daemon_loop.cc
+++ b/lib/libmedlarcroft/source/adapters/process/daemon_loop.cc
@@ -21,7 +21,7 @@
                         static_cast<suseconds_t>(micros % 1'000'000));
 }
 
-/// @brief Runs its task whenever the reactor's timer fires.
+/// @brief Runs a task each time the reactor's timer fires.
 class PeriodicTask final : public ACE_Event_Handler {
  public:
   PeriodicTask(ACE_Reactor& reactor, std::function<void()> task)
@@ -39,17 +39,17 @@
 
 }  // namespace
 
-class DaemonLoop::Engine {
+class DaemonLoop::Impl {
  public:
-  Engine() : reactor_(new ACE_Dev_Poll_Reactor(), true) {}
+  Impl() : reactor_(new ACE_Dev_Poll_Reactor(), true) {}
 
-  ~Engine() {
+  ~Impl() {
     for (const auto& task : tasks_) {
       reactor_.cancel_timer(task.get());
     }
   }
-  Engine(const Engine&) = delete;
-  Engine& operator=(const Engine&) = delete;
+  Impl(const Impl&) = delete;
+  Impl& operator=(const Impl&) = delete;
 
   void Every(Duration period, std::function<void()> task) {
     tasks_.push_back(std::make_unique<PeriodicTask>(reactor_, std::move(task)));
@@ -61,8 +61,8 @@
     signals.Unblock();
     reactor_.owner(ACE_Thread::self());
     while (!is_finished_) {
-      // A signal interrupts the wait; one that comes just before it is seen
-      // when this short wait ends.
+      // A signal interrupts the wait. One that arrives just before the wait
+      // begins is handled when this short timeout (0.1 s) expires.
       ACE_Time_Value wait(0, 100'000);
       reactor_.handle_events(wait);
       signals.DispatchPending();
@@ -84,28 +84,28 @@
   int exit_code_ = 0;
 };
 
-DaemonLoop::DaemonLoop() : engine_(std::make_unique<Engine>()) {}
+DaemonLoop::DaemonLoop() : impl_(std::make_unique<Impl>()) {}
 
 DaemonLoop::~DaemonLoop() = default;
 
 void DaemonLoop::Every(Duration period, std::function<void()> task) {
-  engine_->Every(period, std::move(task));
+  impl_->Every(period, std::move(task));
 }
 
 void DaemonLoop::OnTerminate(std::function<void(int count)> task) {
-  engine_->signals.on_terminate = std::move(task);
+  impl_->signals.on_terminate = std::move(task);
 }
 
 void DaemonLoop::OnReload(std::function<void()> task) {
-  engine_->signals.on_reload = std::move(task);
+  impl_->signals.on_reload = std::move(task);
 }
 
 int DaemonLoop::Run() {
-  return engine_->Run();
+  return impl_->Run();
 }
 
 void DaemonLoop::Finish(int exit_code) {
-  engine_->Finish(exit_code);
+  impl_->Finish(exit_code);
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/process/daemon_loop.h
+++ b/lib/libmedlarcroft/source/adapters/process/daemon_loop.h
@@ -18,24 +18,26 @@
   DaemonLoop(const DaemonLoop&) = delete;
   DaemonLoop& operator=(const DaemonLoop&) = delete;
 
-  /// @brief Runs `task` once a `period`, first after one period.
+  /// @brief Runs `task` every `period`; the first run is one period from now.
   void Every(Duration period, std::function<void()> task);
 
-  /// @brief Runs `task` at each SIGTERM or SIGINT with how many came so far.
+  /// @brief Runs `task` on SIGTERM or SIGINT, with the number of such signals
+  /// received so far.
   void OnTerminate(std::function<void(int count)> task);
 
-  /// @brief Runs `task` at each SIGHUP.
+  /// @brief Runs `task` on SIGHUP.
   void OnReload(std::function<void()> task);
 
-  /// @return the code given to `Finish`.
+  /// @brief Runs the loop until `Finish` is called.
+  /// @return the exit code passed to `Finish`.
   int Run();
 
-  /// @brief Ends `Run` after the current callback.
+  /// @brief Makes `Run` return after the current loop iteration.
   void Finish(int exit_code);
 
  private:
-  class Engine;
-  std::unique_ptr<Engine> engine_;
+  class Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/process/daemon_main.h
+++ b/lib/libmedlarcroft/source/adapters/process/daemon_main.h
@@ -15,11 +15,12 @@
 
 namespace medlarcroft::adapters {
 
-/// How often a node looks after its timers; a stop and a lease are seen within
-/// this time.
+/// Interval between calls of a node's `Tick`. A stop request or an expired
+/// lease is noticed within this time.
 inline constexpr Duration kTickPeriod = std::chrono::milliseconds(200);
 
-/// @brief Runs one node until it was stopped.
+/// @brief Runs a daemon's node until it has stopped.
+/// @return the exit status of the process.
 template <typename Node, typename Settings>
 int RunNode(const ProgramIdentity& identity,
             const SettingsSchema<Settings>& schema,
@@ -52,13 +53,13 @@
     node->RequestStop(count);
   });
   loop.OnReload([&] {
-    const auto again = LoadSettings(schema, start.settings_file);
-    if (!IsOk(again)) {
-      PrintSettingsErrors(ErrorOf(again), std::cerr);
+    const auto reloaded = LoadSettings(schema, start.settings_file);
+    if (!IsOk(reloaded)) {
+      PrintSettingsErrors(ErrorOf(reloaded), std::cerr);
       Log(LogLevel::kError, "settings-refused");
       return;
     }
-    node->Reload(ValueOf(again));
+    node->Reload(ValueOf(reloaded));
     Log(LogLevel::kInfo, "settings-reloaded");
   });
   const int status = loop.Run();
@@ -66,7 +67,9 @@
   return status;
 }
 
-/// @brief A daemon's whole main: command line, settings, node, loop.
+/// @brief Implements a daemon's `main`: parses the command line, loads the
+/// settings and runs the node.
+/// @return the exit status of the process.
 template <typename Node, typename Settings>
 int RunDaemonProgram(const ProgramIdentity& identity,
                      const SettingsSchema<Settings>& schema,
--- a/lib/libmedlarcroft/source/adapters/process/daemon_signals.cc
+++ b/lib/libmedlarcroft/source/adapters/process/daemon_signals.cc
@@ -24,26 +24,27 @@
 }  // namespace
 
 void BlockDaemonSignals() {
-  // The library reports each interrupted wait as an error on its own log.
+  // ACE would log each wait interrupted by a signal as an error on stderr.
   ACE_Log_Msg::instance()->clr_flags(ACE_Log_Msg::STDERR);
   ACE_Sig_Set signals = HandledSignals();
   ACE_OS::thr_sigsetmask(SIG_BLOCK, signals, nullptr);
-  // A caller that closes its connection while it is written to must not end
-  // the process.
+  // Writing to a connection that the peer has closed raises SIGPIPE, which
+  // would terminate the process.
   const ACE_Sig_Action ignore(static_cast<ACE_SignalHandler>(SIG_IGN), SIGPIPE);
 }
 
-/// @brief Counts signals. It runs in signal context, so it does nothing else.
-class DaemonSignals::Counter final : public ACE_Event_Handler {
+/// @brief Counts signals. `handle_signal` runs in signal context, so it does
+/// nothing but increment an atomic counter.
+class DaemonSignals::SignalCounter final : public ACE_Event_Handler {
  public:
-  Counter() {
+  SignalCounter() {
     for (const int signal : {SIGTERM, SIGINT, SIGHUP}) {
-      library_handler_.register_handler(signal, this);
+      signal_registry_.register_handler(signal, this);
     }
   }
-  ~Counter() override {
+  ~SignalCounter() override {
     for (const int signal : {SIGTERM, SIGINT, SIGHUP}) {
-      library_handler_.remove_handler(signal);
+      signal_registry_.remove_handler(signal);
     }
   }
 
@@ -56,12 +57,12 @@
   int Terminations() const { return terminations_; }
 
  private:
-  ACE_Sig_Handler library_handler_;
+  ACE_Sig_Handler signal_registry_;
   std::atomic<int> reloads_{0};
   std::atomic<int> terminations_{0};
 };
 
-DaemonSignals::DaemonSignals() : counter_(std::make_unique<Counter>()) {}
+DaemonSignals::DaemonSignals() : counter_(std::make_unique<SignalCounter>()) {}
 
 DaemonSignals::~DaemonSignals() = default;
 
@@ -75,8 +76,8 @@
     on_reload();
   }
   const int terminations = counter_->Terminations();
-  if (terminations != served_terminations_) {
-    served_terminations_ = terminations;
+  if (terminations != reported_terminations_) {
+    reported_terminations_ = terminations;
     on_terminate(terminations);
   }
 }
--- a/lib/libmedlarcroft/source/adapters/process/daemon_signals.h
+++ b/lib/libmedlarcroft/source/adapters/process/daemon_signals.h
@@ -6,13 +6,14 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Blocks the signals that `DaemonSignals` handles in the calling thread
-/// and those it starts later. Call it first in main: a signal taken by a worker
-/// thread would not wake the loop.
+/// @brief Blocks the signals that `DaemonSignals` handles, in the calling
+/// thread and in all threads it starts later. Must be called first in `main`: a
+/// signal delivered to a worker thread would not wake the main loop. Also
+/// ignores SIGPIPE.
 void BlockDaemonSignals();
 
-/// @brief SIGTERM, SIGINT and SIGHUP of a process, counted when they come and
-/// served by its loop.
+/// @brief Handles SIGTERM, SIGINT and SIGHUP: the signal handler only counts
+/// them, and the main loop dispatches them to callbacks.
 class DaemonSignals {
  public:
   DaemonSignals();
@@ -20,19 +21,20 @@
   DaemonSignals(const DaemonSignals&) = delete;
   DaemonSignals& operator=(const DaemonSignals&) = delete;
 
-  /// @brief Lets the calling thread take the signals from now on.
+  /// @brief Unblocks the signals in the calling thread.
   void Unblock();
-  /// @brief Calls what is set below for signals that came since the last call.
+  /// @brief Calls the callbacks below for signals received since the last call.
+  /// Several signals of one kind result in one call.
   void DispatchPending();
 
   std::function<void(int count)> on_terminate = [](int) {};
   std::function<void()> on_reload = [] {};
 
  private:
-  class Counter;
+  class SignalCounter;
 
-  std::unique_ptr<Counter> counter_;
-  int served_terminations_ = 0;
+  std::unique_ptr<SignalCounter> counter_;
+  int reported_terminations_ = 0;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/process/entryd_settings.cc
+++ b/lib/libmedlarcroft/source/adapters/process/entryd_settings.cc
@@ -4,41 +4,44 @@
 
 namespace {
 
-SettingsSchema<OutboundSettings> MakeUpstreamSchema() {
+SettingsSchema<OutboundSettings> MakeOutboundSchema() {
   SettingsSchema<OutboundSettings> schema;
   schema
       .Milliseconds("connect_timeout_ms", &OutboundSettings::connect_timeout,
                     {1, 60'000},
-                    {.description = "longest wait for a new connection"})
+                    {.description = "timeout of a connection attempt"})
       .Integer("max_idle_connections", &OutboundSettings::max_idle_connections,
-               {0, 1'000'000}, {.description = "idle connections kept in all"})
+               {0, 1'000'000},
+               {.description = "maximum number of idle connections, to all "
+                               "addresses together"})
       .Integer("max_connections_per_target",
                &OutboundSettings::max_connections_per_target, {1, 100'000},
-               {.description = "connections to one target at once; a target "
-                               "of today takes 330 to 390 from all hosts"});
+               {.description = "maximum number of concurrent connections to "
+                               "one target; current targets accept 330 to 390 "
+                               "from all hosts together"});
   return schema;
 }
 
 void AddListener(SettingsSchema<EntrydSettings>& schema) {
   schema
       .Text("listen", &EntrydSettings::listen, kAddressText,
-            {.description = "listener for callers' requests; port 0 takes a "
-                            "free one",
+            {.description = "listen address for callers' requests; port 0 "
+                            "picks a free port",
              .is_required = true})
       .Group("tls", &EntrydSettings::tls, MakeTlsSchema(),
-             {.description = "TLS of that listener; none: plain HTTP"})
+             {.description = "TLS of `listen`; none: plain HTTP"})
       .Text("advertise", &EntrydSettings::advertise, kAddressText,
-            {.description = "address given to callers; none: `listen`"})
-      .Integer("max_connections", &EntrydSettings::max_connections,
-               {16, 1'000'000},
-               {.description = "callers' connections at once; each holds 32 "
-                               "KB at most"})
+            {.description = "address advertised to callers; none: `listen`"})
+      .Integer(
+          "max_connections", &EntrydSettings::max_connections, {16, 1'000'000},
+          {.description = "maximum number of concurrent caller connections; "
+                          "each uses up to 32 KB"})
       .Integer("threads", &EntrydSettings::threads, {1, 64},
-               {.description = "threads of the listener"})
-      .Milliseconds("idle_timeout_ms", &EntrydSettings::idle_timeout,
-                    {1000, 3'600'000},
-                    {.description = "a connection that sends nothing for so "
-                                    "long is closed; whole seconds count"});
+               {.description = "number of threads that serve `listen`"})
+      .Milliseconds(
+          "idle_timeout_ms", &EntrydSettings::idle_timeout, {1000, 3'600'000},
+          {.description = "idle time after which a caller's connection "
+                          "is closed; fractions of a second are ignored"});
 }
 
 SettingsSchema<EntrydSettings> MakeSchema() {
@@ -50,27 +53,32 @@
             kLoopbackAddressText,
             {.description = "`routing_listen` of this host's medlar-steerd",
              .is_required = true})
-      .Text("share_listen", &EntrydSettings::share_listen, kAddressText,
-            {.description = "listener where other entry hosts borrow slots",
-             .is_required = true})
+      .Text(
+          "share_listen", &EntrydSettings::share_listen, kAddressText,
+          {.description = "listen address where other entry hosts borrow slots",
+           .is_required = true})
       .Text("platform_url", &EntrydSettings::platform_url, kHttpUrl,
-            {.description = "the platform's table, for seats and claims",
+            {.description =
+                 "address of the platform's table, which stores capacity "
+                 "leases and claims of idempotency keys",
              .is_required = true})
       .TextList("key_secrets", &EntrydSettings::key_secrets, kHexSecret,
-                {.description = "one or two secrets of idempotency keys: the "
-                                "first signs new keys, both are accepted",
+                {.description =
+                     "one or two secrets that sign idempotency keys: "
+                     "new keys are signed with the first; both are accepted",
                  .is_required = true,
                  .is_reloadable = true,
                  .is_secret = true},
-                {.least = 1, .most = 2})
-      .Milliseconds("longest_work_ms", &EntrydSettings::longest_work,
-                    {1000, 600'000},
-                    {.description =
-                         "longest time that a request may use a slot, whatever "
-                         "its deadline; the slots of a host that died are free "
-                         "after this and a lease. The same on all hosts"})
-      .Group("upstream", &EntrydSettings::outbound, MakeUpstreamSchema(),
-             {.description = "connections to targets and other entry hosts"});
+                {.minimum = 1, .maximum = 2})
+      .Milliseconds(
+          "longest_work_ms", &EntrydSettings::longest_work, {1000, 600'000},
+          {.description =
+               "maximum time that a request may occupy a slot, regardless of "
+               "its deadline; the slots of a failed host become free after "
+               "this time plus one lease. Must be the same on all hosts"})
+      .Group("upstream", &EntrydSettings::outbound, MakeOutboundSchema(),
+             {.description =
+                  "outgoing connections to targets and other entry hosts"});
   AddOperationFields(schema);
   return schema;
 }
--- a/lib/libmedlarcroft/source/adapters/process/entryd_settings.h
+++ b/lib/libmedlarcroft/source/adapters/process/entryd_settings.h
@@ -9,7 +9,7 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief How targets and other entry hosts are called.
+/// @brief Outgoing HTTP connections to targets and other entry hosts.
 struct OutboundSettings {
   Duration connect_timeout = std::chrono::milliseconds(500);
   std::uint32_t max_idle_connections = 1024;
--- a/lib/libmedlarcroft/source/adapters/process/event_rate_limit.h
+++ b/lib/libmedlarcroft/source/adapters/process/event_rate_limit.h
@@ -12,16 +12,18 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Lets so many events of one name through in each second. Made for a
-/// fault that hits every request: without it thousands of equal lines a second
-/// hide the rest and cost more than the requests.
+/// @brief Limits how many events of the same name are logged per second.
+///
+/// Failure: an error affects every request. Symptom: thousands of identical
+/// lines per second hide all others and cost more than the requests. A limit
+/// per event name keeps the other events visible and bounds the cost.
 class EventRateLimit {
  public:
   explicit EventRateLimit(std::uint32_t events_per_second)
       : events_per_second_(events_per_second) {}
 
-  /// @return how many events of that name were held back since the last one
-  /// let through, or nullopt when this one is held back too.
+  /// @return the number of events of that name suppressed since the last one
+  /// admitted, or nullopt when this one is suppressed as well.
   [[nodiscard]] std::optional<std::uint64_t> Admit(std::string_view event,
                                                    MonotonicTime now);
 
@@ -34,7 +36,8 @@
 
   const std::uint32_t events_per_second_;
   std::mutex mutex_;
-  // Event names are constants of the code, so that there are few.
+  // One entry per event name. The names are constants in the code, so the map
+  // stays small.
   std::map<std::string, Window, std::less<>> windows_;
 };
 
--- a/lib/libmedlarcroft/source/adapters/process/hex.h
+++ b/lib/libmedlarcroft/source/adapters/process/hex.h
@@ -7,8 +7,8 @@
 
 namespace medlarcroft::adapters {
 
-/// @return the bytes that hexadecimal digits stand for, or nullopt when `text`
-/// is not made of pairs of them.
+/// @return the bytes encoded by `text`, or nullopt when `text` does not consist
+/// of pairs of hexadecimal digits.
 [[nodiscard]] std::optional<std::string> DecodeHex(std::string_view text);
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/process/json_line.cc
+++ b/lib/libmedlarcroft/source/adapters/process/json_line.cc
@@ -11,10 +11,10 @@
 
 namespace {
 
-// Of the longest number: a double in scientific notation.
-constexpr std::size_t kNumberBytes = 32;
+// Fits the longest number, a double in scientific notation.
+constexpr std::size_t kMaxNumberBytes = 32;
 
-bool IsPlain(char raw) {
+bool NeedsNoEscaping(char raw) {
   const auto c = static_cast<unsigned char>(raw);
   return c >= 0x20 && c < 0x7f && raw != '"' && raw != '\\';
 }
@@ -62,7 +62,7 @@
 }
 
 void JsonLine::AppendText(std::string_view text) {
-  if (!std::ranges::all_of(text, IsPlain)) {
+  if (!std::ranges::all_of(text, NeedsNoEscaping)) {
     text_.append(nlohmann::json(text).dump(
         -1, ' ', false, nlohmann::json::error_handler_t::replace));
     return;
@@ -74,7 +74,7 @@
 
 template <typename Number>
 void JsonLine::AppendNumber(Number value) {
-  std::array<char, kNumberBytes> digits{};
+  std::array<char, kMaxNumberBytes> digits{};
   const auto end =
       std::to_chars(digits.data(), digits.data() + digits.size(), value).ptr;
   text_.append(digits.data(), end);
--- a/lib/libmedlarcroft/source/adapters/process/json_line.h
+++ b/lib/libmedlarcroft/source/adapters/process/json_line.h
@@ -7,25 +7,26 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Writes one flat JSON object into one string.
+/// @brief Builds a flat JSON object as a single string.
 ///
-/// Load: two lines for each request. A document of the JSON library for each
-/// line takes several times as long, most of it for allocations. Text that
-/// needs escapes still goes through the library.
+/// Two lines are logged per request. Building a `nlohmann::json` document for
+/// each line takes several times as long, mostly for allocations, so the text
+/// is appended directly. Only strings that need escaping go through the
+/// library.
 class JsonLine {
  public:
-  /// @param bytes expected, so that the text grows once.
+  /// @param bytes expected length, reserved so that the string grows only once.
   explicit JsonLine(std::size_t bytes) { text_.reserve(bytes); }
 
   void Add(std::string_view name, bool value);
   void Add(std::string_view name, std::int64_t value);
   void Add(std::string_view name, std::uint64_t value);
-  /// Not a number, or infinite: null, as JSON has neither.
+  /// NaN and infinity are written as null, since JSON can't represent them.
   void Add(std::string_view name, double value);
-  /// Text that is no UTF-8 is replaced.
+  /// Invalid UTF-8 is replaced by U+FFFD.
   void Add(std::string_view name, std::string_view value);
 
-  /// @return the whole object.
+  /// @return the complete object.
   [[nodiscard]] std::string Finish() &&;
 
  private:
--- a/lib/libmedlarcroft/source/adapters/process/log.cc
+++ b/lib/libmedlarcroft/source/adapters/process/log.cc
@@ -20,19 +20,19 @@
 
 namespace {
 
-constexpr int kStandardOutput = 1;
-// Most lines are shorter.
-constexpr std::size_t kUsualLineBytes = 512;
+constexpr int kStandardOutputDescriptor = 1;
+// Reserved for each line; most lines are shorter.
+constexpr std::size_t kReservedLineBytes = 512;
 
-constexpr std::array<log4cplus::LogLevel, 4> kLibraryLevels = {
+constexpr std::array<log4cplus::LogLevel, 4> kLog4cplusLevels = {
     log4cplus::DEBUG_LOG_LEVEL, log4cplus::INFO_LOG_LEVEL,
     log4cplus::WARN_LOG_LEVEL, log4cplus::ERROR_LOG_LEVEL};
 
-log4cplus::LogLevel ToLibraryLevel(LogLevel level) {
-  return kLibraryLevels.at(static_cast<std::size_t>(level));
+log4cplus::LogLevel ToLog4cplusLevel(LogLevel level) {
+  return kLog4cplusLevels.at(static_cast<std::size_t>(level));
 }
 
-/// @brief The process's logging, from `StartLogging` to its end.
+/// @brief The logging state of the process, created by `StartLogging`.
 struct Logging {
   explicit Logging(const LogOptions& log_options)
       : options(log_options), rate_limit(log_options.events_per_second) {}
@@ -49,7 +49,7 @@
   return logging;
 }
 
-/// The line is complete already, so that the layout only ends it.
+/// The message is already a complete line, so the layout only adds the newline.
 void LogToStandardError(log4cplus::Logger& logger) {
   const log4cplus::SharedAppenderPtr appender(
       new log4cplus::ConsoleAppender(true, true));
@@ -58,24 +58,25 @@
   logger.addAppender(appender);
 }
 
-/// Lines come many a second: the date and time of day are made once in each.
+/// Formats a UTC timestamp with milliseconds. Date and time of day are cached
+/// per thread for one second, because many lines are logged per second.
 std::string FormatTime(WallTime time) {
-  thread_local std::time_t made_for = -1;
-  thread_local std::string made;
+  thread_local std::time_t cached_second = -1;
+  thread_local std::string cached_text;
   const std::int64_t milliseconds = ToMilliseconds(time.time_since_epoch());
   const auto seconds = static_cast<std::time_t>(milliseconds / 1000);
-  if (seconds != made_for) {
+  if (seconds != cached_second) {
     std::tm parts{};
     gmtime_r(&seconds, &parts);
     std::array<char, 40> text{};
     const std::size_t length =
         std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%S", &parts);
-    made.assign(text.data(), length);
-    made_for = seconds;
+    cached_text.assign(text.data(), length);
+    cached_second = seconds;
   }
   std::string fraction = std::to_string(1000 + milliseconds % 1000);
   fraction.front() = '.';
-  return made + fraction + "Z";
+  return cached_text + fraction + "Z";
 }
 
 }  // namespace
@@ -83,7 +84,7 @@
 std::string FormatLogLine(const LogOptions& options,
                           const LogLine& line,
                           std::span<const LogField> fields) {
-  JsonLine json(kUsualLineBytes);
+  JsonLine json(kReservedLineBytes);
   json.Add("time", FormatTime(line.time));
   json.Add("level", kLogLevelNames.at(static_cast<std::size_t>(line.level)));
   json.Add("program", options.program);
@@ -104,24 +105,25 @@
   auto logging = std::make_unique<Logging>(options);
   logging->logger =
       log4cplus::Logger::getInstance(LOG4CPLUS_TEXT("medlarcroft"));
-  // The library keeps a logger's appenders: a second start would write twice.
+  // log4cplus keeps the appenders of a logger, so a second call of this
+  // function would otherwise write each line twice.
   logging->logger.removeAllAppenders();
   if (options.log4cplus_config.empty() &&
       options.output == LogOutput::kStandardOutput) {
-    logging->logger.addAppender(
-        log4cplus::SharedAppenderPtr(new PipeAppender(kStandardOutput)));
+    logging->logger.addAppender(log4cplus::SharedAppenderPtr(
+        new PipeAppender(kStandardOutputDescriptor)));
   } else if (options.log4cplus_config.empty()) {
     LogToStandardError(logging->logger);
   } else {
     log4cplus::PropertyConfigurator::doConfigure(options.log4cplus_config);
   }
-  logging->logger.setLogLevel(ToLibraryLevel(options.level));
+  logging->logger.setLogLevel(ToLog4cplusLevel(options.level));
   Current() = std::move(logging);
 }
 
 void SetLogLevel(LogLevel level) {
   if (Current()) {
-    Current()->logger.setLogLevel(ToLibraryLevel(level));
+    Current()->logger.setLogLevel(ToLog4cplusLevel(level));
   }
 }
 
@@ -130,7 +132,7 @@
          std::initializer_list<LogField> fields) {
   Logging* const logging = Current().get();
   if (logging == nullptr ||
-      !logging->logger.isEnabledFor(ToLibraryLevel(level))) {
+      !logging->logger.isEnabledFor(ToLog4cplusLevel(level))) {
     return;
   }
   const auto suppressed_count =
@@ -142,7 +144,7 @@
                      .level = level,
                      .event = event,
                      .suppressed_count = *suppressed_count};
-  logging->logger.log(ToLibraryLevel(level),
+  logging->logger.log(ToLog4cplusLevel(level),
                       FormatLogLine(logging->options, line, fields));
 }
 
@@ -150,10 +152,10 @@
                     std::initializer_list<LogField> fields) {
   Logging* const logging = Current().get();
   if (logging == nullptr ||
-      !logging->logger.isEnabledFor(ToLibraryLevel(line.level))) {
+      !logging->logger.isEnabledFor(ToLog4cplusLevel(line.level))) {
     return;
   }
-  logging->logger.log(ToLibraryLevel(line.level),
+  logging->logger.log(ToLog4cplusLevel(line.level),
                       FormatLogLine(logging->options, line, fields));
 }
 
--- a/lib/libmedlarcroft/source/adapters/process/log.h
+++ b/lib/libmedlarcroft/source/adapters/process/log.h
@@ -16,8 +16,8 @@
 using LogValue =
     std::variant<bool, std::int64_t, std::uint64_t, double, std::string_view>;
 
-/// @brief One typed field of a log line. It refers to its text, which must
-/// outlive it; a temporary in the call of `Log` does.
+/// @brief A typed field of a log line. It refers to its text without owning it;
+/// a temporary in the argument list of `Log` lives long enough.
 struct LogField {
   LogField(std::string_view field_name, bool field_value)
       : name(field_name), value(field_value) {}
@@ -44,53 +44,59 @@
   LogValue value;
 };
 
-/// @brief Where lines go when no properties file says otherwise.
+/// @brief Destination of log lines when no log4cplus properties file is set.
 enum class LogOutput {
   kStandardError,
-  /// Never waits: what a full pipe does not take is dropped and counted.
+  /// Never blocks: lines that do not fit into a full pipe are dropped and
+  /// counted.
   kStandardOutput,
 };
 
-/// @brief Who logs, and how much.
+/// @brief Identity of the logging process, and the destination, level and rate
+/// limit of its log.
 struct LogOptions {
   std::string program;
   std::string host;
   std::string failure_domain;
   LogLevel level = LogLevel::kInfo;
-  /// A log4cplus properties file; empty: one JSON object a line on stderr.
+  /// A log4cplus properties file; empty: JSON lines to `output`.
   std::string log4cplus_config;
   LogOutput output = LogOutput::kStandardError;
-  /// Events of one name in a second; more are counted and said with the next.
+  /// Maximum number of events of one name per second. The number of suppressed
+  /// events is logged with the next one of that name.
   std::uint32_t events_per_second = 20;
 };
 
-/// @brief Sets logging up; before it events are dropped. Call it once.
+/// @brief Initializes logging. Events logged earlier are dropped. A later call
+/// replaces the configuration; it must not run while another thread logs.
 void StartLogging(const LogOptions& options);
 
-/// @brief Changes the level, for SIGHUP.
+/// @brief Changes the log level, for example on SIGHUP.
 void SetLogLevel(LogLevel level);
 
-/// @brief Logs one event. Any thread may call it.
+/// @brief Logs one event, subject to the rate limit. Thread-safe.
 /// @param event a constant name such as "catalogue-applied".
 void Log(LogLevel level,
          std::string_view event,
          std::initializer_list<LogField> fields = {});
 
-/// @brief What a line says beside its fields.
+/// @brief The standard fields of a log line.
 struct LogLine {
   WallTime time;
   LogLevel level = LogLevel::kInfo;
   std::string_view event;
+  /// Similar events suppressed since the last line; 0 is not written.
   std::uint64_t suppressed_count = 0;
 };
 
-/// @brief Logs one line as it is, past the limit on events of one name: its
-/// caller bounds such lines.
+/// @brief Logs one line without the rate limit per event name. The caller must
+/// limit how many such lines it logs.
 void LogUnthrottled(const LogLine& line,
                     std::initializer_list<LogField> fields);
 
-/// @return the JSON object of one line, without a line end. Text that is no
-/// UTF-8 is replaced, so that a hostile header can't break the line.
+/// @return the JSON object of one line, without a trailing newline. Control
+/// characters are escaped and invalid UTF-8 is replaced, so that a malicious
+/// header can't break the line.
 [[nodiscard]] std::string FormatLogLine(const LogOptions& options,
                                         const LogLine& line,
                                         std::span<const LogField> fields);
--- a/lib/libmedlarcroft/source/adapters/process/node_settings.cc
+++ b/lib/libmedlarcroft/source/adapters/process/node_settings.cc
@@ -4,15 +4,16 @@
 
 namespace {
 
-constexpr SettingRange kAnyTime{1, 86'400'000};
+constexpr SettingRange kUpToOneDay{1, 86'400'000};
 
 SettingsSchema<DomainRegion> MakeDomainSchema() {
   SettingsSchema<DomainRegion> schema;
   schema
       .Text("domain", &DomainRegion::domain, kSettingName,
-            {.description = "failure domain", .is_required = true})
-      .Text("region", &DomainRegion::region, kSettingName,
-            {.description = "region that it lies in", .is_required = true});
+            {.description = "name of a failure domain", .is_required = true})
+      .Text(
+          "region", &DomainRegion::region, kSettingName,
+          {.description = "region of the failure domain", .is_required = true});
   return schema;
 }
 
@@ -20,54 +21,61 @@
   SettingsSchema<NodeBounds> schema;
   schema
       .Real("attempt_ratio", &NodeBounds::attempt_ratio, {0, 10},
-            {.description = "further sends for each request of a service, from "
-                            "all hosts together"})
-      .DurationText("attempt_window", &NodeBounds::attempt_window, kAnyTime,
-                    {.description = "window of that bound"})
-      .Integer("attempt_extra", &NodeBounds::attempt_extra, {0, 1'000'000},
-               {.description = "further sends on top in each window, from all "
-                               "hosts together"})
+            {.description = "additional attempts per request of a service, "
+                            "over all hosts together"})
+      .DurationText(
+          "attempt_window", &NodeBounds::attempt_window, kUpToOneDay,
+          {.description = "window over which additional attempts are counted"})
+      .Integer(
+          "attempt_extra", &NodeBounds::attempt_extra, {0, 1'000'000},
+          {.description = "additional attempts allowed per window on top of "
+                          "`attempt_ratio`, over all hosts together"})
       .Real("cold_over", &NodeBounds::cold_over, {0, 100},
-            {.description = "what a cold target may get, over its own rate"})
-      .Integer("cold_extra", &NodeBounds::cold_extra, {0, 1'000'000},
-               {.description = "requests a second on top of that"})
+            {.description =
+                 "request rate allowed to a cold target, as a multiple "
+                 "of its configured rate"})
+      .Integer(
+          "cold_extra", &NodeBounds::cold_extra, {0, 1'000'000},
+          {.description = "requests per second allowed on top of `cold_over`"})
       .Real("shift_most", &NodeBounds::shift_most, {0, 1},
-            {.description = "part of a region's requests that may change the "
-                            "region in which they run, in two seconds"})
-      .DurationText("stop_limit", &NodeBounds::stop_limit, kAnyTime,
-                    {.description = "longest duration of a planned stop"})
+            {.description = "maximum fraction of a region's requests that may "
+                            "move to another region within two seconds"})
+      .DurationText("stop_limit", &NodeBounds::stop_limit, kUpToOneDay,
+                    {.description = "maximum duration of a graceful shutdown"})
       .DurationText(
-          "lookup_time_to_live", &NodeBounds::lookup_time_to_live, kAnyTime,
-          {.description = "longest time that callers keep a look-up's "
+          "lookup_time_to_live", &NodeBounds::lookup_time_to_live, kUpToOneDay,
+          {.description = "maximum time that callers may cache a lookup "
                           "answer"})
       .DurationText(
-          "in_touch_after", &NodeBounds::in_touch_after, kAnyTime,
-          {.description = "time without trouble of the store and the host "
-                          "after which the host must know what the store has "
-                          "acknowledged"})
+          "in_touch_after", &NodeBounds::in_touch_after, kUpToOneDay,
+          {.description =
+               "time without errors of the store and the host "
+               "after which the host must have received everything that the "
+               "store has acknowledged"})
       .DurationText(
-          "target_left_within", &NodeBounds::target_left_within, kAnyTime,
-          {.description = "longest time from the store's word that a target "
-                          "leaves to the last request that may reach it"});
+          "target_left_within", &NodeBounds::target_left_within, kUpToOneDay,
+          {.description = "maximum time from the store's notice that a target "
+                          "is leaving to the last request that may reach it"});
   return schema;
 }
 
 void AddListeners(SettingsSchema<NodeSettings>& schema) {
   schema
       .Text("caller_listen", &NodeSettings::caller_listen, kAddressText,
-            {.description = "listener for callers' requests",
+            {.description = "listen address for callers' requests",
              .is_required = true})
       .Text("readiness_listen", &NodeSettings::readiness_listen, kAddressText,
-            {.description = "listener that tells whether the host is ready",
+            {.description = "listen address of the readiness check",
              .is_required = true})
       .Text("lookup_listen", &NodeSettings::lookup_listen, kAddressText,
-            {.description = "listener for look-ups", .is_required = true})
+            {.description = "listen address for lookups", .is_required = true})
       .Text("metrics_listen", &NodeSettings::metrics_listen, kAddressText,
-            {.description = "listener for /metrics; none: no metrics"})
+            {.description = "listen address of /metrics; none: no metrics"})
       .Text("peer_listen", &NodeSettings::peer_listen, kAddressText,
-            {.description = "UDP address for other hosts", .is_required = true})
+            {.description = "UDP address for messages from other hosts",
+             .is_required = true})
       .Text("store_address", &NodeSettings::store_address, kAddressText,
-            {.description = "the platform's metadata store",
+            {.description = "address of the platform's metadata store",
              .is_required = true});
 }
 
@@ -78,17 +86,20 @@
       .Text("region", &NodeSettings::region, kSettingName,
             {.description = "region of this host", .is_required = true})
       .List("domains", &NodeSettings::domains, MakeDomainSchema(),
-            {.description = "all failure domains and their regions"});
+            {.description = "all failure domains, with their regions"});
   AddListeners(schema);
   schema
-      .Integer("memory_mb", &NodeSettings::memory_mb, {16, 1'000'000},
-               {.description = "memory that the process may use; requests' "
-                               "bodies take a quarter of it at most"})
+      .Integer(
+          "memory_mb", &NodeSettings::memory_mb, {16, 1'000'000},
+          {.description = "memory limit of the process, MB; request bodies "
+                          "use at most a quarter of it"})
       .Real("link_mbps", &NodeSettings::link_mbps, {0.001, 1e6},
-            {.description = "what the host's link carries, Mbit/s: hosts with "
-                            "more read the store for their region more often"})
+            {.description =
+                 "bandwidth of the host's network link, Mbit/s; hosts with "
+                 "more bandwidth are more often chosen to read the store for "
+                 "their region"})
       .Group("bounds", &NodeSettings::bounds, MakeBoundsSchema(),
-             {.description = "bounds that all hosts keep together"})
+             {.description = "limits that apply to all hosts together"})
       .Group("telemetry", &NodeSettings::telemetry, MakeTelemetrySchema(),
              {.description = "logs and traces", .is_reloadable = true});
   return schema;
--- a/lib/libmedlarcroft/source/adapters/process/node_settings.h
+++ b/lib/libmedlarcroft/source/adapters/process/node_settings.h
@@ -8,28 +8,32 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Where a failure domain lies.
+/// @brief The region that a failure domain belongs to.
 struct DomainRegion {
   std::string domain;
   std::string region;
 };
 
-/// @brief Bounds that all hosts keep together, as the users set them.
+/// @brief Limits that apply to all hosts together, as configured by the users.
+/// Each member is named after its setting.
 struct NodeBounds {
-  double attempt_ratio = 0.2;  ///< Further sends for each request.
+  double attempt_ratio = 0.2;  ///< Additional attempts per request.
   Duration attempt_window = std::chrono::seconds(10);
-  std::uint32_t attempt_extra = 50;  ///< On top, in each window.
-  double cold_over = 1.0;            ///< Over a cold target's configured rate.
-  std::uint32_t cold_extra = 0;
-  double shift_most = 0.15;  ///< Part of a region's requests in two seconds.
-  /// From the signal to stop to the end of the process.
+  std::uint32_t attempt_extra = 50;  ///< Added to that per window.
+  double cold_over = 1.0;  ///< Multiple of a cold target's configured rate.
+  std::uint32_t cold_extra = 0;  ///< Requests/s added to that.
+  /// Maximum fraction of a region's requests that may move to another region
+  /// within two seconds.
+  double shift_most = 0.15;
+  /// Maximum time from the stop signal to the exit of the process.
   Duration stop_limit = std::chrono::seconds(6);
-  Duration lookup_time_to_live = std::chrono::seconds(5);  ///< At most.
-  /// Once the store and a host have been without trouble for so long, the host
-  /// must know what the store has acknowledged.
+  /// Maximum TTL of a lookup answer.
+  Duration lookup_time_to_live = std::chrono::seconds(5);
+  /// Once the store and a host have worked without errors for this long, the
+  /// host must have received everything that the store has acknowledged.
   Duration in_touch_after = std::chrono::seconds(4);
-  /// From the store's word that a target leaves to the last request that may
-  /// reach it.
+  /// Maximum time from the store's notice that a target is leaving to the last
+  /// request that may reach that target.
   Duration target_left_within = std::chrono::milliseconds(2500);
 };
 
@@ -42,8 +46,8 @@
   std::string caller_listen;
   std::string readiness_listen;
   std::string lookup_listen;
-  std::string metrics_listen;  ///< Empty: none.
-  std::string peer_listen;     ///< UDP.
+  std::string metrics_listen;  ///< Empty: no metrics.
+  std::string peer_listen;     ///< UDP address.
   std::string store_address;
   std::uint32_t memory_mb = 256;
   double link_mbps = 1000;
--- a/lib/libmedlarcroft/source/adapters/process/otlp_file_exporter.cc
+++ b/lib/libmedlarcroft/source/adapters/process/otlp_file_exporter.cc
@@ -6,14 +6,15 @@
 
 namespace medlarcroft::adapters {
 
-Result<std::unique_ptr<OtlpFileExporter>, SpanFileFailure>
-OtlpFileExporter::Open(const std::string& file, SpanResource resource) {
+Result<std::unique_ptr<OtlpFileExporter>, SpanFileError> OtlpFileExporter::Open(
+    const std::string& file,
+    SpanResource resource) {
   if (file == "stderr") {
     return std::make_unique<OtlpFileExporter>(std::cerr, std::move(resource));
   }
   auto stream = std::make_unique<std::ofstream>(file, std::ios::app);
   if (!stream->is_open()) {
-    return SpanFileFailure::kCannotOpen;
+    return SpanFileError::kCannotOpen;
   }
   return std::unique_ptr<OtlpFileExporter>(
       new OtlpFileExporter(std::move(stream), std::move(resource)));
@@ -34,7 +35,7 @@
     const std::lock_guard lock(mutex_);
     is_stopping_ = true;
   }
-  changed_.notify_one();
+  condition_.notify_one();
   thread_.join();
 }
 
@@ -47,18 +48,19 @@
     }
     queue_.push_back(std::move(span));
   }
-  changed_.notify_one();
+  condition_.notify_one();
 }
 
 void OtlpFileExporter::Run() {
   std::unique_lock lock(mutex_);
   while (!is_stopping_ || !queue_.empty()) {
-    changed_.wait(lock, [this] { return is_stopping_ || !queue_.empty(); });
+    condition_.wait(lock, [this] { return is_stopping_ || !queue_.empty(); });
     const std::vector<telemetry::Span> batch = std::exchange(queue_, {});
     lock.unlock();
     if (!batch.empty()) {
       out_ << FormatOtlpJson(resource_, batch) << '\n' << std::flush;
-      // A full disk must not end tracing for good.
+      // Clears a write error, so that tracing resumes once a full disk has
+      // space again.
       out_.clear();
     }
     lock.lock();
--- a/lib/libmedlarcroft/source/adapters/process/otlp_file_exporter.h
+++ b/lib/libmedlarcroft/source/adapters/process/otlp_file_exporter.h
@@ -16,25 +16,26 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Why spans can't be written.
-enum class SpanFileFailure { kCannotOpen };
+/// @brief Why the span file can't be used.
+enum class SpanFileError { kCannotOpen };
 
-/// @brief Appends spans as OTLP JSON lines to a file or to stderr, on a thread
-/// of its own. The queue is bounded: when the disk is slow or full, spans are
-/// dropped and counted, and requests never wait for it.
+/// @brief Appends spans as OTLP JSON lines to a file or to stderr, on a
+/// background thread. The queue is bounded: when the disk is slow or full,
+/// spans are dropped and counted, so requests never wait for the disk.
 class OtlpFileExporter final : public telemetry::SpanExporter {
  public:
-  /// About 1 KB a span: the queue holds 4 MB at most.
+  /// Maximum number of queued spans: at about 1 KB per span, 4 MB of memory.
   static constexpr std::size_t kMaxQueued = 4096;
 
   /// @param file a path, or "stderr".
-  static Result<std::unique_ptr<OtlpFileExporter>, SpanFileFailure> Open(
+  /// @return the exporter, or `kCannotOpen` when the file can't be opened.
+  static Result<std::unique_ptr<OtlpFileExporter>, SpanFileError> Open(
       const std::string& file,
       SpanResource resource);
 
   /// @param out must outlive the exporter.
   OtlpFileExporter(std::ostream& out, SpanResource resource);
-  /// @brief Writes what is queued, then ends.
+  /// @brief Writes the queued spans, then stops the thread.
   ~OtlpFileExporter() override;
   OtlpFileExporter(const OtlpFileExporter&) = delete;
   OtlpFileExporter& operator=(const OtlpFileExporter&) = delete;
@@ -52,7 +53,7 @@
   const SpanResource resource_;
   std::atomic<std::uint64_t> dropped_{0};
   std::mutex mutex_;
-  std::condition_variable changed_;
+  std::condition_variable condition_;
   std::vector<telemetry::Span> queue_;
   bool is_stopping_ = false;
   std::thread thread_;
--- a/lib/libmedlarcroft/source/adapters/process/otlp_json.cc
+++ b/lib/libmedlarcroft/source/adapters/process/otlp_json.cc
@@ -10,7 +10,7 @@
 using telemetry::Span;
 using telemetry::SpanAttribute;
 
-/// OTLP writes 64-bit integers as strings.
+/// Converts an attribute value. OTLP/JSON encodes 64-bit integers as strings.
 struct ValueWriter {
   json operator()(bool value) const { return {{"boolValue", value}}; }
   json operator()(std::int64_t value) const {
--- a/lib/libmedlarcroft/source/adapters/process/otlp_json.h
+++ b/lib/libmedlarcroft/source/adapters/process/otlp_json.h
@@ -8,14 +8,15 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Who made the spans.
+/// @brief OTLP resource attributes of the process that created the spans.
 struct SpanResource {
   std::string program;
   std::string host;
   std::string failure_domain;
 };
 
-/// @return one line without its end: an OTLP/JSON ExportTraceServiceRequest.
+/// @return an OTLP/JSON ExportTraceServiceRequest on one line, without a
+/// trailing newline.
 [[nodiscard]] std::string FormatOtlpJson(
     const SpanResource& resource,
     std::span<const telemetry::Span> spans);
--- a/lib/libmedlarcroft/source/adapters/process/pipe_appender.cc
+++ b/lib/libmedlarcroft/source/adapters/process/pipe_appender.cc
@@ -8,19 +8,19 @@
 
 namespace {
 
-// A pipe that is ready takes so much at once (PIPE_BUF); a longer line might
-// block halfway.
+// A writable pipe accepts this many bytes (PIPE_BUF) without blocking; a longer
+// write might block after a part of the line.
 constexpr std::size_t kMaxLineBytes = 4096;
 constexpr std::string_view kCutMark = "...\n";
 
 }  // namespace
 
 void PipeAppender::append(const log4cplus::spi::InternalLoggingEvent& event) {
-  if (untold_ > 0) {
+  if (unreported_ > 0) {
     const std::string notice = "{\"event\":\"log-lines-dropped\",\"count\":" +
-                               std::to_string(untold_) + "}\n";
+                               std::to_string(unreported_) + "}\n";
     if (TryWrite(notice)) {
-      untold_ = 0;
+      unreported_ = 0;
     }
   }
   std::string line = event.getMessage() + "\n";
@@ -30,7 +30,7 @@
   }
   if (!TryWrite(line)) {
     ++dropped_;
-    ++untold_;
+    ++unreported_;
   }
 }
 
--- a/lib/libmedlarcroft/source/adapters/process/pipe_appender.h
+++ b/lib/libmedlarcroft/source/adapters/process/pipe_appender.h
@@ -9,12 +9,12 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Writes lines to a descriptor without ever waiting for its reader.
+/// @brief Writes log lines to a file descriptor without blocking.
 ///
-/// Failure: whoever reads the log stops reading. Symptom: the pipe fills, the
-/// next line blocks, and with it every request. So a line goes out only when
-/// the descriptor takes it at once; those dropped are counted and told with the
-/// next one that goes out.
+/// Failure: the reader of the log stops reading. Symptom: the pipe fills up,
+/// and the next write blocks and with it every request. So a line is written
+/// only when the descriptor accepts it immediately; other lines are dropped,
+/// and their number is logged before the next line that is written.
 class PipeAppender final : public log4cplus::Appender {
  public:
   explicit PipeAppender(int descriptor) : descriptor_(descriptor) {}
@@ -32,7 +32,7 @@
 
   const int descriptor_;
   std::uint64_t dropped_ = 0;
-  std::uint64_t untold_ = 0;
+  std::uint64_t unreported_ = 0;  ///< Dropped lines not yet logged.
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/process/program_options.cc
+++ b/lib/libmedlarcroft/source/adapters/process/program_options.cc
@@ -24,13 +24,13 @@
   po::options_description description("Options");
   auto add = description.add_options();
   add("settings", po::value(&command.settings_file)->value_name("FILE"),
-      "YAML file with the settings");
+      "YAML settings file");
   add("check-settings", po::bool_switch(&flags.check),
-      "check the settings, list every fault, and exit");
+      "check the settings, print all errors, and exit");
   add("print-settings", po::bool_switch(&flags.print),
-      "print the settings in force, without secrets, and exit");
+      "print the effective settings with masked secrets, and exit");
   add("settings-reference", po::bool_switch(&flags.reference),
-      "print every setting as a Markdown table and exit");
+      "print a Markdown table of all settings and exit");
   add("version", po::bool_switch(&flags.version), "print the version and exit");
   add("help", po::bool_switch(&flags.help), "print this text and exit");
   return description;
@@ -51,7 +51,7 @@
 ProgramCommand ParseCommandLine(const ProgramIdentity& identity,
                                 std::span<const char* const> arguments,
                                 std::ostream& out,
-                                std::ostream& errors) {
+                                std::ostream& error_output) {
   ProgramCommand command;
   Flags flags;
   const po::options_description description = MakeDescription(command, flags);
@@ -65,7 +65,8 @@
               values);
     po::notify(values);
   } catch (const po::error& error) {
-    errors << identity.name << ": " << error.what() << "\n" << description;
+    error_output << identity.name << ": " << error.what() << "\n"
+                 << description;
     command.exit_status = kExitBadUsage;
     return command;
   }
@@ -79,7 +80,8 @@
     return command;
   }
   if (command.settings_file.empty() && !flags.reference) {
-    errors << identity.name << ": --settings FILE is required\n" << description;
+    error_output << identity.name << ": --settings FILE is required\n"
+                 << description;
     command.exit_status = kExitBadUsage;
     return command;
   }
@@ -87,9 +89,10 @@
   return command;
 }
 
-void PrintSettingsErrors(const SettingsErrors& faults, std::ostream& errors) {
-  for (const SettingsError& fault : faults) {
-    errors << FormatSettingsError(fault) << "\n";
+void PrintSettingsErrors(const SettingsErrors& errors,
+                         std::ostream& error_output) {
+  for (const SettingsError& error : errors) {
+    error_output << FormatSettingsError(error) << "\n";
   }
 }
 
--- a/lib/libmedlarcroft/source/adapters/process/program_options.h
+++ b/lib/libmedlarcroft/source/adapters/process/program_options.h
@@ -10,18 +10,18 @@
 
 namespace medlarcroft::adapters {
 
-/// Exit statuses of all programs: 0 done, 1 failed while it ran.
+/// Exit statuses of all programs: 0 for success, 1 for a failure at run time.
 constexpr int kExitFailure = 1;
-constexpr int kExitBadUsage = 2;     ///< The command line is wrong.
-constexpr int kExitBadSettings = 3;  ///< The settings file is wrong.
+constexpr int kExitBadUsage = 2;     ///< The command line is invalid.
+constexpr int kExitBadSettings = 3;  ///< The settings file is invalid.
 
-/// @brief What a daemon's command line asks for.
+/// @brief The action that a daemon's command line requests.
 enum class ProgramAction {
   kRun,
   kCheckSettings,
   kPrintSettings,
   kPrintReference,
-  kExit,  ///< All is said: help, version or a usage error.
+  kExit,  ///< Help, version or usage error, already printed.
 };
 
 /// @brief A parsed command line.
@@ -31,42 +31,46 @@
   int exit_status = 0;  ///< For kExit.
 };
 
-/// @brief What a program is.
+/// @brief Name and one-line description of a program.
 struct ProgramIdentity {
   std::string_view name;
   std::string_view summary;
 };
 
-/// @brief Reads --settings, --check-settings, --print-settings,
-/// --settings-reference, --version and --help.
-/// @param arguments without the program's own name.
+/// @brief Parses --settings, --check-settings, --print-settings,
+/// --settings-reference, --version and --help. Prints help, version and usage
+/// errors.
+/// @param arguments without the program name.
 [[nodiscard]] ProgramCommand ParseCommandLine(
     const ProgramIdentity& identity,
     std::span<const char* const> arguments,
     std::ostream& out,
-    std::ostream& errors);
+    std::ostream& error_output);
 
-/// @brief Prints every fault, one a line.
-void PrintSettingsErrors(const SettingsErrors& faults, std::ostream& errors);
+/// @brief Prints all errors, one per line.
+void PrintSettingsErrors(const SettingsErrors& errors,
+                         std::ostream& error_output);
 
-/// @brief A program that is to run, with its settings.
+/// @brief The settings to run a program with.
 template <typename Settings>
 struct ProgramStart {
-  std::string settings_file;  ///< To be read again on SIGHUP.
+  std::string settings_file;  ///< Read again on SIGHUP.
   Settings settings;
 };
 
-/// @brief The front of a daemon: does what the command line asks for.
-/// @return what to run with, or the exit status when there is nothing to run.
+/// @brief Parses the command line and loads the settings. Actions other than
+/// running the program, such as printing the settings, are done here.
+/// @return the settings to run with, or the exit status of a program that must
+/// not run.
 template <typename Settings>
 [[nodiscard]] Result<ProgramStart<Settings>, int> StartProgram(
     const ProgramIdentity& identity,
     const SettingsSchema<Settings>& schema,
     std::span<const char* const> arguments,
     std::ostream& out,
-    std::ostream& errors) {
+    std::ostream& error_output) {
   const ProgramCommand command =
-      ParseCommandLine(identity, arguments, out, errors);
+      ParseCommandLine(identity, arguments, out, error_output);
   if (command.action == ProgramAction::kExit) {
     return command.exit_status;
   }
@@ -78,11 +82,11 @@
 
   auto settings = LoadSettings(schema, command.settings_file);
   if (!IsOk(settings)) {
-    PrintSettingsErrors(ErrorOf(settings), errors);
+    PrintSettingsErrors(ErrorOf(settings), error_output);
     return kExitBadSettings;
   }
   if (command.action == ProgramAction::kCheckSettings) {
-    out << command.settings_file << ": settings are good\n";
+    out << command.settings_file << ": settings are valid\n";
     return 0;
   }
   if (command.action == ProgramAction::kPrintSettings) {
--- a/lib/libmedlarcroft/source/adapters/process/settings_document.cc
+++ b/lib/libmedlarcroft/source/adapters/process/settings_document.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-SettingsErrors MakeFileFault(SettingsErrorCode code,
+SettingsErrors MakeFileError(SettingsErrorCode code,
                              std::string_view file,
                              int line,
                              std::string_view allowed) {
@@ -30,8 +30,9 @@
   return text.empty() || text == "\"\"" ? "none" : "`" + text + "`";
 }
 
-/// @param defaults the mapping of the default values; no mapping for the items
-/// of a list, which have none.
+/// @brief Appends one table row per field to `page`, including nested fields.
+/// @param defaults the mapping of the default values; a null node for the items
+/// of a list, which have no defaults.
 void AddRows(std::span<const SettingField> fields,
              const std::string& prefix,
              const YAML::Node& defaults,
@@ -55,7 +56,7 @@
   std::string text(kMaxSettingsBytes + 1, '\0');
   input.read(text.data(), static_cast<std::streamsize>(text.size()));
   if (input.bad() || !input.eof()) {
-    return MakeFileFault(SettingsErrorCode::kUnreadable, file, 0,
+    return MakeFileError(SettingsErrorCode::kUnreadable, file, 0,
                          "a readable file of at most " +
                              std::to_string(kMaxSettingsBytes) + " bytes");
   }
@@ -69,11 +70,12 @@
                                  void* settings) {
   try {
     const YAML::Node document = YAML::Load(std::string(text));
-    SettingsFaultSink sink(file);
-    ReadMapping(fields, settings, {.node = document, .path = "", .sink = sink});
-    return sink.Take();
+    SettingsErrorCollector errors(file);
+    ReadMapping(fields, settings,
+                {.node = document, .path = "", .errors = errors});
+    return errors.Take();
   } catch (const YAML::Exception& error) {
-    return MakeFileFault(SettingsErrorCode::kNotYaml, file,
+    return MakeFileError(SettingsErrorCode::kNotYaml, file,
                          error.mark.is_null() ? 0 : error.mark.line + 1,
                          "one YAML mapping");
   }
--- a/lib/libmedlarcroft/source/adapters/process/settings_document.h
+++ b/lib/libmedlarcroft/source/adapters/process/settings_document.h
@@ -10,38 +10,40 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief The largest settings file that is read, bytes.
+/// @brief Maximum size of a settings file, bytes.
 constexpr std::size_t kMaxSettingsBytes = std::size_t{1024} * 1024;
 
-/// @return the file's text, or the fault that it can't be read.
+/// @return the contents of the file, or `kUnreadable` when it can't be read or
+/// is larger than `kMaxSettingsBytes`.
 [[nodiscard]] Result<std::string, SettingsErrors> ReadSettingsFile(
     const std::string& file);
 
-/// @brief Reads YAML into `settings`.
-/// @param file named in faults only.
-/// @return all faults, in the order of the file; none when all is well.
+/// @brief Parses YAML into `settings`, a structure that `fields` describe.
+/// @param file name of the file, used in errors only.
+/// @return all errors; empty on success. A mapping's missing settings follow
+/// the errors of those that it has, which are in the order of the file.
 [[nodiscard]] SettingsErrors ParseSettingsInto(
     std::span<const SettingField> fields,
     std::string_view text,
     std::string_view file,
     void* settings);
 
-/// @return the settings of `text`, or every fault found.
+/// @return the settings in `text`, or all errors found.
 template <typename Settings>
 [[nodiscard]] Result<Settings, SettingsErrors> ParseSettings(
     const SettingsSchema<Settings>& schema,
     std::string_view text,
     std::string_view file) {
   Settings settings;
-  SettingsErrors faults =
+  SettingsErrors errors =
       ParseSettingsInto(schema.Fields(), text, file, &settings);
-  if (!faults.empty()) {
-    return faults;
+  if (!errors.empty()) {
+    return errors;
   }
   return settings;
 }
 
-/// @return the settings of a file, or every fault found.
+/// @return the settings in a file, or all errors found.
 template <typename Settings>
 [[nodiscard]] Result<Settings, SettingsErrors> LoadSettings(
     const SettingsSchema<Settings>& schema,
@@ -53,15 +55,15 @@
   return ParseSettings(schema, ValueOf(text), file);
 }
 
-/// @return the settings in force as YAML, secrets masked.
+/// @return the settings as YAML, with secrets masked.
 template <typename Settings>
 [[nodiscard]] std::string FormatSettings(const SettingsSchema<Settings>& schema,
                                          const Settings& settings) {
   return YAML::Dump(WriteMapping(schema.Fields(), &settings)) + "\n";
 }
 
-/// @return a Markdown table of the fields; `defaults` points to a structure as
-/// constructed.
+/// @return a Markdown table of the fields.
+/// @param defaults a default-constructed settings structure.
 [[nodiscard]] std::string FormatReference(std::span<const SettingField> fields,
                                           const void* defaults);
 
--- a/lib/libmedlarcroft/source/adapters/process/settings_error.cc
+++ b/lib/libmedlarcroft/source/adapters/process/settings_error.cc
@@ -11,18 +11,18 @@
   return kNames.at(static_cast<std::size_t>(code));
 }
 
-std::string FormatSettingsError(const SettingsError& fault) {
-  std::string line = fault.file;
-  if (fault.line > 0) {
-    line += ":" + std::to_string(fault.line);
+std::string FormatSettingsError(const SettingsError& error) {
+  std::string line = error.file;
+  if (error.line > 0) {
+    line += ":" + std::to_string(error.line);
   }
   line += ": ";
-  if (!fault.field.empty()) {
-    line += fault.field + ": ";
+  if (!error.field.empty()) {
+    line += error.field + ": ";
   }
-  line += NameOf(fault.code);
-  if (!fault.allowed.empty()) {
-    line += "; allowed: " + fault.allowed;
+  line += NameOf(error.code);
+  if (!error.allowed.empty()) {
+    line += "; allowed: " + error.allowed;
   }
   return line;
 }
--- a/lib/libmedlarcroft/source/adapters/process/settings_error.h
+++ b/lib/libmedlarcroft/source/adapters/process/settings_error.h
@@ -7,34 +7,34 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief What is wrong with a place in a settings file.
+/// @brief Kinds of errors in a settings file.
 enum class SettingsErrorCode {
   kUnreadable,    ///< The file can't be read.
-  kNotYaml,       ///< The text is no YAML document.
-  kUnknownKey,    ///< No setting has that name.
-  kDuplicateKey,  ///< The same name twice; one value would be lost.
-  kMissing,       ///< A required setting is not there.
-  kWrongType,     ///< For example a list in place of a number.
+  kNotYaml,       ///< The text is not valid YAML.
+  kUnknownKey,    ///< No setting has this name.
+  kDuplicateKey,  ///< The name occurs twice; one value would be lost.
+  kMissing,       ///< A required setting is missing.
+  kWrongType,     ///< For example a list instead of a number.
   kOutOfRange,    ///< Below the minimum or above the maximum.
-  kNotAllowed,    ///< The text does not have the form that is asked for.
+  kNotAllowed,    ///< The text does not have the required form.
 };
 
-/// @brief One fault, with what an operator needs to mend it.
+/// @brief An error with the details that an operator needs to fix it.
 struct SettingsError {
   SettingsErrorCode code = SettingsErrorCode::kUnreadable;
   std::string file;
-  int line = 0;         ///< From 1; 0 when no line is to blame.
+  int line = 0;         ///< Counted from 1; 0 when no line applies.
   std::string field;    ///< For example "operators[2].token".
-  std::string allowed;  ///< What may stand there.
+  std::string allowed;  ///< Description of the allowed values.
 };
 
 using SettingsErrors = std::vector<SettingsError>;
 
-/// @return the code's name as printed, for example "out-of-range".
+/// @return the printed name of the code, for example "out-of-range".
 [[nodiscard]] std::string_view NameOf(SettingsErrorCode code);
 
-/// @return one line for people: "file:line: field: fault; allowed: …".
-[[nodiscard]] std::string FormatSettingsError(const SettingsError& fault);
+/// @return a human-readable line: "file:line: field: error; allowed: …".
+[[nodiscard]] std::string FormatSettingsError(const SettingsError& error);
 
 }  // namespace medlarcroft::adapters
 
--- a/lib/libmedlarcroft/source/adapters/process/settings_field.cc
+++ b/lib/libmedlarcroft/source/adapters/process/settings_field.cc
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr std::string_view kMask = "(secret)";
+constexpr std::string_view kMaskedSecret = "(secret)";
 
-std::string Join(std::string_view path, std::string_view name) {
+std::string JoinPath(std::string_view path, std::string_view name) {
   return path.empty() ? std::string(name)
                       : std::string(path) + "." + std::string(name);
 }
@@ -33,43 +33,44 @@
   return names;
 }
 
-/// @brief Checks the key, then reads the value.
+/// @brief Checks one key of a mapping, then reads its value.
 void ReadMember(std::span<const SettingField> fields,
                 void* settings,
-                const SettingPlace& parent,
+                const SettingLocation& parent,
                 const YAML::Node& key,
                 const YAML::Node& value,
                 std::set<std::string>& seen) {
   const std::string name = key.IsScalar() ? key.Scalar() : std::string("?");
-  const std::string path = Join(parent.path, name);
+  const std::string path = JoinPath(parent.path, name);
   const SettingField* field = FindField(fields, name);
   if (field == nullptr) {
-    parent.sink.Add(SettingsErrorCode::kUnknownKey, key, path,
-                    ListNames(fields));
+    parent.errors.Add(SettingsErrorCode::kUnknownKey, key, path,
+                      ListNames(fields));
     return;
   }
   if (!seen.insert(name).second) {
-    parent.sink.Add(SettingsErrorCode::kDuplicateKey, key, path,
-                    "each name once");
+    parent.errors.Add(SettingsErrorCode::kDuplicateKey, key, path,
+                      "each name once");
     return;
   }
-  // Failure: a template is filled in where a value does not exist. Symptom: the
-  // name stands there with nothing behind it and the program refuses to start.
-  // It counts as not given; a required one is still a fault.
+  // Failure: a template is expanded in a deployment that lacks a value.
+  // Symptom: the key is present with an empty value, and the program refuses to
+  // start. So an empty value counts as not set; for a required setting it stays
+  // an error.
   if (value.IsNull() && !field->options.is_required) {
     return;
   }
-  field->read(settings, {.node = value, .path = path, .sink = parent.sink});
+  field->read(settings, {.node = value, .path = path, .errors = parent.errors});
 }
 
 }  // namespace
 
-void SettingsFaultSink::Add(SettingsErrorCode code,
-                            const YAML::Node& node,
-                            std::string_view field,
-                            std::string_view allowed) {
+void SettingsErrorCollector::Add(SettingsErrorCode code,
+                                 const YAML::Node& node,
+                                 std::string_view field,
+                                 std::string_view allowed) {
   const YAML::Mark mark = node.Mark();
-  faults_.push_back({.code = code,
+  errors_.push_back({.code = code,
                      .file = file_,
                      .line = mark.is_null() ? 0 : mark.line + 1,
                      .field = std::string(field),
@@ -78,21 +79,21 @@
 
 void ReadMapping(std::span<const SettingField> fields,
                  void* settings,
-                 const SettingPlace& place) {
-  if (!place.node.IsMap()) {
-    place.sink.Add(SettingsErrorCode::kWrongType, place.node, place.path,
-                   "a mapping of " + ListNames(fields));
+                 const SettingLocation& location) {
+  if (!location.node.IsMap()) {
+    location.errors.Add(SettingsErrorCode::kWrongType, location.node,
+                        location.path, "a mapping of " + ListNames(fields));
     return;
   }
 
   std::set<std::string> seen;
-  for (const auto& member : place.node) {
-    ReadMember(fields, settings, place, member.first, member.second, seen);
+  for (const auto& member : location.node) {
+    ReadMember(fields, settings, location, member.first, member.second, seen);
   }
   for (const SettingField& field : fields) {
     if (field.options.is_required && !seen.contains(field.name)) {
-      place.sink.Add(SettingsErrorCode::kMissing, place.node,
-                     Join(place.path, field.name), field.type);
+      location.errors.Add(SettingsErrorCode::kMissing, location.node,
+                          JoinPath(location.path, field.name), field.type);
     }
   }
 }
@@ -102,7 +103,7 @@
   YAML::Node mapping(YAML::NodeType::Map);
   for (const SettingField& field : fields) {
     if (field.options.is_secret) {
-      mapping[field.name] = std::string(kMask);
+      mapping[field.name] = std::string(kMaskedSecret);
     } else {
       mapping[field.name] = field.write(settings);
     }
@@ -110,124 +111,133 @@
   return mapping;
 }
 
-void ReadText(const SettingPlace& place, TextRule rule, std::string& value) {
-  if (!place.node.IsScalar()) {
-    place.sink.Add(SettingsErrorCode::kWrongType, place.node, place.path,
-                   rule.allowed);
+void ReadText(const SettingLocation& location,
+              TextRule rule,
+              std::string& value) {
+  if (!location.node.IsScalar()) {
+    location.errors.Add(SettingsErrorCode::kWrongType, location.node,
+                        location.path, rule.allowed);
     return;
   }
-  if (!rule.is_allowed(place.node.Scalar())) {
-    place.sink.Add(SettingsErrorCode::kNotAllowed, place.node, place.path,
-                   rule.allowed);
+  if (!rule.is_allowed(location.node.Scalar())) {
+    location.errors.Add(SettingsErrorCode::kNotAllowed, location.node,
+                        location.path, rule.allowed);
     return;
   }
-  value = place.node.Scalar();
+  value = location.node.Scalar();
 }
 
-void ReadInteger(const SettingPlace& place,
+void ReadInteger(const SettingLocation& location,
                  SettingRange range,
                  std::int64_t& value) {
   const std::string allowed = DescribeRange("integer", range);
-  const std::string text = place.node.IsScalar() ? place.node.Scalar() : "";
+  const std::string text =
+      location.node.IsScalar() ? location.node.Scalar() : "";
   std::int64_t number = 0;
   const char* end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, number);
   if (error == std::errc::result_out_of_range) {
-    place.sink.Add(SettingsErrorCode::kOutOfRange, place.node, place.path,
-                   allowed);
+    location.errors.Add(SettingsErrorCode::kOutOfRange, location.node,
+                        location.path, allowed);
     return;
   }
   if (text.empty() || error != std::errc() || stop != end) {
-    place.sink.Add(SettingsErrorCode::kWrongType, place.node, place.path,
-                   allowed);
+    location.errors.Add(SettingsErrorCode::kWrongType, location.node,
+                        location.path, allowed);
     return;
   }
   if (number < range.minimum || number > range.maximum) {
-    place.sink.Add(SettingsErrorCode::kOutOfRange, place.node, place.path,
-                   allowed);
+    location.errors.Add(SettingsErrorCode::kOutOfRange, location.node,
+                        location.path, allowed);
     return;
   }
   value = number;
 }
 
-void ReadDuration(const SettingPlace& place,
+void ReadDuration(const SettingLocation& location,
                   SettingRange range,
                   Duration& value) {
-  const std::string text = place.node.IsScalar() ? place.node.Scalar() : "";
+  const std::string text =
+      location.node.IsScalar() ? location.node.Scalar() : "";
   const std::optional<Duration> duration = ParseDuration(text);
   const std::string allowed =
       DescribeRange("duration with unit, milliseconds", range);
   if (!duration) {
-    place.sink.Add(SettingsErrorCode::kWrongType, place.node, place.path,
-                   allowed);
+    location.errors.Add(SettingsErrorCode::kWrongType, location.node,
+                        location.path, allowed);
     return;
   }
   const std::int64_t milliseconds = ToMilliseconds(*duration);
   if (milliseconds < range.minimum || milliseconds > range.maximum) {
-    place.sink.Add(SettingsErrorCode::kOutOfRange, place.node, place.path,
-                   allowed);
+    location.errors.Add(SettingsErrorCode::kOutOfRange, location.node,
+                        location.path, allowed);
     return;
   }
   value = *duration;
 }
 
-void ReadReal(const SettingPlace& place, RealRange range, double& value) {
+void ReadReal(const SettingLocation& location, RealRange range, double& value) {
   double number = 0;
-  if (!place.node.IsScalar() ||
-      !YAML::convert<double>::decode(place.node, number)) {
-    place.sink.Add(SettingsErrorCode::kWrongType, place.node, place.path,
-                   DescribeRange(range));
+  if (!location.node.IsScalar() ||
+      !YAML::convert<double>::decode(location.node, number)) {
+    location.errors.Add(SettingsErrorCode::kWrongType, location.node,
+                        location.path, DescribeRange(range));
     return;
   }
   if (!(number >= range.minimum && number <= range.maximum)) {
-    place.sink.Add(SettingsErrorCode::kOutOfRange, place.node, place.path,
-                   DescribeRange(range));
+    location.errors.Add(SettingsErrorCode::kOutOfRange, location.node,
+                        location.path, DescribeRange(range));
     return;
   }
   value = number;
 }
 
-void ReadFlag(const SettingPlace& place, bool& value) {
-  const std::string text = place.node.IsScalar() ? place.node.Scalar() : "";
+void ReadFlag(const SettingLocation& location, bool& value) {
+  const std::string text =
+      location.node.IsScalar() ? location.node.Scalar() : "";
   if (text != "true" && text != "false") {
-    place.sink.Add(SettingsErrorCode::kWrongType, place.node, place.path,
-                   "true or false");
+    location.errors.Add(SettingsErrorCode::kWrongType, location.node,
+                        location.path, "true or false");
     return;
   }
   value = text == "true";
 }
 
-std::size_t ReadChoice(const SettingPlace& place,
+std::size_t ReadChoice(const SettingLocation& location,
                        std::span<const std::string_view> choices) {
-  const std::string text = place.node.IsScalar() ? place.node.Scalar() : "";
+  const std::string text =
+      location.node.IsScalar() ? location.node.Scalar() : "";
   const auto found = std::find(choices.begin(), choices.end(), text);
   if (found == choices.end()) {
-    place.sink.Add(place.node.IsScalar() ? SettingsErrorCode::kNotAllowed
-                                         : SettingsErrorCode::kWrongType,
-                   place.node, place.path, DescribeChoices(choices));
+    location.errors.Add(location.node.IsScalar()
+                            ? SettingsErrorCode::kNotAllowed
+                            : SettingsErrorCode::kWrongType,
+                        location.node, location.path, DescribeChoices(choices));
   }
   return static_cast<std::size_t>(found - choices.begin());
 }
 
-void ReadList(const SettingPlace& place,
+void ReadList(const SettingLocation& location,
               ListSize size,
-              const std::function<void(const SettingPlace&)>& read_item) {
-  if (!place.node.IsSequence()) {
-    place.sink.Add(SettingsErrorCode::kWrongType, place.node, place.path,
-                   "a list");
+              const std::function<void(const SettingLocation&)>& read_item) {
+  if (!location.node.IsSequence()) {
+    location.errors.Add(SettingsErrorCode::kWrongType, location.node,
+                        location.path, "a list");
     return;
   }
-  if (place.node.size() < size.least || place.node.size() > size.most) {
-    place.sink.Add(SettingsErrorCode::kOutOfRange, place.node, place.path,
-                   std::to_string(size.least) + " to " +
-                       std::to_string(size.most) + " items");
+  if (location.node.size() < size.minimum ||
+      location.node.size() > size.maximum) {
+    location.errors.Add(SettingsErrorCode::kOutOfRange, location.node,
+                        location.path,
+                        std::to_string(size.minimum) + " to " +
+                            std::to_string(size.maximum) + " items");
     return;
   }
   std::size_t index = 0;
-  for (const YAML::Node& item : place.node) {
+  for (const YAML::Node& item : location.node) {
     const std::string path =
-        std::string(place.path) + "[" + std::to_string(index++) + "]";
-    read_item({.node = item, .path = path, .sink = place.sink});
+        std::string(location.path) + "[" + std::to_string(index++) + "]";
+    read_item({.node = item, .path = path, .errors = location.errors});
   }
 }
 
--- a/lib/libmedlarcroft/source/adapters/process/settings_field.h
+++ b/lib/libmedlarcroft/source/adapters/process/settings_field.h
@@ -16,104 +16,108 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief What a setting says of itself, for checks and for the reference page.
+/// @brief Properties of a setting, used for checks and for the reference page.
 struct SettingOptions {
   std::string description;
   bool is_required = false;
-  bool is_reloadable = false;  ///< SIGHUP takes a new value.
+  bool is_reloadable = false;  ///< SIGHUP applies a new value.
   bool is_secret = false;      ///< Never printed.
 };
 
-/// @brief Bounds of a number, both allowed.
+/// @brief Inclusive range of an integer.
 struct SettingRange {
   std::int64_t minimum = 0;
   std::int64_t maximum = std::numeric_limits<std::int64_t>::max();
 };
 
-/// @brief How many items a list may have.
+/// @brief Allowed number of items of a list, inclusive.
 struct ListSize {
-  std::size_t least = 0;
-  std::size_t most = 1024;
+  std::size_t minimum = 0;
+  std::size_t maximum = 1024;
 };
 
-/// @brief Bounds of a number with a fraction, both allowed.
+/// @brief Inclusive range of a floating-point number.
 struct RealRange {
   double minimum = 0;
   double maximum = 1;
 };
 
-/// The type of a list whose items have fields of their own.
+/// Type name of a list whose items are mappings with fields of their own.
 constexpr std::string_view kListOfMappings = "list of mappings";
 
-/// @brief The form a text must have.
+/// @brief Validation rule of a text setting.
 struct TextRule {
   bool (*is_allowed)(std::string_view text);
-  std::string_view allowed;  ///< For people.
+  std::string_view allowed;  ///< Description for error messages.
 };
 
-/// @brief Gathers the faults of one file.
-class SettingsFaultSink {
+/// @brief Collects the errors of one file.
+class SettingsErrorCollector {
  public:
-  explicit SettingsFaultSink(std::string_view file) : file_(file) {}
+  explicit SettingsErrorCollector(std::string_view file) : file_(file) {}
 
   void Add(SettingsErrorCode code,
            const YAML::Node& node,
            std::string_view field,
            std::string_view allowed);
-  [[nodiscard]] SettingsErrors Take() { return std::move(faults_); }
+  [[nodiscard]] SettingsErrors Take() { return std::move(errors_); }
 
  private:
   std::string file_;
-  SettingsErrors faults_;
+  SettingsErrors errors_;
 };
 
-/// @brief Where a value stands: for messages.
-struct SettingPlace {
+/// @brief A value in the settings document, with its path and the collector
+/// that receives its errors.
+struct SettingLocation {
   const YAML::Node& node;
   std::string_view path;
-  SettingsFaultSink& sink;
+  SettingsErrorCollector& errors;
 };
 
-/// @brief One setting of a schema, with its owner's type erased: `settings`
-/// points to the structure that the schema was made for.
+/// @brief One setting of a schema. The type of the structure is erased:
+/// `settings` points to an instance of the schema's structure.
 struct SettingField {
   std::string name;
-  std::string type;  ///< For people: "integer, 1 to 64".
+  std::string type;  ///< Human-readable, such as "integer, 1 to 64".
   SettingOptions options;
-  /// The members of a group, or of the items of a list.
+  /// The fields of a group, or of each item of a list.
   std::vector<SettingField> children;
-  std::function<void(void* settings, const SettingPlace& place)> read;
+  std::function<void(void* settings, const SettingLocation& location)> read;
   std::function<YAML::Node(const void* settings)> write;
 };
 
-/// @brief Reads a mapping into `settings`; every key must be a field's.
+/// @brief Reads a mapping into `settings`. Unknown and duplicate keys and
+/// missing required keys are errors.
 void ReadMapping(std::span<const SettingField> fields,
                  void* settings,
-                 const SettingPlace& place);
+                 const SettingLocation& location);
 
-/// @return the mapping of all fields, secrets masked.
+/// @return a mapping of all fields, with secrets masked.
 [[nodiscard]] YAML::Node WriteMapping(std::span<const SettingField> fields,
                                       const void* settings);
 
-// Readers of single values. Each reports a fault and leaves `value` alone when
-// it can't take what stands there.
-void ReadText(const SettingPlace& place, TextRule rule, std::string& value);
-void ReadInteger(const SettingPlace& place,
+// Functions that read single values. When the node is not valid, each of them
+// reports an error and leaves `value` unchanged.
+void ReadText(const SettingLocation& location,
+              TextRule rule,
+              std::string& value);
+void ReadInteger(const SettingLocation& location,
                  SettingRange range,
                  std::int64_t& value);
 /// @param range in milliseconds.
-void ReadDuration(const SettingPlace& place,
+void ReadDuration(const SettingLocation& location,
                   SettingRange range,
                   Duration& value);
-void ReadReal(const SettingPlace& place, RealRange range, double& value);
-void ReadFlag(const SettingPlace& place, bool& value);
-/// @return the index of the choice, or the number of choices for a fault.
-[[nodiscard]] std::size_t ReadChoice(const SettingPlace& place,
+void ReadReal(const SettingLocation& location, RealRange range, double& value);
+void ReadFlag(const SettingLocation& location, bool& value);
+/// @return the index of the choice, or the number of choices on error.
+[[nodiscard]] std::size_t ReadChoice(const SettingLocation& location,
                                      std::span<const std::string_view> choices);
-/// @brief Calls `read_item` with the place of each item of a list.
-void ReadList(const SettingPlace& place,
+/// @brief Calls `read_item` with the location of each list item.
+void ReadList(const SettingLocation& location,
               ListSize size,
-              const std::function<void(const SettingPlace&)>& read_item);
+              const std::function<void(const SettingLocation&)>& read_item);
 
 /// @return "integer, 1 to 64".
 [[nodiscard]] std::string DescribeRange(std::string_view type,
--- a/lib/libmedlarcroft/source/adapters/process/settings_schema.h
+++ b/lib/libmedlarcroft/source/adapters/process/settings_schema.h
@@ -13,9 +13,10 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Declares the settings of a structure: one call a member. A member
-/// that the file does not name keeps the structure's own default. Durations
-/// are whole milliseconds in the file; their names end in `_ms`.
+/// @brief Describes how a settings file maps to a structure; one call declares
+/// one member. A member that the file does not set keeps the default of the
+/// structure. Durations declared with `Milliseconds` are integers in the file,
+/// and their names end in `_ms`.
 template <typename Settings>
 class SettingsSchema {
  public:
@@ -25,8 +26,8 @@
                        SettingOptions options) {
     return Add(
         name, std::string(rule.allowed), std::move(options),
-        [=](Settings& settings, const SettingPlace& place) {
-          ReadText(place, rule, settings.*member);
+        [=](Settings& settings, const SettingLocation& location) {
+          ReadText(location, rule, settings.*member);
         },
         [=](const Settings& settings) { return MakeNode(settings.*member); });
   }
@@ -38,9 +39,9 @@
                           SettingOptions options) {
     return Add(
         name, DescribeRange("integer", range), std::move(options),
-        [=](Settings& settings, const SettingPlace& place) {
+        [=](Settings& settings, const SettingLocation& location) {
           auto value = static_cast<std::int64_t>(settings.*member);
-          ReadInteger(place, range, value);
+          ReadInteger(location, range, value);
           settings.*member = static_cast<Number>(value);
         },
         [=](const Settings& settings) {
@@ -54,9 +55,9 @@
                                SettingOptions options) {
     return Add(
         name, DescribeRange("milliseconds", range), std::move(options),
-        [=](Settings& settings, const SettingPlace& place) {
+        [=](Settings& settings, const SettingLocation& location) {
           std::int64_t value = ToMilliseconds(settings.*member);
-          ReadInteger(place, range, value);
+          ReadInteger(location, range, value);
           settings.*member = std::chrono::milliseconds(value);
         },
         [=](const Settings& settings) {
@@ -64,7 +65,8 @@
         });
   }
 
-  /// A duration that the file writes with its unit, "1500ms" or "2.5s".
+  /// A duration with a unit in the file, such as "1500ms" or "2.5s".
+  /// @param range in milliseconds.
   SettingsSchema& DurationText(std::string_view name,
                                Duration Settings::*member,
                                SettingRange range,
@@ -72,8 +74,8 @@
     return Add(
         name, DescribeRange("duration with unit, milliseconds", range),
         std::move(options),
-        [=](Settings& settings, const SettingPlace& place) {
-          ReadDuration(place, range, settings.*member);
+        [=](Settings& settings, const SettingLocation& location) {
+          ReadDuration(location, range, settings.*member);
         },
         [=](const Settings& settings) {
           return MakeNode(FormatDuration(settings.*member));
@@ -86,8 +88,8 @@
                        SettingOptions options) {
     return Add(
         name, DescribeRange(range), std::move(options),
-        [=](Settings& settings, const SettingPlace& place) {
-          ReadReal(place, range, settings.*member);
+        [=](Settings& settings, const SettingLocation& location) {
+          ReadReal(location, range, settings.*member);
         },
         [=](const Settings& settings) { return MakeNode(settings.*member); });
   }
@@ -97,13 +99,14 @@
                        SettingOptions options) {
     return Add(
         name, "true or false", std::move(options),
-        [=](Settings& settings, const SettingPlace& place) {
-          ReadFlag(place, settings.*member);
+        [=](Settings& settings, const SettingLocation& location) {
+          ReadFlag(location, settings.*member);
         },
         [=](const Settings& settings) { return MakeNode(settings.*member); });
   }
 
-  /// @param choices names of the enumerators in their order; static storage.
+  /// @param choices names of the enumerators, in their order; must have static
+  /// storage duration.
   template <typename Enum>
   SettingsSchema& Choice(std::string_view name,
                          Enum Settings::*member,
@@ -111,8 +114,8 @@
                          SettingOptions options) {
     return Add(
         name, DescribeChoices(choices), std::move(options),
-        [=](Settings& settings, const SettingPlace& place) {
-          const std::size_t index = ReadChoice(place, choices);
+        [=](Settings& settings, const SettingLocation& location) {
+          const std::size_t index = ReadChoice(location, choices);
           if (index < choices.size()) {
             settings.*member = static_cast<Enum>(index);
           }
@@ -130,10 +133,10 @@
                            ListSize size = {}) {
     return Add(
         name, "list of: " + std::string(rule.allowed), std::move(options),
-        [=](Settings& settings, const SettingPlace& place) {
+        [=](Settings& settings, const SettingLocation& location) {
           auto& list = settings.*member;
           list.clear();
-          ReadList(place, size, [&](const SettingPlace& item) {
+          ReadList(location, size, [&](const SettingLocation& item) {
             ReadText(item, rule, list.emplace_back());
           });
         },
@@ -154,8 +157,8 @@
     const std::vector<SettingField>& fields = schema.Fields();
     Add(
         name, "mapping", std::move(options),
-        [=](Settings& settings, const SettingPlace& place) {
-          ReadMapping(fields, &(settings.*member), place);
+        [=](Settings& settings, const SettingLocation& location) {
+          ReadMapping(fields, &(settings.*member), location);
         },
         [=](const Settings& settings) {
           return WriteMapping(fields, &(settings.*member));
@@ -172,10 +175,10 @@
     const std::vector<SettingField>& fields = schema.Fields();
     Add(
         name, std::string(kListOfMappings), std::move(options),
-        [=](Settings& settings, const SettingPlace& place) {
+        [=](Settings& settings, const SettingLocation& location) {
           auto& list = settings.*member;
           list.clear();
-          ReadList(place, {}, [&](const SettingPlace& item) {
+          ReadList(location, {}, [&](const SettingLocation& item) {
             ReadMapping(fields, &list.emplace_back(), item);
           });
         },
@@ -211,8 +214,8 @@
     SettingField field{.name = std::string(name),
                        .type = std::move(type),
                        .options = std::move(options)};
-    field.read = [read](void* settings, const SettingPlace& place) {
-      read(*static_cast<Settings*>(settings), place);
+    field.read = [read](void* settings, const SettingLocation& location) {
+      read(*static_cast<Settings*>(settings), location);
     };
     field.write = [write](const void* settings) {
       return write(*static_cast<const Settings*>(settings));
--- a/lib/libmedlarcroft/source/adapters/process/socket_address.h
+++ b/lib/libmedlarcroft/source/adapters/process/socket_address.h
@@ -13,7 +13,7 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief An IP number and a port; names are never resolved.
+/// @brief An IP address and a port. Host names are never resolved.
 struct SocketAddress {
   sockaddr_storage storage{};
   socklen_t length = 0;
@@ -24,19 +24,19 @@
   [[nodiscard]] bool IsIpv6() const { return storage.ss_family == AF_INET6; }
 };
 
-/// @param text "127.0.0.1:80" or "[::1]:80".
-/// @return nullopt when `text` is no IP number with a port.
+/// @param text for example "127.0.0.1:80" or "[::1]:80".
+/// @return nullopt when `text` is not an IP address with a port.
 [[nodiscard]] std::optional<SocketAddress> ParseSocketAddress(
     std::string_view text);
 
-/// @return the IP number alone, empty for other families.
+/// @return the IP address without the port; empty for other address families.
 [[nodiscard]] std::string FormatIpAddress(const sockaddr& address);
 
-/// @return a client's address from its IP number, or nullopt.
+/// @return the client address, or nullopt when `ip` is not an IP address.
 [[nodiscard]] std::optional<steering::ClientAddress> ParseClientAddress(
     std::string_view ip);
 
-/// @return the port of an IP address, 0 for other families.
+/// @return the port, or 0 for address families other than IP.
 [[nodiscard]] std::uint16_t PortOf(const sockaddr& address);
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/process/span_output.cc
+++ b/lib/libmedlarcroft/source/adapters/process/span_output.cc
@@ -13,19 +13,19 @@
   }
   auto opened = OtlpFileExporter::Open(settings.trace_file, resource);
   if (IsOk(opened)) {
-    file_ = TakeValue(std::move(opened));
+    file_exporter_ = TakeValue(std::move(opened));
   } else {
-    // Traces are a help, not a duty: the daemon serves without them.
+    // Tracing is optional: the daemon runs without it.
     Log(LogLevel::kError, "trace-file-refused",
         {{"file", settings.trace_file}});
   }
 }
 
 telemetry::SpanExporter& SpanOutput::Exporter() {
-  if (file_) {
-    return *file_;
+  if (file_exporter_) {
+    return *file_exporter_;
   }
-  return none_;
+  return null_exporter_;
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/process/span_output.h
+++ b/lib/libmedlarcroft/source/adapters/process/span_output.h
@@ -10,7 +10,8 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Where a daemon's spans go by its settings: a file, or nowhere.
+/// @brief Selects the span exporter of a daemon by its settings: an OTLP file,
+/// or an exporter that discards all spans.
 class SpanOutput {
  public:
   SpanOutput(const TelemetrySettings& settings, const SpanResource& resource);
@@ -18,13 +19,13 @@
   [[nodiscard]] telemetry::SpanExporter& Exporter();
 
  private:
-  class NoExporter final : public telemetry::SpanExporter {
+  class NullExporter final : public telemetry::SpanExporter {
    public:
     void Export(telemetry::Span /*span*/) override {}
   };
 
-  NoExporter none_;
-  std::unique_ptr<OtlpFileExporter> file_;
+  NullExporter null_exporter_;
+  std::unique_ptr<OtlpFileExporter> file_exporter_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/process/steerd_settings.h
+++ b/lib/libmedlarcroft/source/adapters/process/steerd_settings.h
@@ -9,14 +9,14 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief An operator, known by a bearer token.
+/// @brief An operator, authenticated by a bearer token.
 struct OperatorSettings {
   std::string owner;
   std::string token;
 };
 
-/// @brief What control may spend on this host. The planned size allows 1.9% of
-/// a core, 64 MB and 7 KB/s in all.
+/// @brief Resource budgets of the control plane on this host. At the planned
+/// deployment size it may use 1.9% of a core, 64 MB and 7 KB/s in total.
 struct BudgetSettings {
   std::int64_t peer_bytes_per_second = 7000;
   std::int64_t platform_reads_per_minute = 120;
--- a/lib/libmedlarcroft/source/adapters/process/system_clock.h
+++ b/lib/libmedlarcroft/source/adapters/process/system_clock.h
@@ -5,9 +5,9 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief The machine's clocks. Monotonic time comes from CLOCK_BOOTTIME: a
-/// host whose machine was suspended must see that its leases ran on meanwhile,
-/// which CLOCK_MONOTONIC would hide.
+/// @brief The clocks of the operating system. Monotonic time is CLOCK_BOOTTIME:
+/// after a suspension, a host must see that its leases continued to run, which
+/// CLOCK_MONOTONIC would hide.
 class SystemClock final : public ports::Clock {
  public:
   [[nodiscard]] MonotonicTime Now() const override;
--- a/lib/libmedlarcroft/source/adapters/process/system_random.h
+++ b/lib/libmedlarcroft/source/adapters/process/system_random.h
@@ -7,8 +7,8 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Seeded from the system once; for spreading load, not for secrets. Not
-/// safe to share between threads.
+/// @brief Pseudo-random numbers seeded once from `std::random_device`, for load
+/// distribution; not cryptographically secure. Not thread-safe.
 class SystemRandom final : public ports::RandomSource {
  public:
   SystemRandom() : engine_(Seed()) {}
--- a/lib/libmedlarcroft/source/adapters/process/text_file.h
+++ b/lib/libmedlarcroft/source/adapters/process/text_file.h
@@ -6,8 +6,8 @@
 
 namespace medlarcroft::adapters {
 
-/// @return the file's text; empty for an empty path; nullopt when it can't be
-/// read.
+/// @return the contents of the file; an empty string for an empty path; nullopt
+/// when the file can't be opened.
 [[nodiscard]] std::optional<std::string> ReadTextFile(const std::string& path);
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/process/text_rules.cc
+++ b/lib/libmedlarcroft/source/adapters/process/text_rules.cc
@@ -12,25 +12,25 @@
 
 constexpr std::size_t kMaxNameLength = 128;
 constexpr std::size_t kMaxPathLength = 4096;
-constexpr std::uint32_t kLoopbackNetwork = 127;
+constexpr std::uint32_t kIpv4LoopbackPrefix = 127;
 
-bool IsInRange(char symbol, char first, char last) {
-  return symbol >= first && symbol <= last;
+bool IsInRange(char character, char first, char last) {
+  return character >= first && character <= last;
 }
 
-bool IsNameSymbol(char symbol) {
-  return IsInRange(symbol, 'a', 'z') || IsInRange(symbol, 'A', 'Z') ||
-         IsInRange(symbol, '0', '9') || symbol == '.' || symbol == '_' ||
-         symbol == '-';
+bool IsNameCharacter(char character) {
+  return IsInRange(character, 'a', 'z') || IsInRange(character, 'A', 'Z') ||
+         IsInRange(character, '0', '9') || character == '.' ||
+         character == '_' || character == '-';
 }
 
-bool IsHexDigit(char symbol) {
-  return IsInRange(symbol, '0', '9') || IsInRange(symbol, 'a', 'f') ||
-         IsInRange(symbol, 'A', 'F');
+bool IsHexDigit(char character) {
+  return IsInRange(character, '0', '9') || IsInRange(character, 'a', 'f') ||
+         IsInRange(character, 'A', 'F');
 }
 
-bool IsPrintable(char symbol) {
-  return IsInRange(symbol, '!', '~');
+bool IsPrintable(char character) {
+  return IsInRange(character, '!', '~');
 }
 
 bool IsLengthWithin(std::string_view text,
@@ -43,7 +43,7 @@
 
 bool IsSettingName(std::string_view text) {
   return IsLengthWithin(text, 1, kMaxNameLength) &&
-         std::all_of(text.begin(), text.end(), &IsNameSymbol);
+         std::all_of(text.begin(), text.end(), &IsNameCharacter);
 }
 
 bool IsAddressText(std::string_view text) {
@@ -60,7 +60,7 @@
     return IN6_IS_ADDR_LOOPBACK(&v6->sin6_addr);
   }
   const auto* v4 = reinterpret_cast<const sockaddr_in*>(address->Get());
-  return ntohl(v4->sin_addr.s_addr) >> 24U == kLoopbackNetwork;
+  return ntohl(v4->sin_addr.s_addr) >> 24U == kIpv4LoopbackPrefix;
 }
 
 bool IsHttpUrl(std::string_view text) {
--- a/lib/libmedlarcroft/source/adapters/process/text_rules.h
+++ b/lib/libmedlarcroft/source/adapters/process/text_rules.h
@@ -4,7 +4,7 @@
 #include "adapters/process/settings_field.h"
 
 /// @file
-/// @brief The forms of text that settings share.
+/// @brief Validation rules of text settings.
 
 namespace medlarcroft::adapters {
 
@@ -20,14 +20,15 @@
     &IsSettingName, "name: 1 to 128 letters, digits, '.', '_', '-'"};
 constexpr TextRule kAddressText{&IsAddressText,
                                 "IP:port, for example 10.0.0.1:80"};
-/// The listeners that carry no proof of who speaks stay on the host itself.
+/// For listeners without authentication: they must be reachable only from the
+/// host itself.
 constexpr TextRule kLoopbackAddressText{&IsLoopbackAddressText,
                                         "loopback IP:port, 127.x.x.x or [::1]"};
 constexpr TextRule kHttpUrl{&IsHttpUrl, "http://IP:port or https://IP:port"};
-constexpr TextRule kFilePath{&IsFilePath, "path of a file"};
+constexpr TextRule kFilePath{&IsFilePath, "file path"};
 constexpr TextRule kSecretText{&IsSecretText, "8 to 512 printable characters"};
 constexpr TextRule kHexSecret{&IsHexSecret,
-                              "32 to 128 hexadecimal digits, an even number"};
+                              "even number of hexadecimal digits, 32 to 128"};
 
 }  // namespace medlarcroft::adapters
 
--- a/lib/libmedlarcroft/source/adapters/process/version.h
+++ b/lib/libmedlarcroft/source/adapters/process/version.h
@@ -5,7 +5,7 @@
 
 namespace medlarcroft::adapters {
 
-/// The project's version; a test compares it with CMakeLists.txt.
+/// Version of the project; a test compares it with CMakeLists.txt.
 constexpr std::string_view kVersion = "0.1.0";
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/process/worker_thread.cc
+++ b/lib/libmedlarcroft/source/adapters/process/worker_thread.cc
@@ -13,7 +13,7 @@
     const std::lock_guard lock(mutex_);
     is_stopping_ = true;
   }
-  signal_.notify_all();
+  condition_.notify_all();
   thread_.join();
 }
 
@@ -25,7 +25,7 @@
     }
     jobs_.push_back(std::move(job));
   }
-  signal_.notify_one();
+  condition_.notify_one();
   return true;
 }
 
@@ -34,7 +34,7 @@
     const std::lock_guard lock(mutex_);
     jobs_.push_front(std::move(job));
   }
-  signal_.notify_one();
+  condition_.notify_one();
 }
 
 std::size_t WorkerThread::Waiting() const {
@@ -46,7 +46,7 @@
   std::unique_lock lock(mutex_);
   while (!is_stopping_) {
     if (jobs_.empty()) {
-      signal_.wait(lock);
+      condition_.wait(lock);
       continue;
     }
     const Job job = std::move(jobs_.front());
@@ -67,7 +67,7 @@
     const std::lock_guard lock(mutex_);
     is_stopping_ = true;
   }
-  signal_.notify_all();
+  condition_.notify_all();
   thread_.join();
 }
 
@@ -76,7 +76,7 @@
     const std::lock_guard lock(mutex_);
     is_woken_ = true;
   }
-  signal_.notify_all();
+  condition_.notify_all();
 }
 
 void PeriodicThread::Run() {
@@ -85,7 +85,8 @@
     lock.unlock();
     const std::chrono::nanoseconds pause = task_();
     lock.lock();
-    signal_.wait_for(lock, pause, [this] { return is_woken_ || is_stopping_; });
+    condition_.wait_for(lock, pause,
+                        [this] { return is_woken_ || is_stopping_; });
     is_woken_ = false;
   }
 }
--- a/lib/libmedlarcroft/source/adapters/process/worker_thread.h
+++ b/lib/libmedlarcroft/source/adapters/process/worker_thread.h
@@ -10,38 +10,39 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Runs jobs that block, one after the other, on a thread of its own.
+/// @brief Runs blocking jobs sequentially on a background thread.
 class WorkerThread {
  public:
   using Job = std::function<void()>;
 
   WorkerThread();
-  /// Jobs not yet begun are dropped.
+  /// Waits for the running job; queued jobs are dropped.
   ~WorkerThread();
   WorkerThread(const WorkerThread&) = delete;
   WorkerThread& operator=(const WorkerThread&) = delete;
 
-  /// @return false when `max_queued` jobs wait already: `job` will not run.
+  /// @return false when `max_queued` jobs are already queued or the thread is
+  /// stopping; `job` will not run.
   [[nodiscard]] bool Post(Job job, std::size_t max_queued);
 
-  /// @brief Runs `job` before all others that wait; never refused.
+  /// @brief Queues `job` ahead of all waiting jobs; never rejected.
   void PostFront(Job job);
 
-  /// @return jobs that wait; the one that runs is not counted.
+  /// @return the number of queued jobs, without the one that is running.
   [[nodiscard]] std::size_t Waiting() const;
 
  private:
   void Run();
 
   mutable std::mutex mutex_;
-  std::condition_variable signal_;
+  std::condition_variable condition_;
   std::deque<Job> jobs_;
   bool is_stopping_ = false;
   std::thread thread_;
 };
 
-/// @brief Runs a task again and again on a thread of its own, with a pause
-/// after each run that the task chooses.
+/// @brief Runs a task repeatedly on a background thread. The task returns the
+/// pause until its next run.
 class PeriodicThread {
  public:
   /// @param task returns the pause until its next run.
@@ -50,7 +51,8 @@
   PeriodicThread(const PeriodicThread&) = delete;
   PeriodicThread& operator=(const PeriodicThread&) = delete;
 
-  /// @brief Ends the present pause.
+  /// @brief Ends the current pause, or skips the next one when the task is
+  /// running.
   void Wake();
 
  private:
@@ -58,7 +60,7 @@
 
   std::function<std::chrono::nanoseconds()> task_;
   std::mutex mutex_;
-  std::condition_variable signal_;
+  std::condition_variable condition_;
   bool is_woken_ = false;
   bool is_stopping_ = false;
   std::thread thread_;
--- a/tests/unit/adapters/process/log_test.cc
+++ b/tests/unit/adapters/process/log_test.cc
@@ -17,7 +17,7 @@
   return {.program = "p", .host = "h", .failure_domain = "d"};
 }
 
-TEST(LogTest, LineIsOneJsonObjectWithTypedFields) {
+TEST(LogTest, FormatsLineAsJsonObjectWithTypedFields) {
   const std::string trace_id = "ab";
   const std::vector<LogField> fields = {{"count", 3},
                                         {"ratio", 0.5},
@@ -45,9 +45,9 @@
                             {"trace_id", "ab"}}));
 }
 
-// A caller may send any bytes as a header that gets logged. A raw line end
-// would let it forge a line of its own.
-TEST(LogTest, HostileTextCannotBreakTheLine) {
+// A caller may send arbitrary bytes in a header that is logged. An unescaped
+// newline would let the caller forge a log line.
+TEST(LogTest, EscapesControlCharactersAndInvalidUtf8) {
   const std::vector<LogField> fields = {{"header", "a\n{\"b\":1}\xff\"\x01"}};
   const std::string text = FormatLogLine(MakeOptions(), {.event = "e"}, fields);
 
@@ -55,9 +55,10 @@
   EXPECT_TRUE(nlohmann::json::accept(text));
 }
 
-// An embedder starts logging again, with another level. Each line was written
-// once for each start.
-TEST(LogTest, ASecondStartWritesEachLineOnce) {
+// A program that embeds the library initializes logging again, for example with
+// another level. If the earlier appender stayed, each line would be written
+// once per initialization.
+TEST(LogTest, RestartedLoggingWritesEachLineOnce) {
   testing::internal::CaptureStdout();
   for (int start = 0; start < 2; ++start) {
     LogOptions options = MakeOptions();
@@ -70,7 +71,7 @@
   EXPECT_EQ(std::ranges::count(text, '\n'), 1) << text;
 }
 
-TEST(EventRateLimitTest, HoldsBackAndCountsWhatComesTooOften) {
+TEST(EventRateLimitTest, SuppressesAndCountsEventsAboveTheLimit) {
   fakes::ManualClock clock;
   EventRateLimit limit(2);
   EXPECT_EQ(limit.Admit("a", clock.Now()), 0U);
--- a/tests/unit/adapters/process/pipe_appender_test.cc
+++ b/tests/unit/adapters/process/pipe_appender_test.cc
@@ -40,10 +40,11 @@
   std::array<int, 2> ends_{};
 };
 
-// Whoever reads the log stops reading, and the pipe fills. Lines must be lost
-// and counted; a line that waited would hold up every request. When the reader
-// is back, the next line tells how many were lost.
-TEST_F(PipeAppenderTest, AFullPipeCostsLinesAndNothingElse) {
+// The reader of the log stops reading and the pipe fills up. Lines must be
+// dropped and counted, because a blocking write would delay every request. Once
+// the reader resumes, the number of dropped lines is logged before the next
+// line.
+TEST_F(PipeAppenderTest, DropsAndCountsLinesWhenPipeIsFull) {
   PipeAppender appender(ends_[1]);
   const std::string line(1000, 'x');
   for (int i = 0; i < 1000; ++i) {
@@ -59,7 +60,7 @@
                            std::to_string(dropped) + "}\nafter\n");
 }
 
-TEST_F(PipeAppenderTest, ALineIsCutToWhatAPipeTakesAtOnce) {
+TEST_F(PipeAppenderTest, TruncatesLineToAtomicPipeWriteSize) {
   PipeAppender appender(ends_[1]);
   Append(appender, std::string(100'000, 'x'));
 
--- a/tests/unit/adapters/process/program_options_test.cc
+++ b/tests/unit/adapters/process/program_options_test.cc
@@ -29,13 +29,13 @@
   std::string name;
   std::vector<std::string> arguments;
   int exit_status;
-  std::string out;     ///< Part of what is printed.
-  std::string errors;  ///< Part of what is complained.
+  std::string out;     ///< Expected part of the output.
+  std::string errors;  ///< Expected part of the error output.
 };
 
-class CommandLines : public testing::TestWithParam<CommandCase> {};
+class CommandLineTest : public testing::TestWithParam<CommandCase> {};
 
-TEST_P(CommandLines, DoWhatTheySay) {
+TEST_P(CommandLineTest, PrintsOutputAndReturnsExitStatus) {
   const CommandCase& expected = GetParam();
   std::vector<const char*> arguments;
   for (const std::string& argument : expected.arguments) {
@@ -54,16 +54,16 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Front,
     CommandLines,
+    CommandLineTest,
     testing::Values(
         CommandCase{"Version", {"--version"}, 0, "medlar-x 0.", ""},
         CommandCase{"Help", {"--help"}, 0, "--check-settings", ""},
         CommandCase{"Reference", {"--settings-reference"}, 0, "| `host` |", ""},
-        CommandCase{"Nothing", {}, kExitBadUsage, "", "--settings FILE"},
-        CommandCase{"Unknown", {"--bogus"}, kExitBadUsage, "", "bogus"},
-        CommandCase{"Stray", {"stray"}, kExitBadUsage, "", ""},
-        CommandCase{"NoFile",
+        CommandCase{"NoArguments", {}, kExitBadUsage, "", "--settings FILE"},
+        CommandCase{"UnknownOption", {"--bogus"}, kExitBadUsage, "", "bogus"},
+        CommandCase{"PositionalArgument", {"stray"}, kExitBadUsage, "", ""},
+        CommandCase{"UnreadableFile",
                     {"--settings", "/no/such", "--check-settings"},
                     kExitBadSettings,
                     "",
@@ -72,7 +72,7 @@
             "Check",
             {"--settings", SamplePath("steerd.yaml"), "--check-settings"},
             0,
-            "settings are good",
+            "settings are valid",
             ""},
         CommandCase{
             "Print",
@@ -82,7 +82,7 @@
             ""}),
     [](const auto& info) { return info.param.name; });
 
-TEST(ProgramOptionsTest, RunsWithTheSettingsOfTheSample) {
+TEST(ProgramOptionsTest, LoadsTheSampleSettings) {
   const std::string file = SamplePath("entryd.yaml");
   const std::vector<const char*> arguments{"--settings", file.c_str()};
   std::ostringstream out;
@@ -95,20 +95,21 @@
   EXPECT_FALSE(ValueOf(result).settings.host.empty());
 }
 
-TEST(ProgramOptionsTest, VersionIsTheProjects) {
+TEST(ProgramOptionsTest, VersionMatchesCMakeProject) {
   const std::string wanted = "VERSION " + std::string(kVersion) + " ";
   EXPECT_NE(ReadFile("CMakeLists.txt").find(wanted), std::string::npos);
 }
 
-/// @return the operators' page about settings.
+/// @return the expected contents of the settings reference page.
 std::string MakeSettingsPage() {
   const SteerdSettings steerd;
   const EntrydSettings entryd;
   const NodeSettings node;
   return "# Settings\n\n"
-         "Made from the schemas in `lib/libmedlarcroft/source/adapters/"
-         "process/`;\nprinted by each program with `--settings-reference`. "
-         "After a change of a\nschema, write this page with "
+         "Generated from the schemas in `lib/libmedlarcroft/source/adapters/"
+         "process/`.\nEach program prints its part with "
+         "`--settings-reference`. "
+         "After changing a\nschema, regenerate this page with "
          "`scripts/write-settings-page`.\n\n## medlar-steerd\n\n" +
          FormatReference(SteerdSchema().Fields(), &steerd) +
          "\n## medlar-entryd\n\n" +
@@ -116,7 +117,7 @@
          "\n## medlar-node\n\n" + FormatReference(NodeSchema().Fields(), &node);
 }
 
-TEST(SettingsPageTest, IsWhatTheSchemasSay) {
+TEST(SettingsPageTest, MatchesTheSchemas) {
   const std::string page = MakeSettingsPage();
   const char* const file = std::getenv("MEDLARCROFT_WRITE_SETTINGS_PAGE");
   if (file != nullptr) {
--- a/tests/unit/adapters/process/settings_schema_test.cc
+++ b/tests/unit/adapters/process/settings_schema_test.cc
@@ -10,7 +10,7 @@
 namespace medlarcroft::adapters {
 namespace {
 
-constexpr std::string_view kGoodSteerd = R"(host: kg-nyarugenge-1
+constexpr std::string_view kValidSteerdSettings = R"(host: kg-nyarugenge-1
 failure_domain: kg-nyarugenge
 lookup_listen: 127.31.1.1:17001
 peer_listen: 127.31.1.1:17002
@@ -22,8 +22,9 @@
 drain: {pause_ms: 500}
 )";
 
-TEST(SettingsSchemaTest, ReadsWhatIsThereAndKeepsTheOtherDefaults) {
-  const auto result = ParseSettings(SteerdSchema(), kGoodSteerd, "s.yaml");
+TEST(SettingsSchemaTest, ReadsGivenSettingsAndKeepsOtherDefaults) {
+  const auto result =
+      ParseSettings(SteerdSchema(), kValidSteerdSettings, "s.yaml");
 
   ASSERT_TRUE(IsOk(result)) << FormatSettingsError(ErrorOf(result).front());
   const SteerdSettings& settings = ValueOf(result);
@@ -34,8 +35,9 @@
   EXPECT_EQ(settings.drain.limit, DrainSettings().limit);
 }
 
-TEST(SettingsSchemaTest, PrintsSettingsThatReadTheSameWithoutSecrets) {
-  const auto settings = ParseSettings(SteerdSchema(), kGoodSteerd, "s.yaml");
+TEST(SettingsSchemaTest, PrintsSettingsWithMaskedSecrets) {
+  const auto settings =
+      ParseSettings(SteerdSchema(), kValidSteerdSettings, "s.yaml");
   const std::string printed = FormatSettings(SteerdSchema(), ValueOf(settings));
 
   EXPECT_EQ(printed.find("uwimana-demo-token"), std::string::npos);
@@ -43,68 +45,69 @@
   EXPECT_NE(printed.find("limit_ms: 60000"), std::string::npos);
 }
 
-struct FaultCase {
+struct ErrorCase {
   std::string name;
-  std::string extra;  ///< Appended to the good file, from line 11 on.
+  std::string extra;  ///< Appended to the valid file, from line 11 on.
   SettingsErrorCode code;
   int line;
   std::string field;
 };
 
-class SettingsFaultTable : public testing::TestWithParam<FaultCase> {};
+class SettingsErrorTest : public testing::TestWithParam<ErrorCase> {};
 
-TEST_P(SettingsFaultTable, NamesLineFieldAndWhatIsAllowed) {
-  const FaultCase& expected = GetParam();
+TEST_P(SettingsErrorTest, ReportsLineFieldAndAllowedValues) {
+  const ErrorCase& expected = GetParam();
   const auto result = ParseSettings(
-      SteerdSchema(), std::string(kGoodSteerd) + expected.extra, "s.yaml");
+      SteerdSchema(), std::string(kValidSteerdSettings) + expected.extra,
+      "s.yaml");
 
   ASSERT_FALSE(IsOk(result));
   ASSERT_EQ(ErrorOf(result).size(), 1U);
-  const SettingsError& fault = ErrorOf(result).front();
-  EXPECT_EQ(fault.code, expected.code);
-  EXPECT_EQ(fault.file, "s.yaml");
-  EXPECT_EQ(fault.line, expected.line);
-  EXPECT_EQ(fault.field, expected.field);
-  EXPECT_FALSE(fault.allowed.empty());
+  const SettingsError& error = ErrorOf(result).front();
+  EXPECT_EQ(error.code, expected.code);
+  EXPECT_EQ(error.file, "s.yaml");
+  EXPECT_EQ(error.line, expected.line);
+  EXPECT_EQ(error.field, expected.field);
+  EXPECT_FALSE(error.allowed.empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Faults,
-    SettingsFaultTable,
+    Errors,
+    SettingsErrorTest,
     testing::Values(
-        FaultCase{"UnknownKey", "bogus: 1\n", SettingsErrorCode::kUnknownKey,
+        ErrorCase{"UnknownKey", "bogus: 1\n", SettingsErrorCode::kUnknownKey,
                   11, "bogus"},
-        FaultCase{"DuplicateKey", "host: x\n", SettingsErrorCode::kDuplicateKey,
+        ErrorCase{"DuplicateKey", "host: x\n", SettingsErrorCode::kDuplicateKey,
                   11, "host"},
-        FaultCase{"TextForNumber", "threads: many\n",
+        ErrorCase{"TextForNumber", "threads: many\n",
                   SettingsErrorCode::kWrongType, 11, "threads"},
-        FaultCase{"FractionForInteger", "threads: 2.5\n",
+        ErrorCase{"FractionForInteger", "threads: 2.5\n",
                   SettingsErrorCode::kWrongType, 11, "threads"},
-        FaultCase{"BelowMinimum", "threads: 0\n",
+        ErrorCase{"BelowMinimum", "threads: 0\n",
                   SettingsErrorCode::kOutOfRange, 11, "threads"},
-        FaultCase{"TooLongForAnyNumber", "threads: 99999999999999999999\n",
+        ErrorCase{"TooLongForAnyNumber", "threads: 99999999999999999999\n",
                   SettingsErrorCode::kOutOfRange, 11, "threads"},
-        FaultCase{"ListForNumber", "threads: [1]\n",
+        ErrorCase{"ListForNumber", "threads: [1]\n",
                   SettingsErrorCode::kWrongType, 11, "threads"},
-        FaultCase{"NestedRange", "telemetry:\n  trace_sampling: 1.5\n",
+        ErrorCase{"NestedRange", "telemetry:\n  trace_sampling: 1.5\n",
                   SettingsErrorCode::kOutOfRange, 12,
                   "telemetry.trace_sampling"},
-        FaultCase{"NotANumberAtAll", "telemetry: {trace_sampling: .nan}\n",
+        ErrorCase{"NotANumber", "telemetry: {trace_sampling: .nan}\n",
                   SettingsErrorCode::kOutOfRange, 11,
                   "telemetry.trace_sampling"},
-        FaultCase{"UnknownChoice", "telemetry: {log_level: loud}\n",
+        ErrorCase{"UnknownChoice", "telemetry: {log_level: loud}\n",
                   SettingsErrorCode::kNotAllowed, 11, "telemetry.log_level"},
-        FaultCase{"NestedUnknown", "budgets:\n  cpu: 1\n",
+        ErrorCase{"NestedUnknown", "budgets:\n  cpu: 1\n",
                   SettingsErrorCode::kUnknownKey, 12, "budgets.cpu"},
-        FaultCase{"MissingInGroup", "lookup_tls: {certificate: a.pem}\n",
+        ErrorCase{"MissingInGroup", "lookup_tls: {certificate: a.pem}\n",
                   SettingsErrorCode::kMissing, 11, "lookup_tls.key"},
-        FaultCase{"MappingForText", "entry_address: {a: 1}\n",
+        ErrorCase{"MappingForText", "entry_address: {a: 1}\n",
                   SettingsErrorCode::kWrongType, 11, "entry_address"},
-        FaultCase{"HostNameForAddress", "entry_address: localhost:80\n",
+        ErrorCase{"HostNameForAddress", "entry_address: localhost:80\n",
                   SettingsErrorCode::kNotAllowed, 11, "entry_address"}),
     [](const auto& info) { return info.param.name; });
 
-TEST(SettingsSchemaTest, ListsAllFaultsAtOnce) {
+TEST(SettingsSchemaTest, ReportsAllErrorsAtOnce) {
   const auto result = ParseSettings(EntrydSchema(),
                                     R"(host: "bad name"
 listen: 10.0.0.1
@@ -116,8 +119,8 @@
 
   ASSERT_FALSE(IsOk(result));
   std::vector<std::string> fields;
-  for (const SettingsError& fault : ErrorOf(result)) {
-    fields.push_back(fault.field);
+  for (const SettingsError& error : ErrorOf(result)) {
+    fields.push_back(error.field);
   }
   EXPECT_EQ(fields, (std::vector<std::string>{
                         "host", "listen", "routing_address", "key_secrets[0]",
@@ -125,9 +128,9 @@
                         "share_listen", "platform_url"}));
 }
 
-// A template is filled in for a deployment that lacks some values: the names
-// stand there with nothing behind them. The program must start all the same.
-TEST(SettingsSchemaTest, ANameWithNothingBehindItKeepsItsDefault) {
+// A template is expanded in a deployment that lacks some values, so that keys
+// have empty values. The program must still start.
+TEST(SettingsSchemaTest, EmptyValueKeepsTheDefault) {
   const auto result = ParseSettings(NodeSchema(),
                                     R"(host: a
 failure_domain: z
@@ -150,9 +153,9 @@
   EXPECT_EQ(ValueOf(result).bounds.stop_limit, std::chrono::seconds(7));
 }
 
-// Hosts change over to a new secret one after the other, so that two are
-// accepted for a while. A list without any would accept no key at all.
-TEST(SettingsSchemaTest, ListsHaveASize) {
+// Hosts switch to a new secret one after the other, so two secrets are accepted
+// during the change. An empty list would accept no key at all.
+TEST(SettingsSchemaTest, ChecksTheSizeOfLists) {
   for (const std::string_view secrets : {"[]", "[a, b, c]"}) {
     const auto result = ParseSettings(
         EntrydSchema(), "key_secrets: " + std::string(secrets), "e.yaml");
@@ -162,7 +165,7 @@
   }
 }
 
-TEST(SettingsSchemaTest, SaysWhichLineIsNoYaml) {
+TEST(SettingsSchemaTest, ReportsTheLineOfInvalidYaml) {
   const auto result =
       ParseSettings(SteerdSchema(), "host: a\n  b: [\n", "s.yaml");
 
@@ -171,7 +174,7 @@
   EXPECT_GT(ErrorOf(result).front().line, 0);
 }
 
-TEST(SettingsSchemaTest, UnreadableFileIsAFault) {
+TEST(SettingsSchemaTest, ReportsAnUnreadableFile) {
   const auto result = LoadSettings(SteerdSchema(), "/no/such/file.yaml");
 
   ASSERT_FALSE(IsOk(result));
