--- a/lib/libmedlarcroft/include/medlarcroft/emulation/emulated_deployment.h
+++ b/lib/libmedlarcroft/include/medlarcroft/emulation/emulated_deployment.h
@@ -10,12 +10,12 @@
 
 namespace medlarcroft::emulation {
 
-/// @brief A region: its hosts, and the wave in which its demand moves.
+/// @brief A region: its hosts, and the phase of its periodic demand.
 struct EmulatedRegion {
   std::string name;
   std::uint32_t hosts = 1;
-  double demand = 1.0;      ///< Its part of all demand, over the others'.
-  double wave_phase = 0.0;  ///< Of the wave's period, 0 to 1.
+  double demand_weight = 1.0;  ///< Relative to other regions.
+  double wave_phase = 0.0;     ///< Fraction of the period, 0 to 1.
 };
 
 /// @brief Targets of a service in one region.
@@ -24,74 +24,78 @@
   std::uint32_t count = 0;
 };
 
-/// @brief What all targets of a service are like.
+/// @brief A service and the properties that all its targets share.
 struct EmulatedService {
   std::string name;
   std::uint32_t slots = 3;
-  std::uint32_t queue = 9;  ///< Requests that wait there; beyond, not run.
-  /// Objects that a target works faster on, the latest handled ones.
-  std::uint32_t remembered_objects = 30;
-  /// By how much targets differ in speed: work takes 1 - x to 1 + x times.
-  double uneven_by = 0.0;
+  std::uint32_t queue = 9;  ///< Queued requests; more are not run.
+  /// Capacity, in objects, of a target's LRU cache. Requests for a cached
+  /// object are processed faster.
+  std::uint32_t cached_objects = 30;
+  /// Service times of a target are scaled by a constant factor that is drawn
+  /// uniformly from 1 - x to 1 + x.
+  double speed_variation = 0.0;
   std::vector<EmulatedTargets> targets;
 };
 
-/// @brief What callers ask for.
-struct EmulatedKind {
+/// @brief A class of requests that callers send.
+struct EmulatedRequestClass {
   std::string name;
   std::string service;
   routing::RequestKind kind = routing::RequestKind::kIdempotent;
-  double requests_per_second = 10;  ///< Of all regions, over the wave's mean.
-  Duration work = std::chrono::milliseconds(100);  ///< Without the object.
-  double work_spread = 0.15;  ///< Standard deviation over the mean.
-  double warm_work = 0.3;     ///< With the object, over that without.
+  double requests_per_second = 10;  ///< All regions, mean over a period.
+  Duration work = std::chrono::milliseconds(100);  ///< Mean, uncached.
+  double work_spread = 0.15;      ///< Coefficient of variation.
+  double warm_work_factor = 0.3;  ///< Cached over uncached.
   Duration objective = std::chrono::milliseconds(100);
   Duration timeout = std::chrono::milliseconds(300);
   Duration deadline = std::chrono::milliseconds(1000);  ///< Of the caller.
   std::uint32_t max_attempts = 2;
-  std::uint32_t objects = 30;  ///< Of each region's callers.
-  double worth = 1.0;
-  double worth_late = 0.2;
-  std::uint32_t returns = 1;  ///< How often a caller comes back.
+  std::uint32_t objects = 30;  ///< Distinct, per region.
+  double credit = 1.0;
+  double late_credit = 0.2;
+  std::uint32_t caller_retries = 1;  ///< At most, per request.
 };
 
-enum class EmulatedTrouble {
-  kSlow,         ///< Work takes `strength` times as long.
-  kLostAnswers,  ///< That part of the answers is lost, after the work.
-  kGone,         ///< Nothing answers; connections fail.
-  kMoreCallers,  ///< Demand of all regions is `strength` times as high.
-  kCutHosts,     ///< That part of the hosts neither tells nor hears of objects.
-  /// A request that crashes each target that runs it is sent `strength` times a
-  /// second, always with the same fingerprint, to random hosts.
+enum class EmulatedFaultType {
+  kSlow,              ///< Service times are multiplied by `strength`.
+  kLostResponses,     ///< `strength` is the fraction of responses that are
+                      ///< lost after the request ran.
+  kUnreachable,       ///< Connections fail.
+  kIncreasedDemand,   ///< Demand of all regions is multiplied by `strength`.
+  kPartitionedHosts,  ///< Affected hosts neither send nor receive reports.
+  /// A request that crashes every target that runs it is sent `strength` times
+  /// a second to random hosts, always with the same fingerprint.
   kCrashingRequest,
   /// Each affected target declares a rate limit of `strength` requests a
   /// second, summed over all hosts.
   kRateLimit,
 };
 
-/// @brief Something that goes wrong for a while.
+/// @brief A fault that is injected for a limited time.
 struct EmulatedFault {
-  EmulatedTrouble trouble = EmulatedTrouble::kSlow;
-  std::string service;    ///< Empty: all.
-  double part = 0.3;      ///< Of the service's targets, or of the hosts.
-  double strength = 4.0;  ///< By kind.
-  Duration from{0};       ///< After the first arrivals.
+  EmulatedFaultType type = EmulatedFaultType::kSlow;
+  std::string service;    ///< Empty: all services.
+  double fraction = 0.3;  ///< Fraction of the service's targets or hosts.
+  double strength = 4.0;  ///< Meaning depends on the type.
+  Duration from{0};       ///< After the start of the run.
   Duration until{0};
 };
 
-/// @brief All that an emulation is made from; the same seed gives the same run.
+/// @brief Input of an emulation. Runs with the same seed are identical.
 struct EmulatedDeployment {
   std::vector<EmulatedRegion> regions;
   std::vector<EmulatedService> services;
-  std::vector<EmulatedKind> kinds;
+  std::vector<EmulatedRequestClass> request_classes;
   std::vector<EmulatedFault> faults;
-  Duration between_regions = std::chrono::milliseconds(55);  ///< One way.
-  Duration within_region = std::chrono::microseconds(500);   ///< One way.
-  Duration to_callers = std::chrono::milliseconds(8);        ///< One way.
-  double wave_swing = 0.0;  ///< Demand moves by this part of its mean.
+  Duration inter_region_latency = std::chrono::milliseconds(55);   ///< One way.
+  Duration intra_region_latency = std::chrono::microseconds(500);  ///< One way.
+  Duration caller_latency = std::chrono::milliseconds(8);          ///< One way.
+  double wave_amplitude = 0.0;  ///< Of the demand, over its mean.
   Duration wave_period = std::chrono::seconds(36);
-  Duration length = std::chrono::seconds(32);
-  /// Of these windows the two worst count by themselves.
+  Duration duration = std::chrono::seconds(32);
+  /// Length of the windows over which credit is summed. The two worst windows
+  /// have a weight of their own in the score.
   Duration window = std::chrono::seconds(2);
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/emulation/emulated_host.h
+++ b/lib/libmedlarcroft/include/medlarcroft/emulation/emulated_host.h
@@ -14,17 +14,17 @@
 
 namespace medlarcroft::emulation {
 
-/// @brief Random numbers that repeat with their seed.
-class RepeatableRandom final : public ports::RandomSource {
+/// @brief Pseudorandom numbers that are reproducible for a given seed.
+class SeededRandom final : public ports::RandomSource {
  public:
-  explicit RepeatableRandom(std::uint64_t seed) : engine_(seed) {}
+  explicit SeededRandom(std::uint64_t seed) : engine_(seed) {}
   [[nodiscard]] std::uint64_t Next() override { return engine_(); }
 
  private:
   std::mt19937_64 engine_;
 };
 
-/// @brief One host with the product's own decisions.
+/// @brief A host that runs the production request path.
 class EmulatedHost final : public request_path::TargetDirectoryObserver,
                            public request_path::CrashObserver,
                            public request_path::LimitObserver {
@@ -35,13 +35,13 @@
     std::function<void(const request_path::LimitReport&)> on_limit;
   };
 
-  /// @param options its region is replaced by the host's.
+  /// @param options `own_region` is replaced by `region`.
   EmulatedHost(const EmulatedDeployment& deployment,
                const std::string& region,
                request_path::RequestPath::Options options,
                std::uint64_t seed);
 
-  /// @brief Takes the registry's content.
+  /// @brief Replaces all known targets by the content of the target registry.
   void Register(std::span<const request_path::TargetRecord> targets,
                 MonotonicTime now);
 
@@ -66,16 +66,16 @@
  private:
   std::string region_;
   ReportSinks sinks_;
-  RepeatableRandom random_;
+  SeededRandom random_;
   routing::RouteTable routes_;
   request_path::TargetDirectory targets_;
   request_path::RequestPath path_;
 };
 
-/// @return the callers' name of all routes.
-[[nodiscard]] std::string_view EmulatedSite();
-/// @return the path of a request of that kind.
-[[nodiscard]] std::string PathOf(const EmulatedKind& kind);
+/// @return the HTTP host name of all routes.
+[[nodiscard]] std::string_view EmulatedHttpHost();
+/// @return the path of requests of that class.
+[[nodiscard]] std::string PathOf(const EmulatedRequestClass& request_class);
 
 }  // namespace medlarcroft::emulation
 
--- a/lib/libmedlarcroft/include/medlarcroft/emulation/emulated_target.h
+++ b/lib/libmedlarcroft/include/medlarcroft/emulation/emulated_target.h
@@ -19,27 +19,28 @@
 /// @brief One request as it arrives at a target.
 struct EmulatedWork {
   std::string object;
-  Duration time{0};        ///< Without the object, at a target of usual speed.
-  double warm_part = 1.0;  ///< Of that time, with the object.
+  Duration time{0};          ///< Service time, uncached, at average speed.
+  double warm_factor = 1.0;  ///< Factor for a cached object.
 };
 
-/// @brief A target in virtual time: slots, a queue of its own, and objects on
-/// which it works faster since it handled them lately.
+/// @brief A target in virtual time, with a limited number of slots, a bounded
+/// queue, and an LRU cache of objects that shortens service times.
 class EmulatedTarget {
  public:
   using WorkId = std::uint64_t;
-  /// @param report as the answer tells it.
+  /// @param report load report sent with the response.
   using OnDone = std::function<void(const request_path::LoadReport& report)>;
 
   EmulatedTarget(EventQueue& events,
                  const EmulatedService& service,
                  double time_factor);
 
-  /// @return nullopt when slots and queue are full: it does not run.
-  std::optional<WorkId> Arrive(const EmulatedWork& work, OnDone done);
-  /// @brief Its connection closed: the work ends, also unfinished.
+  /// @return nullopt when slots and queue are full and the request does not
+  /// run.
+  std::optional<WorkId> Submit(const EmulatedWork& work, OnDone done);
+  /// @brief Aborts the work, as when its connection is closed.
   void Cancel(WorkId id);
-  /// @brief Drops all work and all remembered objects, as a new process does.
+  /// @brief Drops all work and all cached objects, as a process restart does.
   void Restart();
 
   void SetSlowdown(double slowdown) { slowdown_ = slowdown; }
@@ -49,27 +50,27 @@
   [[nodiscard]] std::uint64_t Runs() const { return runs_; }
 
  private:
-  struct Waiting {
+  struct QueuedWork {
     WorkId id = 0;
     EmulatedWork work;
     OnDone done;
   };
 
-  void Begin(Waiting waiting);
-  void OnWorked(WorkId id, const std::string& object, const OnDone& done);
-  void Remember(const std::string& object);
-  void BeginNext();
+  void Begin(QueuedWork queued);
+  void OnFinished(WorkId id, const std::string& object, const OnDone& done);
+  void AddToCache(const std::string& object);
+  void StartNext();
 
   EventQueue& events_;
   std::uint32_t slots_;
   std::uint32_t queue_limit_;
-  std::size_t remembered_;
+  std::size_t cache_capacity_;
   double time_factor_;
   double slowdown_ = 1.0;
   WorkId last_id_ = 0;
   std::set<WorkId> running_;
-  std::deque<Waiting> queue_;
-  std::list<std::string> objects_;  ///< Latest first.
+  std::deque<QueuedWork> queue_;
+  std::list<std::string> cached_objects_;  ///< Most recently used first.
   std::uint64_t runs_ = 0;
   std::uint64_t warm_runs_ = 0;
 };
--- a/lib/libmedlarcroft/include/medlarcroft/emulation/emulation.h
+++ b/lib/libmedlarcroft/include/medlarcroft/emulation/emulation.h
@@ -19,130 +19,132 @@
 
 namespace medlarcroft::emulation {
 
-/// @brief How hosts decide in a run.
+/// @brief Options of the hosts in a run.
 struct EmulationOptions {
   request_path::RequestPath::Options path;
-  /// Whether hosts tell the others of their region what they placed.
-  bool tells_placed = true;
-  /// Whether they tell the others of their region the loads that they hear.
-  bool tells_loads = true;
+  /// Whether hosts report their placements to the others of their region.
+  bool shares_placements = true;
+  /// Whether hosts forward load reports to the others of their region.
+  bool shares_loads = true;
   std::uint64_t seed = 1;
 };
 
-/// @brief A deployment in virtual time: callers, hosts with the product's own
-/// decisions, and targets. What hosts know of each other's work is what they
-/// know in a real one: the reports in answers and what is told of objects.
+/// @brief A deployment in virtual time: callers, hosts that run the production
+/// request path, and targets. As in a real deployment, hosts know of each
+/// other's work only through load reports in responses and placement reports.
 class Emulation {
  public:
   /// @param deployment must outlive the emulation.
   Emulation(const EmulatedDeployment& deployment,
             const EmulationOptions& options);
 
-  [[nodiscard]] EmulationFigures Run();
+  [[nodiscard]] EmulationMetrics Run();
 
  private:
   struct Caller {
-    const EmulatedKind* kind = nullptr;
+    const EmulatedRequestClass* request_class = nullptr;
     std::size_t region = 0;
     std::string object;
     Duration work{0};
     MonotonicTime arrived;
-    std::uint32_t returns_left = 0;
+    std::uint32_t retries_left = 0;
     request_path::RequestFingerprint fingerprint;
     bool crashes_targets = false;
   };
-  struct Send {
+  struct AttemptState {
     std::size_t target = 0;
-    EmulatedTarget::WorkId work = 0;  ///< 0: it is not there.
+    EmulatedTarget::WorkId work = 0;  ///< 0: not at the target.
     bool is_abandoned = false;
   };
-  struct Running {
+  struct ActiveRequest {
     Caller caller;
     std::size_t host = 0;
     request_path::RequestTicket ticket = 0;
     bool is_over = false;
-    std::map<request_path::AttemptNumber, Send> sends;
+    std::map<request_path::AttemptNumber, AttemptState> attempts;
   };
-  using RunningPointer = std::shared_ptr<Running>;
+  using ActiveRequestPointer = std::shared_ptr<ActiveRequest>;
 
   void MakeTargets();
   void MakeHosts(const EmulationOptions& options);
   void PlanFaults();
   void SetFault(const EmulatedFault& fault, bool is_on);
   void SetTargetFault(const EmulatedFault& fault, bool is_on);
-  void SetCutHosts(double part);
-  void AskCrashingRequest(const EmulatedFault& fault);
+  void SetPartitionedHosts(double fraction);
+  void SendCrashingRequest(const EmulatedFault& fault);
   /// @brief Fails all requests at the target and schedules its restart.
   void CrashTarget(std::size_t target);
   void RestartTarget(std::size_t target);
   void RegisterTargets();
   void ConnectReportSinks();
   void AdvanceRateLimits();
-  void TellOtherHosts(std::size_t host,
-                      const std::function<void(EmulatedHost&)>& deliver);
+  void SendToOtherHosts(std::size_t host,
+                        const std::function<void(EmulatedHost&)>& deliver);
   void RecordLimitUse(std::size_t target);
-  void ArriveLater(std::size_t kind, std::size_t region);
-  [[nodiscard]] double RateAt(std::size_t kind,
+  void ScheduleNextArrival(std::size_t class_index, std::size_t region);
+  [[nodiscard]] double RateAt(std::size_t class_index,
                               std::size_t region,
                               Duration at) const;
-  [[nodiscard]] double DemandPart(std::size_t region) const;
-  [[nodiscard]] Caller MakeCaller(std::size_t kind, std::size_t region);
+  [[nodiscard]] double DemandShare(std::size_t region) const;
+  [[nodiscard]] Caller MakeCaller(std::size_t class_index, std::size_t region);
 
-  void Ask(const Caller& caller);
-  void Carry(const RunningPointer& running, const request_path::Step& step);
-  void SendTo(const RunningPointer& running,
-              const request_path::SendAttempt& attempt);
-  void Deliver(const RunningPointer& running,
+  void SendToHost(const Caller& caller);
+  void ExecuteStep(const ActiveRequestPointer& active,
+                   const request_path::Step& step);
+  void StartAttempt(const ActiveRequestPointer& active,
+                    const request_path::SendAttempt& attempt);
+  void Deliver(const ActiveRequestPointer& active,
                request_path::AttemptNumber attempt,
-               Duration way);
-  void EndSend(const RunningPointer& running,
-               request_path::AttemptNumber attempt,
-               request_path::AttemptEnd end);
-  void TellPlaced(const Running& running,
-                  const request_path::SendAttempt& attempt);
-  void TellLoad(const Running& running,
-                const request_path::TargetIdentity& target,
-                const request_path::LoadReport& report);
-  void Finish(const RunningPointer& running);
-  void CancelSend(Send& send, Duration way);
+               Duration latency);
+  void EndAttempt(const ActiveRequestPointer& active,
+                  request_path::AttemptNumber attempt,
+                  request_path::AttemptEnd end);
+  void SharePlacement(const ActiveRequest& active,
+                      const request_path::SendAttempt& attempt);
+  void ShareLoad(const ActiveRequest& active,
+                 const request_path::TargetIdentity& target,
+                 const request_path::LoadReport& report);
+  void Finish(const ActiveRequestPointer& active);
+  void CancelAttempt(AttemptState& state, Duration latency);
   void OnRefused(const Caller& caller,
                  const request_path::RequestFailure& ending);
-  void Conclude(const Caller& caller, bool is_served, bool is_refused);
+  void RecordOutcome(const Caller& caller, bool is_served, bool is_refused);
 
-  [[nodiscard]] Duration Elapsed() const { return events_.Now() - began_; }
-  [[nodiscard]] Duration WayTo(const std::string& from, std::size_t to) const;
+  [[nodiscard]] Duration Elapsed() const { return events_.Now() - start_time_; }
+  [[nodiscard]] Duration LatencyTo(const std::string& from,
+                                   std::size_t to) const;
   [[nodiscard]] double Exponential();
   [[nodiscard]] double Normal();
 
-  struct Placed {
+  struct TargetInstance {
     request_path::TargetRecord record;
     std::string service;
     std::unique_ptr<EmulatedTarget> target;
-    bool is_gone = false;
-    double lost_part = 0;
+    bool is_unreachable = false;
+    double loss_probability = 0;
     std::optional<double> limit;
     MonotonicTime limit_changed_at;
     /// Requests within the rate limit window, while a limit is declared.
     std::deque<MonotonicTime> arrivals;
     /// Accepted since the last crash, including those that have ended.
-    std::vector<std::pair<RunningPointer, request_path::AttemptNumber>>
-        accepted_sends;
+    std::vector<std::pair<ActiveRequestPointer, request_path::AttemptNumber>>
+        accepted_attempts;
   };
 
   const EmulatedDeployment& deployment_;
-  bool tells_placed_;
-  bool tells_loads_;
+  bool shares_placements_;
+  bool shares_loads_;
   EventQueue events_;
-  MonotonicTime began_;
-  RepeatableRandom random_;
-  std::vector<Placed> targets_;
-  std::map<TargetName, std::size_t> target_places_;
+  MonotonicTime start_time_;
+  SeededRandom random_;
+  std::vector<TargetInstance> targets_;
+  std::map<TargetName, std::size_t> target_indices_;
   std::vector<std::unique_ptr<EmulatedHost>> hosts_;
   std::vector<std::vector<std::size_t>> hosts_by_region_;
-  std::vector<bool> is_cut_;  ///< By host.
-  double more_callers_ = 1.0;
+  std::vector<bool> is_partitioned_;  ///< By host index.
+  double demand_factor_ = 1.0;
   std::uint64_t last_fingerprint_ = 0;
-  EmulationFigures figures_;
+  EmulationMetrics metrics_;
 };
 
 }  // namespace medlarcroft::emulation
--- a/lib/libmedlarcroft/include/medlarcroft/emulation/event_queue.h
+++ b/lib/libmedlarcroft/include/medlarcroft/emulation/event_queue.h
@@ -10,22 +10,22 @@
 
 namespace medlarcroft::emulation {
 
-/// @brief Virtual time: what is due runs in order of its time, and what is due
-/// at the same time in the order in which it was asked for.
+/// @brief Event queue in virtual time. Tasks run in order of their time; tasks
+/// of equal time run in the order in which they were scheduled.
 class EventQueue {
  public:
   [[nodiscard]] MonotonicTime Now() const { return now_; }
 
   void At(MonotonicTime time, std::function<void()> task) {
     events_.push({.time = std::max(time, now_),
-                  .order = ++asked_,
+                  .order = ++last_order_,
                   .task = std::move(task)});
   }
   void After(Duration delay, std::function<void()> task) {
     At(now_ + delay, std::move(task));
   }
 
-  /// @brief Runs all that is due up to and at `end`.
+  /// @brief Runs all tasks that are due at or before `end`.
   void RunUntil(MonotonicTime end) {
     while (!events_.empty() && events_.top().time <= end) {
       const Event event = events_.top();
@@ -48,7 +48,7 @@
   };
 
   MonotonicTime now_{std::chrono::hours(1)};
-  std::uint64_t asked_ = 0;
+  std::uint64_t last_order_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/emulation/experiment.h
+++ b/lib/libmedlarcroft/include/medlarcroft/emulation/experiment.h
@@ -12,32 +12,32 @@
 
 namespace medlarcroft::emulation {
 
-/// @brief One way to decide: what a run's row is called, and its options.
+/// @brief A named set of options to compare with others.
 struct Policy {
   std::string name;
   EmulationOptions options;
 };
 
-/// @return the product's own policy, and plainer ones to compare it with:
-/// random, least-outstanding, round-robin, no-affinity, unbounded-queue.
+/// @return the production policy and simpler baselines: random,
+/// least-outstanding, round-robin, no-affinity, unbounded-queue.
 [[nodiscard]] std::vector<Policy> KnownPolicies();
 
-/// @return the names of the options that `VaryOption` knows.
+/// @return the names of the options that `VaryOption` supports.
 [[nodiscard]] std::vector<std::string_view> OptionNames();
-/// @return the product's policy with one option changed, for each value;
-/// nullopt when there is no such option.
+/// @return one policy for each value: the production policy with that option
+/// set to the value. nullopt when there is no such option.
 [[nodiscard]] std::optional<std::vector<Policy>> VaryOption(
     std::string_view option,
     std::span<const double> values);
 
-/// @brief What a policy brought, over several seeds.
+/// @brief Results of a policy for several seeds.
 struct PolicyResult {
   std::string name;
-  std::vector<EmulationFigures> runs;
+  std::vector<EmulationMetrics> runs;
 
-  [[nodiscard]] double MeanWorth() const;
-  /// @return the standard deviation of a run's worth.
-  [[nodiscard]] double Spread() const;
+  [[nodiscard]] double MeanScore() const;
+  /// @return the sample standard deviation of the score of the runs.
+  [[nodiscard]] double ScoreDeviation() const;
 };
 
 /// @brief Runs each policy with the seeds 1 to `seeds`.
@@ -46,11 +46,14 @@
     std::span<const Policy> policies,
     std::uint32_t seeds);
 
-/// @return a table in Markdown, a row a policy, each figure a mean of the runs.
+/// @return a Markdown table with one row for each policy and the means over its
+/// runs.
 [[nodiscard]] std::string FormatTable(std::span<const PolicyResult> results);
-/// @return a table in Markdown: the credit of each window, a row a policy.
+/// @return a Markdown table with one row for each policy and the credit share
+/// of each window.
 [[nodiscard]] std::string FormatWindows(std::span<const PolicyResult> results);
-/// @return an SVG picture: worth by policy, with the spread of its runs.
+/// @return an SVG bar chart of the mean score of each policy, with its standard
+/// deviation.
 [[nodiscard]] std::string FormatPlot(std::span<const PolicyResult> results);
 
 }  // namespace medlarcroft::emulation
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/arrival_schedule.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/arrival_schedule.h
@@ -10,22 +10,22 @@
 
 namespace medlarcroft::load_generator {
 
-/// @brief One request's intended time of sending.
+/// @brief The intended send time of one request, its class and its brand.
 struct Arrival {
   Duration at{0};  ///< From the start of the run.
   std::size_t class_index = 0;
   std::size_t brand_index = 0;
 };
 
-/// @brief Draws the arrivals of a run: a Poisson process whose rate the bursts
-/// change. It is fixed by the plan and the random source alone; how fast
-/// answers come never holds an arrival back (open loop).
+/// @brief Draws the arrivals of a run from a Poisson process whose rate changes
+/// during bursts. Arrivals depend only on the plan and the random source; slow
+/// responses never delay them (open loop).
 class ArrivalSchedule {
  public:
   /// @param plan must outlive the schedule and have a class and a brand.
   ArrivalSchedule(const LoadPlan& plan, ports::RandomSource& random);
 
-  /// @return the next arrival in the order of time, or nullopt at the end.
+  /// @return the next arrival in order of time, or nullopt at the end.
   [[nodiscard]] std::optional<Arrival> Next();
 
  private:
@@ -35,7 +35,7 @@
   const LoadPlan& plan_;
   ports::RandomSource& random_;
   std::vector<double> brand_weights_;
-  double greatest_rate_ = 0;  ///< Of all classes together, at any time.
+  double max_rate_ = 0;  ///< Upper bound for all classes together.
   Duration at_{0};
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/body_hash.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/body_hash.h
@@ -6,8 +6,9 @@
 
 namespace medlarcroft::load_generator {
 
-/// @return the XXH3 hash of `body`, 16 hexadecimal digits. The stand-in target
-/// echoes it and the load tool compares it: an answer to another request shows.
+/// @return the XXH3 hash of `body` as 16 hexadecimal digits. Stand-in targets
+/// echo it and the load generator compares it to detect responses that belong
+/// to another request.
 [[nodiscard]] std::string HashBody(std::string_view body);
 
 }  // namespace medlarcroft::load_generator
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/load_report.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/load_report.h
@@ -12,7 +12,8 @@
 
 namespace medlarcroft::load_generator {
 
-/// @brief Quantiles of the time from intended sending to the whole answer.
+/// @brief Latency quantiles, from the intended send time to the end of the
+/// response.
 struct LatencySummary {
   double p50_ms = 0;
   double p90_ms = 0;
@@ -20,46 +21,46 @@
   double p999_ms = 0;
 };
 
-/// @brief Requests by how they ended. Their sum is `intended`.
+/// @brief Number of requests by how they ended; these add up to `intended`.
 struct EndCounts {
   std::uint64_t intended = 0;
-  std::uint64_t ran = 0;      ///< The caller has its own whole answer.
+  std::uint64_t ran = 0;      ///< Ended with a complete, matching response.
   std::uint64_t refused = 0;  ///< Ended with "not run".
-  std::uint64_t failed = 0;   ///< Ended with "unknown", or with an error.
-  std::uint64_t unsent = 0;   ///< Never left the tool: no host, or too many.
+  std::uint64_t failed = 0;   ///< Ended with "unknown" or an error.
+  std::uint64_t unsent = 0;   ///< Not sent: no host, or too many in flight.
 };
 
-/// @brief One service's part.
+/// @brief Results of one service.
 struct ClassReport {
   std::string service;
   EndCounts counts;
-  std::uint64_t late = 0;  ///< Of those that ran: after the deadline.
+  std::uint64_t late = 0;  ///< Ran, but ended after the deadline.
   std::uint64_t retries = 0;
   LatencySummary latency;
-  std::map<std::string, std::uint64_t> causes;  ///< Of unsuccessful attempts.
+  std::map<std::string, std::uint64_t> causes;  ///< Of failed attempts.
 };
 
-/// @brief One second of the run, by the intended time of sending.
+/// @brief Requests whose intended send time lies in one second of the run.
 struct SecondReport {
   EndCounts counts;
   double p50_ms = 0;
   double p99_ms = 0;
-  /// Share of the targets' slots that were free; unset: not asked.
+  /// Fraction of the targets' slots that were free; unset: not sampled.
   std::optional<double> headroom;
 };
 
-/// @brief What was checked besides speed. All faults must be 0.
+/// @brief Results of the correctness checks. All fault counters must be 0.
 struct CheckReport {
   std::uint64_t answers = 0;
   std::uint64_t truncated = 0;
   std::uint64_t crossed = 0;
   std::uint64_t missing_outcome = 0;
-  bool is_audited = false;  ///< Targets' own lists of runs were compared.
+  bool is_audited = false;  ///< Compared with the targets' runs.
   bool is_audit_complete = false;
   std::uint64_t double_runs = 0;
   std::uint64_t false_not_run = 0;
   std::uint64_t no_run = 0;
-  std::vector<std::string> examples;  ///< A few requests that went wrong.
+  std::vector<std::string> examples;  ///< Some of the faulty requests.
 
   [[nodiscard]] std::uint64_t Faults() const {
     return truncated + crossed + missing_outcome + double_runs + false_not_run +
@@ -67,18 +68,18 @@
   }
 };
 
-/// @brief What the run says in one word; also the exit status of the tool.
+/// @brief Overall result of the run; also the exit status of medlar-load.
 enum class Verdict {
   kPass = 0,
-  kFault = 1,      ///< A check failed: the system broke a promise.
-  kOverLimit = 4,  ///< More late or refused than the plan allows.
-  kWorse = 5,      ///< Worse than the run compared with.
-  kNoAnswer = 6,   ///< Not one request ran.
+  kFault = 1,       ///< A correctness check failed.
+  kOverLimit = 4,   ///< More late or refused requests than allowed.
+  kWorse = 5,       ///< Worse than the earlier run.
+  kNoResponse = 6,  ///< No request ran.
 };
 
 [[nodiscard]] std::string_view NameOf(Verdict verdict);
 
-/// @brief All of one run.
+/// @brief Report of one run.
 struct LoadReport {
   std::string name;
   double duration_s = 0;
@@ -86,17 +87,17 @@
   std::vector<SecondReport> seconds;
   CheckReport checks;
   Verdict verdict = Verdict::kPass;
-  std::vector<std::string> limits_passed;  ///< Services over a limit.
+  std::vector<std::string> services_over_limit;
 };
 
-/// @brief Why a report file can't be compared with.
+/// @brief Why a report file can't be parsed.
 enum class ReportParseError { kNotJson, kMissingField };
 
 [[nodiscard]] std::string FormatReportJson(const LoadReport& report);
 [[nodiscard]] Result<LoadReport, ReportParseError> ParseReportJson(
     std::string_view json);
 
-/// @return the report for a terminal.
+/// @return the report as plain text.
 [[nodiscard]] std::string FormatReportText(const LoadReport& report);
 
 }  // namespace medlarcroft::load_generator
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/load_session.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/load_session.h
@@ -19,21 +19,23 @@
 
 namespace medlarcroft::load_generator {
 
-/// @brief A run as its callers live it: look up, send, check, try again. It
-/// holds no thread and does no I/O: a loop calls `Step` at the time that the
-/// last `Step` named and hands in results as they come.
+/// @brief Runs a load plan from the callers' side: looks up hosts, sends
+/// requests, checks responses and retries. It has no thread and does no I/O: an
+/// event loop calls `Step` at the time returned by the previous `Step` and
+/// passes results to `OnResult` as they arrive.
 class LoadSession {
  public:
   struct Options {
-    /// Base addresses of look-up listeners, "http://ip:port".
+    /// Base URLs of look-up listeners, "http://ip:port".
     std::vector<std::string> lookup_urls;
-    /// Makes the paths of this run unlike those of any other.
+    /// Prefix that makes the request paths of this run unique.
     std::string run_name = "run";
   };
 
-  /// @param arrivals draws the arrivals alone, so that they are the same for
-  /// two runs with the same seed, whatever the system answers.
-  /// @param choices draws all else. All references must outlive the session.
+  /// @param arrivals random source of the arrivals only, so that two runs with
+  /// the same seed have the same arrivals whatever the responses.
+  /// @param choices random source of all else. All references must outlive the
+  /// session.
   LoadSession(const LoadPlan& plan,
               Options options,
               ports::RandomSource& arrivals,
@@ -41,12 +43,12 @@
               LoadTransport& transport,
               MonotonicTime start);
 
-  /// @brief Sends all that is due.
-  /// @return when to call again at the latest; nullopt: only results are left
-  /// to wait for.
+  /// @brief Sends all requests that are due.
+  /// @return the latest time for the next call, or nullopt when only results
+  /// are outstanding.
   std::optional<MonotonicTime> Step(MonotonicTime now);
 
-  /// @brief Takes what came of a request that the transport was given.
+  /// @brief Handles the result of a request that was passed to the transport.
   void OnResult(std::uint64_t id,
                 const ExchangeResult& result,
                 MonotonicTime now);
@@ -56,21 +58,21 @@
   [[nodiscard]] std::size_t InFlight() const { return requests_.size(); }
 
   [[nodiscard]] LoadStatistics& Statistics() { return statistics_; }
-  [[nodiscard]] const ClaimBook& Claims() const { return claims_; }
+  [[nodiscard]] const OutcomeAuditor& Auditor() const { return auditor_; }
 
  private:
   using RequestNumber = std::uint64_t;
 
-  /// @brief One caller's request, from its intended time to its end.
+  /// @brief A caller's request, from its intended send time to its end.
   struct Request {
     Arrival arrival;
     std::string path;
     std::string body;
     std::string key;
-    std::string address;  ///< Of the host that is being asked.
+    std::string address;  ///< Of the host last sent to.
     std::set<std::string> unreachable;
     std::uint32_t attempts = 0;
-    std::uint32_t key_tries = 0;
+    std::uint32_t failed_key_attempts = 0;
     bool was_sent = false;
     idempotency::Outcome last_outcome = idempotency::Outcome::kNotRun;
     bool is_success = false;
@@ -79,15 +81,16 @@
   enum class Exchange { kLookup, kKeys, kAttempt };
   struct Pending {
     Exchange exchange = Exchange::kAttempt;
-    RequestNumber number = 0;      ///< Of kAttempt and kKeys.
-    LookupCache::Subject subject;  ///< Of kLookup and kKeys.
-    std::uint32_t tries = 0;       ///< Of kLookup: hosts asked in vain.
+    RequestNumber number = 0;           ///< Of kAttempt and kKeys.
+    LookupCache::Subject subject;       ///< Of kLookup and kKeys.
+    std::uint32_t failed_attempts = 0;  ///< Of kLookup.
   };
 
   void Begin(const Arrival& arrival, MonotonicTime now);
   void Advance(RequestNumber number, MonotonicTime now);
-  void AskLookup(const LookupCache::Subject& subject, std::uint32_t tries);
-  void AskKeys(RequestNumber number, const std::string& address);
+  void SendLookup(const LookupCache::Subject& subject,
+                  std::uint32_t failed_attempts);
+  void SendKeysRequest(RequestNumber number, const std::string& address);
   void SendAttempt(RequestNumber number,
                    const EntryHost& host,
                    MonotonicTime now);
@@ -121,7 +124,7 @@
   std::optional<Arrival> next_arrival_;
   LookupCache cache_;
   LoadStatistics statistics_;
-  ClaimBook claims_;
+  OutcomeAuditor auditor_;
 
   std::map<RequestNumber, Request> requests_;
   std::map<std::uint64_t, Pending> pending_;
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/load_statistics.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/load_statistics.h
@@ -21,63 +21,64 @@
 /// @brief How a request ended for its caller.
 enum class RequestEnd { kRan, kRefused, kFailed, kUnsent };
 
-/// @brief One request's end.
+/// @brief A request that has ended.
 struct EndedRequest {
   std::size_t class_index = 0;
   RequestEnd end = RequestEnd::kUnsent;
   Duration intended_at{0};  ///< From the start of the run.
-  /// From the intended time of sending: a request that the tool or the system
-  /// held back is as late as its caller would find it.
+  /// From the intended send time, so that delays in the load generator or the
+  /// system count as they would for the caller.
   Duration latency{0};
   std::uint32_t attempts = 0;
 };
 
-/// @brief What the targets said about their runs.
+/// @brief Runs reported by the targets.
 struct RunAudit {
   std::vector<TargetRun> runs;
-  bool is_complete = false;  ///< Every target was heard and had dropped none.
+  bool is_complete = false;  ///< All targets responded and had dropped none.
 };
 
-/// @brief Counts a run. Used by one thread.
+/// @brief Collects the statistics of a run. Not thread-safe.
 class LoadStatistics {
  public:
   /// @param plan must outlive the statistics.
   explicit LoadStatistics(const LoadPlan& plan);
 
-  void NoteEnd(const EndedRequest& request);
-  void NoteAnswer(std::optional<AnswerFault> fault, std::string_view path);
-  void NoteCause(std::size_t class_index, const std::string& cause);
-  /// @param headroom share of the targets' slots that are free.
-  void NoteHeadroom(Duration at, double headroom);
+  void RecordEnd(const EndedRequest& request);
+  void RecordResponse(std::optional<ResponseFault> fault,
+                      std::string_view path);
+  void RecordCause(std::size_t class_index, const std::string& cause);
+  /// @param headroom fraction of the targets' slots that are free.
+  void RecordHeadroom(Duration at, double headroom);
 
-  /// @return all of one second's counts; for progress lines.
+  /// @return the counts of all classes so far.
   [[nodiscard]] EndCounts Totals() const;
 
-  /// @param audit nullopt when the targets were not asked.
+  /// @param audit nullopt when the targets were not queried.
   [[nodiscard]] LoadReport MakeReport(
       std::string name,
-      const ClaimBook& claims,
+      const OutcomeAuditor& auditor,
       const std::optional<RunAudit>& audit) const;
 
  private:
-  struct ClassLine {
+  struct ClassStatistics {
     EndCounts counts;
     std::uint64_t late = 0;
     std::uint64_t retries = 0;
     std::map<std::string, std::uint64_t> causes;
     std::unique_ptr<telemetry::LatencyHistogram> latency;
   };
-  struct SecondLine {
+  struct SecondStatistics {
     EndCounts counts;
     std::optional<double> headroom;
     std::unique_ptr<telemetry::LatencyHistogram> latency;
   };
 
-  SecondLine& SecondOf(Duration at);
+  SecondStatistics& SecondOf(Duration at);
 
   const LoadPlan& plan_;
-  std::vector<ClassLine> classes_;
-  std::vector<SecondLine> seconds_;
+  std::vector<ClassStatistics> classes_;
+  std::vector<SecondStatistics> seconds_;
   CheckReport checks_;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/load_transport.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/load_transport.h
@@ -17,29 +17,30 @@
   std::string value;
 };
 
-/// @brief A request that the tool sends.
+/// @brief A request that the load generator sends.
 struct OutgoingRequest {
-  std::uint64_t id = 0;  ///< Comes back with the answer.
+  std::uint64_t id = 0;  ///< Passed back with the result.
   std::string method = "GET";
   std::string url;
   std::vector<HeaderField> headers;
   std::string body;
   Duration timeout = std::chrono::seconds(2);
-  /// No connection that was used before, so that nothing is sent twice.
+  /// Use a connection that has never carried a request, so that no request is
+  /// sent twice.
   bool needs_fresh_connection = false;
 };
 
-/// @brief Why no whole answer came.
+/// @brief Why there is no complete response.
 enum class ExchangeFailure {
-  kNeverSent,  ///< Proved: not one byte went out.
+  kNeverSent,  ///< Known: no byte was sent.
   kTimedOut,
-  kTruncated,  ///< The answer ended before its announced end.
+  kTruncated,  ///< The response ended before its declared length.
   kBroken,
 };
 
-/// @brief What came of one request.
+/// @brief Result of one request.
 struct ExchangeResult {
-  std::optional<ExchangeFailure> failure;  ///< Unset: the rest is whole.
+  std::optional<ExchangeFailure> failure;  ///< Unset: the response is complete.
   int status = 0;
   std::vector<HeaderField> headers;  ///< Names in lower case.
   std::string body;
@@ -56,8 +57,8 @@
   }
 };
 
-/// @brief Carries requests. Results are given to `LoadSession::OnResult` on the
-/// session's own thread.
+/// @brief Sends requests. Results are passed to `LoadSession::OnResult` on the
+/// session's thread.
 class LoadTransport {
  public:
   virtual ~LoadTransport() = default;
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/lookup_cache.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/lookup_cache.h
@@ -16,43 +16,44 @@
 
 namespace medlarcroft::load_generator {
 
-/// @brief An entry host as a look-up names it.
+/// @brief An entry host in a look-up response.
 struct EntryHost {
   std::string host;
   std::string address;  ///< IP:port.
   double weight = 0;
 };
 
-/// @brief A look-up's answer.
-struct LookupAnswer {
+/// @brief Response to a look-up.
+struct LookupResponse {
   std::uint64_t revision = 0;
   Duration ttl{0};
   std::vector<EntryHost> entry_hosts;
   std::vector<std::string> keys;
 };
 
-enum class LookupAnswerError { kNotJson, kMissingField, kNoEntryHost };
+enum class LookupResponseError { kNotJson, kMissingField, kNoEntryHost };
 
-[[nodiscard]] Result<LookupAnswer, LookupAnswerError> ParseLookupResponse(
+[[nodiscard]] Result<LookupResponse, LookupResponseError> ParseLookupResponse(
     std::string_view json);
 
-/// @return the keys of an answer to POST /v1/keys; empty when there are none.
+/// @return the keys in a response to POST /v1/keys; empty when there are none.
 [[nodiscard]] std::vector<std::string> ParseKeys(std::string_view json);
 
-/// @brief What a caller keeps of its look-ups: answers until their TTL ends,
-/// and idempotency keys until they are used.
+/// @brief A caller's cache of look-up responses, which expire after their TTL,
+/// and of unused idempotency keys.
 class LookupCache {
  public:
   /// A service and a brand.
   using Subject = std::pair<std::string, std::string>;
 
-  void Put(const Subject& subject, LookupAnswer answer, MonotonicTime now);
+  void Put(const Subject& subject, LookupResponse response, MonotonicTime now);
   void AddKeys(const Subject& subject, std::vector<std::string> keys);
 
   [[nodiscard]] bool IsFresh(const Subject& subject, MonotonicTime now) const;
 
-  /// @brief Chooses by weight; hosts of weight 0 only when no other is left.
-  /// @param tried addresses to leave out, as they failed already.
+  /// @brief Chooses a host at random by weight; hosts of weight 0 only when no
+  /// other is left.
+  /// @param tried addresses to exclude, as they have failed before.
   [[nodiscard]] std::optional<EntryHost> Choose(
       const Subject& subject,
       const std::set<std::string>& tried,
@@ -61,13 +62,13 @@
   [[nodiscard]] std::optional<std::string> TakeKey(const Subject& subject);
 
  private:
-  struct Line {
+  struct Entry {
     std::vector<EntryHost> entry_hosts;
     std::vector<std::string> keys;
-    MonotonicTime good_until;
+    MonotonicTime expires_at;
   };
 
-  std::map<Subject, Line> lines_;
+  std::map<Subject, Entry> entries_;
 };
 
 }  // namespace medlarcroft::load_generator
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/outcome_auditor.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/outcome_auditor.h
@@ -12,7 +12,7 @@
 
 namespace medlarcroft::load_generator {
 
-/// @brief How often a target ran one request, by its own account.
+/// @brief How often a target ran one request, as reported by the target.
 struct TargetRun {
   std::string target;
   std::string idempotency_key;  ///< Empty when the request had none.
@@ -20,46 +20,48 @@
   std::uint64_t count = 0;
 };
 
-/// @brief A way in which what callers were told and what ran don't agree.
-enum class ClaimFault {
+/// @brief How the outcomes reported to a caller contradict the targets' runs.
+enum class MismatchType {
   kDoubleRun,    ///< A request with a key ran more than once.
-  kFalseNotRun,  ///< Every attempt was told "not run", but it ran.
-  kNoRun,        ///< Told "ran", but no target knows of it.
+  kFalseNotRun,  ///< All attempts ended with "not run", but it ran.
+  kNoRun,        ///< Ended with "ran", but no target ran it.
 };
 
-/// @brief One request whose claim and runs don't agree.
-struct ClaimMismatch {
-  ClaimFault fault = ClaimFault::kDoubleRun;
+/// @brief A request whose reported outcomes contradict its runs.
+struct OutcomeMismatch {
+  MismatchType fault = MismatchType::kDoubleRun;
   std::string request;               ///< Its unique path.
-  std::uint64_t runs = 0;            ///< On all targets together.
-  std::vector<std::string> targets;  ///< Where it ran.
+  std::uint64_t runs = 0;            ///< Sum over all targets.
+  std::vector<std::string> targets;  ///< Targets that ran it.
 };
 
-/// @brief Keeps what callers were told of each request, and compares it with
-/// what the targets did. This is the proof of "at most once" and of "not run".
-class ClaimBook {
+/// @brief Records the outcomes reported to callers and compares them with the
+/// runs reported by the targets. This verifies that keyed requests run at most
+/// once and that requests reported as "not run" did not run.
+class OutcomeAuditor {
  public:
-  /// @brief Notes one attempt's answer.
-  /// @param path the request's unique path; the last segment counts.
+  /// @brief Records the outcome of one attempt.
+  /// @param path the request's unique path; only the last segment is compared.
   /// @param key empty for a request without an idempotency key.
-  void Note(std::string_view path,
-            std::string_view key,
-            idempotency::Outcome told);
+  void Record(std::string_view path,
+              std::string_view key,
+              idempotency::Outcome outcome);
 
-  /// @return every mismatch, in the order of the paths.
-  [[nodiscard]] std::vector<ClaimMismatch> Compare(
+  /// @return all mismatches, sorted by path.
+  [[nodiscard]] std::vector<OutcomeMismatch> Compare(
       std::span<const TargetRun> runs) const;
 
-  [[nodiscard]] std::size_t Size() const { return claims_.size(); }
+  [[nodiscard]] std::size_t Size() const { return outcomes_.size(); }
 
  private:
-  struct Claim {
+  struct ReportedOutcomes {
     bool has_key = false;
-    bool was_told_ran = false;
-    bool was_told_unknown = false;
+    bool was_reported_ran = false;
+    bool was_reported_unknown = false;
   };
 
-  std::map<std::string, Claim, std::less<>> claims_;  ///< By last segment.
+  std::map<std::string, ReportedOutcomes, std::less<>>
+      outcomes_;  ///< By last path segment.
 };
 
 }  // namespace medlarcroft::load_generator
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/plot.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/plot.h
@@ -9,25 +9,27 @@
 
 namespace medlarcroft::load_generator {
 
-/// @brief One line of a plot: a value a second; an unset value breaks it.
+/// @brief A line of a plot with one value for each second. An unset value
+/// leaves a gap.
 struct PlotLine {
   std::string name;
   std::vector<std::optional<double>> values;
 };
 
-/// @brief How a plot is drawn.
+/// @brief Labels and axis of a plot.
 struct PlotOptions {
   std::string title;
   std::string unit;
-  bool is_logarithmic = false;    ///< Values of 0 are left out then.
-  std::optional<double> maximum;  ///< Unset: the greatest value.
+  bool is_logarithmic = false;    ///< Omits values of 0.
+  std::optional<double> maximum;  ///< Unset: the largest value.
 };
 
-/// @return an inline SVG element that needs nothing from elsewhere.
+/// @return a heading, a legend and an inline SVG element without external
+/// resources.
 [[nodiscard]] std::string DrawPlot(const PlotOptions& options,
                                    std::span<const PlotLine> lines);
 
-/// @return `text` with the characters that HTML gives a meaning replaced.
+/// @return `text` with HTML's special characters escaped.
 [[nodiscard]] std::string EscapeHtml(std::string_view text);
 
 }  // namespace medlarcroft::load_generator
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/report_comparison.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/report_comparison.h
@@ -9,18 +9,19 @@
 
 namespace medlarcroft::load_generator {
 
-/// @brief How much worse a run may be before it counts as worse.
+/// @brief Thresholds beyond which a run counts as worse than an earlier one.
 struct ComparisonLimits {
-  /// Ratio of the judged quantile; a bucket of the histogram is 4.7%.
-  double latency_ratio = 1.25;
-  /// A quantile that grew by less is never worse: scheduling noise.
-  double latency_floor_ms = 2.0;
-  /// The quantile that is judged has so many requests above it in both runs:
-  /// with fewer it is the luck of one or two requests. So p99 is judged from
-  /// 1000 requests on, p90 from 100 on, else p50.
-  std::uint64_t least_above = 10;
-  /// Growth of the shares of requests refused and failed.
-  double share_growth = 0.01;
+  /// Ratio of the compared quantile; histogram buckets are 4.7% wide.
+  double max_latency_ratio = 1.25;
+  /// A smaller increase of the quantile, in milliseconds, is never worse, as it
+  /// may be scheduling noise.
+  double min_latency_increase_ms = 2.0;
+  /// Number of requests that must lie above the compared quantile in both runs,
+  /// as otherwise one or two requests decide its value. With 10, p99 is
+  /// compared from 1000 requests on, p90 from 100 on, and p50 below that.
+  std::uint64_t min_requests_above = 10;
+  /// Increase of the fraction of refused or of failed requests.
+  double max_share_increase = 0.01;
 };
 
 /// @brief One service in both runs.
@@ -28,21 +29,22 @@
   std::string service;
   LatencySummary before;
   LatencySummary after;
-  double refused_before = 0;  ///< Shares of the requests intended.
+  double refused_before = 0;  ///< Fractions of the intended requests.
   double refused_after = 0;
   double failed_before = 0;
   double failed_after = 0;
-  std::string judged;  ///< The quantile that was judged, for example "p99".
+  std::string quantile;  ///< The compared quantile, for example "p99".
   bool is_worse = false;
 };
 
-/// @return the services that both runs have, in the order of `after`.
+/// @return one row for each service that both runs have, in the order of
+/// `after`.
 [[nodiscard]] std::vector<ClassComparison> CompareReports(
     const LoadReport& before,
     const LoadReport& after,
     const ComparisonLimits& limits = {});
 
-/// @return the comparison for a terminal.
+/// @return the comparison as plain text.
 [[nodiscard]] std::string FormatComparison(
     const std::vector<ClassComparison>& comparison);
 
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/report_page.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/report_page.h
@@ -8,9 +8,9 @@
 
 namespace medlarcroft::load_generator {
 
-/// @param before an earlier run to draw beside it, or nullopt.
-/// @return one HTML page with plots of latency, refusals and headroom, which
-/// loads nothing from elsewhere.
+/// @param before an earlier run to compare with, or nullopt.
+/// @return an HTML page with plots of latency, request counts and headroom. It
+/// has no external resources.
 [[nodiscard]] std::string FormatReportPage(
     const LoadReport& report,
     const std::optional<LoadReport>& before);
--- a/lib/libmedlarcroft/include/medlarcroft/load_generator/response_check.h
+++ b/lib/libmedlarcroft/include/medlarcroft/load_generator/response_check.h
@@ -10,36 +10,36 @@
 
 namespace medlarcroft::load_generator {
 
-/// @brief What is wrong with an answer, whatever it says.
-enum class AnswerFault {
-  kMissingOutcome,  ///< No, or an unknown, Medlar-Outcome.
-  kTruncated,       ///< A part of an answer reached the caller.
-  kCrossed,         ///< It answers another request.
+/// @brief A protocol violation in a response, regardless of its status.
+enum class ResponseFault {
+  kMissingOutcome,  ///< No or an unknown Medlar-Outcome.
+  kTruncated,       ///< The response ended early.
+  kWrongRequest,    ///< It belongs to another request.
 };
 
-/// @brief An attempt's answer, judged.
+/// @brief Result of checking the response to an attempt.
 struct AttemptVerdict {
   idempotency::Outcome outcome = idempotency::Outcome::kUnknown;
-  std::optional<AnswerFault> fault;
-  bool is_success = false;  ///< It ran and the target's answer is good.
+  std::optional<ResponseFault> fault;
+  bool is_success = false;  ///< Ran, and the response is good.
 };
 
-/// @brief What an answer must show to be this request's own.
+/// @brief Values that a response must echo to belong to the request.
 struct ExpectedEcho {
   std::string_view path_suffix;  ///< Unique for each request.
   std::string_view body_hash;
 };
 
-/// @brief Judges what came of one attempt. Stand-in targets echo path and body
-/// hash, so that an answer to another request shows.
+/// @brief Checks the result of one attempt. Stand-in targets echo the path and
+/// the body hash, so that a response to another request is detected.
 [[nodiscard]] AttemptVerdict CheckResponse(const ExchangeResult& result,
                                            const ExpectedEcho& expected);
 
-/// @return the name of the cause of an unsuccessful attempt: the answer's
-/// `code`, its status, or the kind of failure.
+/// @return the cause of an unsuccessful attempt: the response's `code`, its
+/// status, or the type of the transport failure.
 [[nodiscard]] std::string CauseOf(const ExchangeResult& result);
 
-/// @return how long the answer asks to wait; 0 when it does not.
+/// @return the response's Retry-After; 0 when it has none.
 [[nodiscard]] Duration RetryAfterOf(const ExchangeResult& result);
 
 }  // namespace medlarcroft::load_generator
--- a/lib/libmedlarcroft/source/adapters/emulation/deployment_schema.cc
+++ b/lib/libmedlarcroft/source/adapters/emulation/deployment_schema.cc
@@ -10,17 +10,17 @@
 
 using emulation::EmulatedDeployment;
 using emulation::EmulatedFault;
-using emulation::EmulatedKind;
 using emulation::EmulatedRegion;
+using emulation::EmulatedRequestClass;
 using emulation::EmulatedService;
 using emulation::EmulatedTargets;
 
-constexpr SettingRange kAnyTime{0, 86'400'000};
+constexpr SettingRange kAnyDuration{0, 86'400'000};
 constexpr SettingRange kAnyCount{0, 1'000'000};
-constexpr double kMost = 1e6;
-constexpr std::array<std::string_view, 2> kKinds = {"idempotent",
-                                                    "non-idempotent"};
-constexpr std::array<std::string_view, 7> kTroubles = {
+constexpr double kMaxValue = 1e6;
+constexpr std::array<std::string_view, 2> kRequestKinds = {"idempotent",
+                                                           "non-idempotent"};
+constexpr std::array<std::string_view, 7> kFaultTypes = {
     "slow",      "lost-answers",     "gone",      "more-callers",
     "cut-hosts", "crashing-request", "rate-limit"};
 
@@ -30,11 +30,12 @@
       .Text("name", &EmulatedRegion::name, kSettingName,
             {.description = "region", .is_required = true})
       .Integer("hosts", &EmulatedRegion::hosts, {1, 10'000},
-               {.description = "hosts in it"})
-      .Real("demand", &EmulatedRegion::demand, {0, kMost},
-            {.description = "its part of all demand, over the others'"})
+               {.description = "number of hosts"})
+      .Real("demand", &EmulatedRegion::demand_weight, {0, kMaxValue},
+            {.description = "demand relative to other regions"})
       .Real("wave_phase", &EmulatedRegion::wave_phase, {0, 1},
-            {.description = "where in the wave its demand begins"});
+            {.description =
+                 "initial phase of the demand wave, fraction of its period"});
   return schema;
 }
 
@@ -42,9 +43,9 @@
   SettingsSchema<EmulatedTargets> schema;
   schema
       .Text("region", &EmulatedTargets::region, kSettingName,
-            {.description = "where they are", .is_required = true})
+            {.description = "region of the targets", .is_required = true})
       .Integer("count", &EmulatedTargets::count, kAnyCount,
-               {.description = "how many"});
+               {.description = "number of targets"});
   return schema;
 }
 
@@ -54,71 +55,77 @@
       .Text("name", &EmulatedService::name, kSettingName,
             {.description = "service", .is_required = true})
       .Integer("slots", &EmulatedService::slots, {1, 10'000},
-               {.description = "requests that a target works on at once"})
+               {.description = "concurrent requests per target"})
       .Integer("queue", &EmulatedService::queue, kAnyCount,
-               {.description = "requests that wait at a target"})
-      .Integer("remembered_objects", &EmulatedService::remembered_objects,
+               {.description = "queue limit per target"})
+      .Integer("remembered_objects", &EmulatedService::cached_objects,
                kAnyCount,
-               {.description = "objects that a target works faster on"})
-      .Real("uneven_by", &EmulatedService::uneven_by, {0, 0.95},
-            {.description = "by how much targets differ in speed"})
+               {.description = "capacity of a target's object cache"})
+      .Real("uneven_by", &EmulatedService::speed_variation, {0, 0.95},
+            {.description =
+                 "relative variation of service times between targets"})
       .List("targets", &EmulatedService::targets, MakeTargetsSchema(),
-            {.description = "its targets"});
+            {.description = "targets by region"});
   return schema;
 }
 
-SettingsSchema<EmulatedKind> MakeKindSchema() {
-  SettingsSchema<EmulatedKind> schema;
+SettingsSchema<EmulatedRequestClass> MakeRequestClassSchema() {
+  SettingsSchema<EmulatedRequestClass> schema;
   schema
-      .Text("name", &EmulatedKind::name, kSettingName,
-            {.description = "kind of request", .is_required = true})
-      .Text("service", &EmulatedKind::service, kSettingName,
-            {.description = "service that serves it", .is_required = true})
-      .Choice("kind", &EmulatedKind::kind, kKinds,
-              {.description = "what may be repeated"})
-      .Real("requests_per_second", &EmulatedKind::requests_per_second,
-            {0, kMost}, {.description = "from all regions"})
-      .DurationText("work", &EmulatedKind::work, kAnyTime,
-                    {.description = "mean, without the object"})
-      .Real("work_spread", &EmulatedKind::work_spread, {0, 10},
-            {.description = "standard deviation over the mean"})
-      .Real("warm_work", &EmulatedKind::warm_work, {0, 1},
-            {.description = "with the object, over that without"})
-      .DurationText("objective", &EmulatedKind::objective, kAnyTime,
-                    {.description = "in which an answer is worth most"})
-      .DurationText("timeout", &EmulatedKind::timeout, kAnyTime,
-                    {.description = "of the route"})
-      .DurationText("deadline", &EmulatedKind::deadline, kAnyTime,
-                    {.description = "of the caller, its returns included"})
-      .Integer("max_attempts", &EmulatedKind::max_attempts, {1, 100},
-               {.description = "targets that one request may be sent to"})
-      .Integer("objects", &EmulatedKind::objects, {1, 1'000'000},
-               {.description = "objects of each region's callers"})
-      .Real("worth", &EmulatedKind::worth, {0, kMost},
-            {.description = "of an answer within the objective"})
-      .Real("worth_late", &EmulatedKind::worth_late, {0, kMost},
-            {.description = "of a later one"})
-      .Integer("returns", &EmulatedKind::returns, {0, 100},
-               {.description = "how often a caller comes back"});
+      .Text("name", &EmulatedRequestClass::name, kSettingName,
+            {.description = "class of requests", .is_required = true})
+      .Text("service", &EmulatedRequestClass::service, kSettingName,
+            {.description = "service that handles the requests",
+             .is_required = true})
+      .Choice("kind", &EmulatedRequestClass::kind, kRequestKinds,
+              {.description = "whether requests are idempotent"})
+      .Real("requests_per_second", &EmulatedRequestClass::requests_per_second,
+            {0, kMaxValue}, {.description = "mean rate of all regions"})
+      .DurationText("work", &EmulatedRequestClass::work, kAnyDuration,
+                    {.description = "mean service time, uncached"})
+      .Real("work_spread", &EmulatedRequestClass::work_spread, {0, 10},
+            {.description = "coefficient of variation of service times"})
+      .Real("warm_work", &EmulatedRequestClass::warm_work_factor, {0, 1},
+            {.description = "ratio of cached to uncached service time"})
+      .DurationText(
+          "objective", &EmulatedRequestClass::objective, kAnyDuration,
+          {.description =
+               "latency objective, within which a response earns full credit"})
+      .DurationText("timeout", &EmulatedRequestClass::timeout, kAnyDuration,
+                    {.description = "timeout of the route"})
+      .DurationText(
+          "deadline", &EmulatedRequestClass::deadline, kAnyDuration,
+          {.description = "deadline of the caller, including its retries"})
+      .Integer("max_attempts", &EmulatedRequestClass::max_attempts, {1, 100},
+               {.description = "maximum number of targets tried per request"})
+      .Integer("objects", &EmulatedRequestClass::objects, {1, 1'000'000},
+               {.description = "number of distinct objects per region"})
+      .Real("worth", &EmulatedRequestClass::credit, {0, kMaxValue},
+            {.description = "credit of a response within the objective"})
+      .Real("worth_late", &EmulatedRequestClass::late_credit, {0, kMaxValue},
+            {.description = "credit of a later response"})
+      .Integer("returns", &EmulatedRequestClass::caller_retries, {0, 100},
+               {.description = "maximum number of retries by the caller"});
   return schema;
 }
 
 SettingsSchema<EmulatedFault> MakeFaultSchema() {
   SettingsSchema<EmulatedFault> schema;
   schema
-      .Choice("trouble", &EmulatedFault::trouble, kTroubles,
-              {.description = "what goes wrong"})
+      .Choice("trouble", &EmulatedFault::type, kFaultTypes,
+              {.description = "type of the fault"})
       .Text("service", &EmulatedFault::service, kSettingName,
-            {.description = "whose targets; none: all services'"})
-      .Real("part", &EmulatedFault::part, {0, 1},
-            {.description = "of the service's targets, or of the hosts"})
+            {.description = "affected service; unset: all"})
+      .Real("part", &EmulatedFault::fraction, {0, 1},
+            {.description =
+                 "affected fraction of the service's targets or of the hosts"})
       .Real("strength", &EmulatedFault::strength, {0, 1000},
-            {.description = "times as slow, part of answers lost, times as "
-                            "many callers, or requests a second"})
-      .DurationText("from", &EmulatedFault::from, kAnyTime,
-                    {.description = "after the first callers"})
-      .DurationText("until", &EmulatedFault::until, kAnyTime,
-                    {.description = "after the first callers"});
+            {.description = "slowdown factor, fraction of responses lost, "
+                            "demand factor, or requests per second"})
+      .DurationText("from", &EmulatedFault::from, kAnyDuration,
+                    {.description = "time from the start of the run"})
+      .DurationText("until", &EmulatedFault::until, kAnyDuration,
+                    {.description = "time from the start of the run"});
   return schema;
 }
 
@@ -129,22 +136,26 @@
             {.description = "regions", .is_required = true})
       .List("services", &EmulatedDeployment::services, MakeServiceSchema(),
             {.description = "services", .is_required = true})
-      .List("kinds", &EmulatedDeployment::kinds, MakeKindSchema(),
-            {.description = "kinds of requests", .is_required = true})
+      .List("kinds", &EmulatedDeployment::request_classes,
+            MakeRequestClassSchema(),
+            {.description = "classes of requests", .is_required = true})
       .List("faults", &EmulatedDeployment::faults, MakeFaultSchema(),
-            {.description = "what goes wrong, and when"})
-      .DurationText("between_regions", &EmulatedDeployment::between_regions,
-                    kAnyTime, {.description = "one way"})
-      .DurationText("to_callers", &EmulatedDeployment::to_callers, kAnyTime,
-                    {.description = "one way"})
-      .Real("wave_swing", &EmulatedDeployment::wave_swing, {0, 1},
-            {.description = "part of its mean by which demand moves"})
+            {.description = "injected faults"})
+      .DurationText("between_regions",
+                    &EmulatedDeployment::inter_region_latency, kAnyDuration,
+                    {.description = "latency between regions, one way"})
+      .DurationText("to_callers", &EmulatedDeployment::caller_latency,
+                    kAnyDuration, {.description = "one way"})
+      .Real("wave_swing", &EmulatedDeployment::wave_amplitude, {0, 1},
+            {.description = "amplitude of the demand over its mean"})
       .DurationText("wave_period", &EmulatedDeployment::wave_period,
-                    {1, 86'400'000}, {.description = "of the wave"})
-      .DurationText("length", &EmulatedDeployment::length, kAnyTime,
-                    {.description = "how long callers come"})
+                    {1, 86'400'000},
+                    {.description = "period of the demand wave"})
+      .DurationText("length", &EmulatedDeployment::duration, kAnyDuration,
+                    {.description = "duration of arrivals"})
       .DurationText("window", &EmulatedDeployment::window, {1, 86'400'000},
-                    {.description = "of which the two worst count"});
+                    {.description = "length of the windows, of which the two "
+                                    "worst have a weight in the score"});
   return schema;
 }
 
--- a/lib/libmedlarcroft/source/adapters/emulation/deployment_schema.h
+++ b/lib/libmedlarcroft/source/adapters/emulation/deployment_schema.h
@@ -6,7 +6,7 @@
 
 namespace medlarcroft::adapters {
 
-/// @return the schema of an emulated deployment's file.
+/// @return the schema of an emulated deployment's YAML file.
 [[nodiscard]] const SettingsSchema<emulation::EmulatedDeployment>&
 EmulatedDeploymentSchema();
 
--- a/lib/libmedlarcroft/source/adapters/load/deployment_file.h
+++ b/lib/libmedlarcroft/source/adapters/load/deployment_file.h
@@ -9,7 +9,7 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief What the load tool takes from a running deployment.
+/// @brief Addresses of a running deployment.
 struct Deployment {
   std::vector<std::string> lookup_urls;  ///< Of each medlar-steerd.
   std::vector<std::string> target_urls;  ///< Of each stand-in target.
@@ -17,7 +17,7 @@
 
 enum class DeploymentFileError { kNotJson, kNoSteerd };
 
-/// @param json the file that `scripts/demo --keep` writes.
+/// @param json content of the file that `scripts/demo --keep` writes.
 [[nodiscard]] Result<Deployment, DeploymentFileError> ParseDeployment(
     std::string_view json);
 
--- a/lib/libmedlarcroft/source/adapters/load/http_load_transport.cc
+++ b/lib/libmedlarcroft/source/adapters/load/http_load_transport.cc
@@ -42,12 +42,12 @@
   if (!IsOk(client_result)) {
     return {.failure = FailureOf(ErrorOf(client_result))};
   }
-  ClientResponse answer = TakeValue(std::move(client_result));
-  ExchangeResult result{.status = answer.status};
-  for (const HttpHeader& field : answer.headers.Fields()) {
+  ClientResponse response = TakeValue(std::move(client_result));
+  ExchangeResult result{.status = response.status};
+  for (const HttpHeader& field : response.headers.Fields()) {
     result.headers.push_back({ToLowerCase(field.name), field.value});
   }
-  result.body = std::move(answer.body);
+  result.body = std::move(response.body);
   return result;
 }
 
@@ -61,24 +61,24 @@
     out.headers.Add(field.name, field.value);
   }
   client_.Send(std::move(out), [this, id = request.id](ClientResult result) {
-    Arrived arrived{.id = id,
-                    .result = ToExchangeResult(std::move(result)),
-                    .at = SystemClock().Now()};
+    ReceivedResult received{.id = id,
+                            .result = ToExchangeResult(std::move(result)),
+                            .at = SystemClock().Now()};
     {
       const std::lock_guard lock(mutex_);
-      arrived_.push_back(std::move(arrived));
+      results_.push_back(std::move(received));
     }
-    changed_.notify_one();
+    condition_.notify_one();
   });
 }
 
-std::vector<HttpLoadTransport::Arrived> HttpLoadTransport::Wait(
+std::vector<HttpLoadTransport::ReceivedResult> HttpLoadTransport::Wait(
     MonotonicTime until) {
   const Duration left = until - SystemClock().Now();
   std::unique_lock lock(mutex_);
-  changed_.wait_for(lock, std::max(left, Duration::zero()),
-                    [this] { return !arrived_.empty(); });
-  return std::exchange(arrived_, {});
+  condition_.wait_for(lock, std::max(left, Duration::zero()),
+                      [this] { return !results_.empty(); });
+  return std::exchange(results_, {});
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/load/http_load_transport.h
+++ b/lib/libmedlarcroft/source/adapters/load/http_load_transport.h
@@ -11,34 +11,35 @@
 
 namespace medlarcroft::adapters {
 
-/// @return an exchange's result in the load tool's terms.
+/// @return the result of an HTTP exchange as the load generator's type.
 [[nodiscard]] load_generator::ExchangeResult ToExchangeResult(
     ClientResult result);
 
-/// @brief Carries the load tool's requests over HTTP and keeps results, with
-/// the time they came, until the session's thread takes them.
+/// @brief Sends the load generator's requests over HTTP and queues the results,
+/// with their arrival times, for the session's thread.
 class HttpLoadTransport final : public load_generator::LoadTransport {
  public:
-  struct Arrived {
+  struct ReceivedResult {
     std::uint64_t id = 0;
     load_generator::ExchangeResult result;
     MonotonicTime at;
   };
 
-  /// @param client must outlive the transport, and be ended before it.
+  /// @param client must be destroyed before the transport, as its callbacks use
+  /// the transport.
   explicit HttpLoadTransport(HttpClient& client) : client_(client) {}
 
   void Send(load_generator::OutgoingRequest request) override;
 
-  /// @brief Waits for results until `until` at the longest.
-  /// @return those that came, in their order; maybe none.
-  std::vector<Arrived> Wait(MonotonicTime until);
+  /// @brief Waits for results, at most until `until`.
+  /// @return the results in order of arrival; may be empty.
+  std::vector<ReceivedResult> Wait(MonotonicTime until);
 
  private:
   HttpClient& client_;
   std::mutex mutex_;
-  std::condition_variable changed_;
-  std::vector<Arrived> arrived_;
+  std::condition_variable condition_;
+  std::vector<ReceivedResult> results_;
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/load/load_plan_schema.cc
+++ b/lib/libmedlarcroft/source/adapters/load/load_plan_schema.cc
@@ -26,20 +26,20 @@
       .Text("service", &ClassLoad::service, kSettingName,
             {.description = "service in the catalogue", .is_required = true})
       .Real("rate", &ClassLoad::rate, {0, kMaxRate},
-            {.description = "requests a second outside bursts"})
+            {.description = "mean requests per second outside bursts"})
       .Text("method", &ClassLoad::method, kMethod,
             {.description = "method of the requests"})
       .Integer("body_bytes", &ClassLoad::body_bytes, {0, 1 << 20},
                {.description = "size of each request's body"})
       .Milliseconds("deadline_ms", &ClassLoad::deadline, {1, 3'600'000},
-                    {.description = "time in which the answer is of use"})
+                    {.description = "time by which the response is needed"})
       .Flag("needs_key", &ClassLoad::needs_key,
             {.description = "each request carries an idempotency key"})
       .Real("retry_ratio", &ClassLoad::retry_ratio, {0, 1},
-            {.description = "share of the unsuccessful attempts after which "
-                            "the caller tries again"})
+            {.description = "fraction of the unsuccessful attempts that "
+                            "the caller retries"})
       .Integer("max_attempts", &ClassLoad::max_attempts, {1, 20},
-               {.description = "attempts of one request, at most"})
+               {.description = "maximum number of attempts per request"})
       .Real("max_late_ratio", &ClassLoad::max_late_ratio, {0, 1},
             {.description = "limit on late, failed and unsent requests"})
       .Real("max_refused_ratio", &ClassLoad::max_refused_ratio, {0, 1},
@@ -51,9 +51,10 @@
   SettingsSchema<BrandLoad> schema;
   schema
       .Text("brand", &BrandLoad::brand, kSettingName,
-            {.description = "brand whose callers ask", .is_required = true})
+            {.description = "brand whose callers send requests",
+             .is_required = true})
       .Real("weight", &BrandLoad::weight, {0, kMaxRate},
-            {.description = "how often, relative to the others"});
+            {.description = "request rate relative to other brands"});
   return schema;
 }
 
@@ -63,11 +64,11 @@
       .Milliseconds("at_ms", &Burst::at, kAnyDuration,
                     {.description = "from the start of the run"})
       .Milliseconds("duration_ms", &Burst::duration, kAnyDuration,
-                    {.description = "how long it lasts"})
+                    {.description = "duration of the burst"})
       .Real("factor", &Burst::factor, {0, 1000},
-            {.description = "on the rate; 0 stops it"})
+            {.description = "multiplies the rate; 0: no requests"})
       .Text("service", &Burst::service, kSettingName,
-            {.description = "service meant; none: all"});
+            {.description = "affected service; unset: all"});
   return schema;
 }
 
@@ -79,15 +80,16 @@
       .Integer("seed", &LoadPlan::seed, {0, 1LL << 53},
                {.description = "seed of arrivals, brands and choices"})
       .List("classes", &LoadPlan::classes, MakeClassSchema(),
-            {.description = "services and their rates", .is_required = true})
+            {.description = "services and their request rates",
+             .is_required = true})
       .List("brands", &LoadPlan::brands, MakeBrandSchema(),
             {.description = "brands and their weights", .is_required = true})
       .Real("brand_skew", &LoadPlan::brand_skew, {0, 10},
-            {.description = "Zipf exponent over the order of the brands"})
+            {.description = "Zipf exponent by rank in the list of brands"})
       .List("bursts", &LoadPlan::bursts, MakeBurstSchema(),
-            {.description = "times with another rate"})
+            {.description = "periods with another rate"})
       .Integer("max_in_flight", &LoadPlan::max_in_flight, {1, 1'000'000},
-               {.description = "requests open at once, at most"});
+               {.description = "maximum number of requests in flight"});
   return schema;
 }
 
--- a/lib/libmedlarcroft/source/adapters/load/load_plan_schema.h
+++ b/lib/libmedlarcroft/source/adapters/load/load_plan_schema.h
@@ -6,7 +6,7 @@
 
 namespace medlarcroft::adapters {
 
-/// @return the schema of the YAML file that describes a run.
+/// @return the schema of a load plan's YAML file.
 [[nodiscard]] const SettingsSchema<load_generator::LoadPlan>& LoadPlanSchema();
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/load/target_probe.cc
+++ b/lib/libmedlarcroft/source/adapters/load/target_probe.cc
@@ -38,8 +38,8 @@
 std::optional<double> TargetProbe::MeasureHeadroom() {
   double slots = 0;
   double outstanding = 0;
-  for (const ClientResponse& answer : AskAll("/load")) {
-    const json document = json::parse(answer.body, nullptr, false);
+  for (const ClientResponse& response : GetFromAllTargets("/load")) {
+    const json document = json::parse(response.body, nullptr, false);
     if (document.is_object()) {
       slots += document.value("slots", 0.0);
       outstanding += document.value("outstanding", 0.0);
@@ -54,8 +54,8 @@
 RunAudit TargetProbe::ReadRuns() {
   RunAudit audit;
   std::size_t complete = 0;
-  for (const ClientResponse& answer : AskAll("/control/runs")) {
-    auto list = ParseRunList(answer.body);
+  for (const ClientResponse& response : GetFromAllTargets("/control/runs")) {
+    auto list = ParseRunList(response.body);
     if (!list) {
       continue;
     }
@@ -68,7 +68,8 @@
   return audit;
 }
 
-std::vector<ClientResponse> TargetProbe::AskAll(std::string_view path) {
+std::vector<ClientResponse> TargetProbe::GetFromAllTargets(
+    std::string_view path) {
   std::vector<std::promise<ClientResult>> promises(urls_.size());
   for (std::size_t i = 0; i < urls_.size(); ++i) {
     client_.Send({.url = urls_[i] + std::string(path),
@@ -77,14 +78,14 @@
                    promise.set_value(std::move(result));
                  });
   }
-  std::vector<ClientResponse> answers;
+  std::vector<ClientResponse> responses;
   for (std::promise<ClientResult>& promise : promises) {
     ClientResult result = promise.get_future().get();
     if (IsOk(result)) {
-      answers.push_back(TakeValue(std::move(result)));
+      responses.push_back(TakeValue(std::move(result)));
     }
   }
-  return answers;
+  return responses;
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/load/target_probe.h
+++ b/lib/libmedlarcroft/source/adapters/load/target_probe.h
@@ -11,32 +11,32 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief What one answer to GET /control/runs says.
+/// @brief Content of a response to GET /control/runs.
 struct RunList {
   std::vector<load_generator::TargetRun> runs;
   bool is_complete = false;  ///< The target has dropped none.
 };
 
-/// @return nullopt when the answer can't be understood.
+/// @return nullopt when the response can't be parsed.
 [[nodiscard]] std::optional<RunList> ParseRunList(std::string_view json);
 
-/// @brief Asks stand-in targets for their load and their runs.
+/// @brief Queries stand-in targets for their load and their runs.
 class TargetProbe {
  public:
   /// @param client must outlive the probe.
   TargetProbe(HttpClient& client, std::vector<std::string> urls)
       : client_(client), urls_(std::move(urls)) {}
 
-  /// @return the share of all slots that is free, or nullopt when no target
-  /// answered. Blocks.
+  /// @return the fraction of all slots that are free, or nullopt when no target
+  /// responded. Blocks.
   [[nodiscard]] std::optional<double> MeasureHeadroom();
 
-  /// @return every target's runs. Blocks.
+  /// @return the runs of all targets. Blocks.
   [[nodiscard]] load_generator::RunAudit ReadRuns();
 
  private:
-  /// @return the answers to a GET of `path` from all targets that gave one.
-  std::vector<ClientResponse> AskAll(std::string_view path);
+  /// @return the responses to a GET of `path` of all targets that responded.
+  std::vector<ClientResponse> GetFromAllTargets(std::string_view path);
 
   HttpClient& client_;
   const std::vector<std::string> urls_;
--- a/lib/libmedlarcroft/source/emulation/emulated_host.cc
+++ b/lib/libmedlarcroft/source/emulation/emulated_host.cc
@@ -8,7 +8,8 @@
 
 using request_path::RequestPath;
 
-// Each region is one failure domain: what differs within one is not emulated.
+// Each region is one failure domain, as differences between the domains of a
+// region are not emulated.
 request_path::DomainRegions RegionsOf(const EmulatedDeployment& deployment) {
   request_path::DomainRegions regions;
   for (const EmulatedRegion& region : deployment.regions) {
@@ -26,16 +27,16 @@
 routing::RoutingConfiguration ConfigurationOf(
     const EmulatedDeployment& deployment) {
   routing::RoutingConfiguration configuration{.version = 1};
-  for (const EmulatedKind& kind : deployment.kinds) {
+  for (const EmulatedRequestClass& request_class : deployment.request_classes) {
     configuration.routes.push_back(
-        {.name = kind.name,
-         .host = std::string(EmulatedSite()),
-         .path_prefix = PathOf(kind),
-         .kind = kind.kind,
-         .timeout = kind.timeout,
-         .latency_objective = kind.objective,
-         .max_attempts = kind.max_attempts,
-         .weighted_services = {{.service = ServiceName(kind.service)}},
+        {.name = request_class.name,
+         .host = std::string(EmulatedHttpHost()),
+         .path_prefix = PathOf(request_class),
+         .kind = request_class.kind,
+         .timeout = request_class.timeout,
+         .latency_objective = request_class.objective,
+         .max_attempts = request_class.max_attempts,
+         .weighted_services = {{.service = ServiceName(request_class.service)}},
          .is_sticky = true});
   }
   for (const EmulatedService& service : deployment.services) {
@@ -54,12 +55,12 @@
 
 }  // namespace
 
-std::string_view EmulatedSite() {
+std::string_view EmulatedHttpHost() {
   return "callers.example";
 }
 
-std::string PathOf(const EmulatedKind& kind) {
-  return "/" + kind.name + "/";
+std::string PathOf(const EmulatedRequestClass& request_class) {
+  return "/" + request_class.name + "/";
 }
 
 EmulatedHost::EmulatedHost(const EmulatedDeployment& deployment,
--- a/lib/libmedlarcroft/source/emulation/emulation.cc
+++ b/lib/libmedlarcroft/source/emulation/emulation.cc
@@ -17,16 +17,18 @@
 using request_path::SendAttempt;
 using request_path::Step;
 
-// What runs when the last callers have come may still end.
-constexpr Duration kAfterwards = std::chrono::seconds(12);
-// Callers that no route or host answers come back after this.
-constexpr Duration kUsualReturn = std::chrono::milliseconds(200);
-// Of the time that a caller has left, the most that it waits to come back.
-constexpr double kLongestReturn = 1.0 / 3;
-// From the arrival of a crashing request until its target crashes.
+// Requests that are in progress after the last arrival have this long to end.
+constexpr Duration kDrainTime = std::chrono::seconds(12);
+// Delay before a caller's retry when the response has no Retry-After, as when
+// no route or host is available.
+constexpr Duration kDefaultRetryDelay = std::chrono::milliseconds(200);
+// Longest delay before a retry, as a fraction of the time left until the
+// caller's deadline.
+constexpr double kMaxRetryDelayFraction = 1.0 / 3;
+// Time from the arrival of a crashing request until its target crashes.
 constexpr Duration kCrashDelay = std::chrono::milliseconds(80);
-// A target that is gone is noticed as the connection fails.
-constexpr Duration kConnectLimit = std::chrono::milliseconds(250);
+// Time after which a connection to an unreachable target fails.
+constexpr Duration kConnectTimeout = std::chrono::milliseconds(250);
 
 double Phase(Duration at, Duration period) {
   return ToSeconds(at) / std::max(ToSeconds(period), 1e-3);
@@ -37,12 +39,12 @@
 Emulation::Emulation(const EmulatedDeployment& deployment,
                      const EmulationOptions& options)
     : deployment_(deployment),
-      tells_placed_(options.tells_placed),
-      tells_loads_(options.tells_loads),
-      began_(events_.Now()),
+      shares_placements_(options.shares_placements),
+      shares_loads_(options.shares_loads),
+      start_time_(events_.Now()),
       random_(options.seed),
       hosts_by_region_(deployment.regions.size()),
-      figures_(deployment.window) {
+      metrics_(deployment.window) {
   MakeTargets();
   MakeHosts(options);
   ConnectReportSinks();
@@ -54,10 +56,10 @@
     for (const EmulatedTargets& group : service.targets) {
       for (std::uint32_t number = 0; number < group.count; ++number) {
         const double factor =
-            1.0 + service.uneven_by * (2.0 * random_.NextUnit() - 1.0);
+            1.0 + service.speed_variation * (2.0 * random_.NextUnit() - 1.0);
         const std::string id =
             service.name + "-" + group.region + "-" + std::to_string(number);
-        target_places_[TargetName(id)] = targets_.size();
+        target_indices_[TargetName(id)] = targets_.size();
         targets_.push_back(
             {.record = {.id = TargetName(id),
                         .service = ServiceName(service.name),
@@ -74,38 +76,38 @@
 
 void Emulation::MakeHosts(const EmulationOptions& options) {
   std::vector<request_path::TargetRecord> records;
-  for (const Placed& placed : targets_) {
-    records.push_back(placed.record);
+  for (const TargetInstance& instance : targets_) {
+    records.push_back(instance.record);
   }
   for (std::size_t region = 0; region < deployment_.regions.size(); ++region) {
-    const EmulatedRegion& place = deployment_.regions[region];
-    for (std::uint32_t number = 0; number < place.hosts; ++number) {
+    const EmulatedRegion& region_settings = deployment_.regions[region];
+    for (std::uint32_t number = 0; number < region_settings.hosts; ++number) {
       hosts_by_region_[region].push_back(hosts_.size());
       hosts_.push_back(std::make_unique<EmulatedHost>(
-          deployment_, place.name, options.path, random_.Next()));
+          deployment_, region_settings.name, options.path, random_.Next()));
       hosts_.back()->Register(records, events_.Now());
     }
   }
-  is_cut_.resize(hosts_.size());
+  is_partitioned_.resize(hosts_.size());
 }
 
-double Emulation::DemandPart(std::size_t region) const {
+double Emulation::DemandShare(std::size_t region) const {
   double all = 0;
   for (const EmulatedRegion& other : deployment_.regions) {
-    all += other.demand;
+    all += other.demand_weight;
   }
-  return deployment_.regions[region].demand / all;
+  return deployment_.regions[region].demand_weight / all;
 }
 
-double Emulation::RateAt(std::size_t kind,
+double Emulation::RateAt(std::size_t class_index,
                          std::size_t region,
                          Duration at) const {
-  const double turns = Phase(at, deployment_.wave_period) +
+  const double phase = Phase(at, deployment_.wave_period) +
                        deployment_.regions[region].wave_phase;
-  const double wave =
-      1.0 + deployment_.wave_swing * std::sin(2.0 * std::numbers::pi * turns);
-  return deployment_.kinds[kind].requests_per_second * DemandPart(region) *
-         wave * more_callers_;
+  const double wave_factor = 1.0 + deployment_.wave_amplitude *
+                                       std::sin(2.0 * std::numbers::pi * phase);
+  return deployment_.request_classes[class_index].requests_per_second *
+         DemandShare(region) * wave_factor * demand_factor_;
 }
 
 double Emulation::Exponential() {
@@ -117,62 +119,68 @@
   return radius * std::cos(2.0 * std::numbers::pi * random_.NextUnit());
 }
 
-// The next arrival by thinning: as if at the highest rate that the wave has,
-// and kept in proportion.
-void Emulation::ArriveLater(std::size_t kind, std::size_t region) {
-  const double highest = deployment_.kinds[kind].requests_per_second *
-                         DemandPart(region) * more_callers_ *
-                         (1.0 + deployment_.wave_swing);
+// Draws the next arrival of a Poisson process of varying rate by thinning:
+// candidates arrive at the peak rate, and each is accepted with the probability
+// of the current rate over the peak rate.
+void Emulation::ScheduleNextArrival(std::size_t class_index,
+                                    std::size_t region) {
+  const double highest =
+      deployment_.request_classes[class_index].requests_per_second *
+      DemandShare(region) * demand_factor_ * (1.0 + deployment_.wave_amplitude);
   events_.After(FromSeconds(Exponential() / highest), [=, this] {
     const Duration at = Elapsed();
-    if (at > deployment_.length) {
+    if (at > deployment_.duration) {
       return;
     }
-    if (random_.NextUnit() * highest < RateAt(kind, region, at)) {
-      Ask(MakeCaller(kind, region));
+    if (random_.NextUnit() * highest < RateAt(class_index, region, at)) {
+      SendToHost(MakeCaller(class_index, region));
     }
-    ArriveLater(kind, region);
+    ScheduleNextArrival(class_index, region);
   });
 }
 
-Emulation::Caller Emulation::MakeCaller(std::size_t kind, std::size_t region) {
-  const EmulatedKind& asked = deployment_.kinds[kind];
-  const double factor = std::max(0.05, 1.0 + asked.work_spread * Normal());
-  return {.kind = &asked,
+Emulation::Caller Emulation::MakeCaller(std::size_t class_index,
+                                        std::size_t region) {
+  const EmulatedRequestClass& request_class =
+      deployment_.request_classes[class_index];
+  const double factor =
+      std::max(0.05, 1.0 + request_class.work_spread * Normal());
+  return {.request_class = &request_class,
           .region = region,
           .object = deployment_.regions[region].name + "/" +
-                    std::to_string(random_.NextBelow(asked.objects)),
-          .work = FromSeconds(ToSeconds(asked.work) * factor),
+                    std::to_string(random_.NextBelow(request_class.objects)),
+          .work = FromSeconds(ToSeconds(request_class.work) * factor),
           .arrived = events_.Now(),
-          .returns_left = asked.returns,
+          .retries_left = request_class.caller_retries,
           .fingerprint =
               request_path::RequestFingerprint::FromValue(++last_fingerprint_)};
 }
 
-EmulationFigures Emulation::Run() {
-  for (std::size_t kind = 0; kind < deployment_.kinds.size(); ++kind) {
+EmulationMetrics Emulation::Run() {
+  for (std::size_t class_index = 0;
+       class_index < deployment_.request_classes.size(); ++class_index) {
     for (std::size_t region = 0; region < deployment_.regions.size();
          ++region) {
-      ArriveLater(kind, region);
+      ScheduleNextArrival(class_index, region);
     }
   }
-  events_.RunUntil(began_ + deployment_.length + kAfterwards);
-  for (const Placed& placed : targets_) {
-    figures_.OnRuns(placed.target->Runs(), placed.target->WarmRuns());
+  events_.RunUntil(start_time_ + deployment_.duration + kDrainTime);
+  for (const TargetInstance& instance : targets_) {
+    metrics_.OnRuns(instance.target->Runs(), instance.target->WarmRuns());
   }
-  return figures_;
+  return metrics_;
 }
 
-void Emulation::Ask(const Caller& caller) {
-  events_.After(deployment_.to_callers, [this, caller] {
+void Emulation::SendToHost(const Caller& caller) {
+  events_.After(deployment_.caller_latency, [this, caller] {
     const std::vector<std::size_t>& hosts = hosts_by_region_[caller.region];
     const std::size_t host = hosts[random_.NextBelow(hosts.size())];
     const Duration spent = events_.Now() - caller.arrived;
     const request_path::CallerRequest request{
-        .host = std::string(EmulatedSite()),
-        .target = PathOf(*caller.kind),
+        .host = std::string(EmulatedHttpHost()),
+        .target = PathOf(*caller.request_class),
         .object = caller.object,
-        .time_left = caller.kind->deadline - spent,
+        .time_left = caller.request_class->deadline - spent,
         .fingerprint = caller.fingerprint};
     const request_path::RequestStart begun =
         hosts_[host]->Path().Begin(request, events_.Now());
@@ -180,186 +188,192 @@
       OnRefused(caller, std::get<RequestFailure>(begun.step));
       return;
     }
-    const auto running = std::make_shared<Running>(
-        Running{.caller = caller, .host = host, .ticket = begun.ticket});
-    events_.After(begun.time_left, [this, running] {
-      if (!running->is_over) {
-        (void)hosts_[running->host]->Path().OnTimeout(running->ticket,
-                                                      events_.Now());
-        Finish(running);
-        Conclude(running->caller, false, false);
+    const auto active = std::make_shared<ActiveRequest>(
+        ActiveRequest{.caller = caller, .host = host, .ticket = begun.ticket});
+    events_.After(begun.time_left, [this, active] {
+      if (!active->is_over) {
+        (void)hosts_[active->host]->Path().OnTimeout(active->ticket,
+                                                     events_.Now());
+        Finish(active);
+        RecordOutcome(active->caller, false, false);
       }
     });
-    Carry(running, begun.step);
+    ExecuteStep(active, begun.step);
   });
 }
 
-void Emulation::Carry(const RunningPointer& running, const Step& step) {
+void Emulation::ExecuteStep(const ActiveRequestPointer& active,
+                            const Step& step) {
   if (const auto* const attempt = std::get_if<SendAttempt>(&step)) {
-    SendTo(running, *attempt);
+    StartAttempt(active, *attempt);
     return;
   }
   if (std::holds_alternative<PassOn>(step)) {
-    Finish(running);
-    Conclude(running->caller, true, false);
+    Finish(active);
+    RecordOutcome(active->caller, true, false);
     return;
   }
   if (const auto* const ending = std::get_if<RequestFailure>(&step)) {
-    Finish(running);
-    OnRefused(running->caller, *ending);
+    Finish(active);
+    OnRefused(active->caller, *ending);
   }
 }
 
-Duration Emulation::WayTo(const std::string& from, std::size_t to) const {
+Duration Emulation::LatencyTo(const std::string& from, std::size_t to) const {
   return targets_[to].record.domain.Value() == from
-             ? deployment_.within_region
-             : deployment_.between_regions;
+             ? deployment_.intra_region_latency
+             : deployment_.inter_region_latency;
 }
 
-void Emulation::SendTo(const RunningPointer& running,
-                       const SendAttempt& attempt) {
-  const std::size_t target = target_places_.at(attempt.target.name);
-  EmulatedHost& host = *hosts_[running->host];
-  const Duration way = WayTo(host.Region(), target);
-  running->sends[attempt.attempt] = {.target = target};
+void Emulation::StartAttempt(const ActiveRequestPointer& active,
+                             const SendAttempt& attempt) {
+  const std::size_t target = target_indices_.at(attempt.target.name);
+  EmulatedHost& host = *hosts_[active->host];
+  const Duration latency = LatencyTo(host.Region(), target);
+  active->attempts[attempt.attempt] = {.target = target};
   if (attempt.attempt == 1) {
-    figures_.OnPlaced(host.Region(), attempt.region.Value(), Elapsed());
+    metrics_.OnPlacement(host.Region(), attempt.region.Value(), Elapsed());
   } else {
-    figures_.OnFurtherSend();
+    metrics_.OnExtraAttempt();
   }
-  if (attempt.should_announce && tells_placed_) {
-    TellPlaced(*running, attempt);
+  if (attempt.should_announce && shares_placements_) {
+    SharePlacement(*active, attempt);
   }
-  host.Path().OnConnected(attempt.region, 2 * way);
+  host.Path().OnConnected(attempt.region, 2 * latency);
   if (attempt.hedge_after) {
-    events_.After(*attempt.hedge_after, [this, running] {
-      if (!running->is_over) {
-        Carry(running, hosts_[running->host]->Path().OnSlow(running->ticket,
-                                                            events_.Now()));
+    events_.After(*attempt.hedge_after, [this, active] {
+      if (!active->is_over) {
+        ExecuteStep(active, hosts_[active->host]->Path().OnSlow(active->ticket,
+                                                                events_.Now()));
       }
     });
   }
-  events_.After(way, [this, running, number = attempt.attempt, way] {
-    Deliver(running, number, way);
+  events_.After(latency, [this, active, number = attempt.attempt, latency] {
+    Deliver(active, number, latency);
   });
 }
 
-void Emulation::Deliver(const RunningPointer& running,
+void Emulation::Deliver(const ActiveRequestPointer& active,
                         request_path::AttemptNumber attempt,
-                        Duration way) {
-  Send& send = running->sends.at(attempt);
-  if (send.is_abandoned) {
+                        Duration latency) {
+  AttemptState& state = active->attempts.at(attempt);
+  if (state.is_abandoned) {
     return;
   }
-  Placed& placed = targets_[send.target];
-  if (placed.is_gone) {
-    events_.After(kConnectLimit, [this, running, attempt] {
-      EndSend(running, attempt, AttemptEnd::kNeverSent);
+  TargetInstance& instance = targets_[state.target];
+  if (instance.is_unreachable) {
+    events_.After(kConnectTimeout, [this, active, attempt] {
+      EndAttempt(active, attempt, AttemptEnd::kNeverSent);
     });
     return;
   }
-  if (placed.limit) {
-    RecordLimitUse(send.target);
+  if (instance.limit) {
+    RecordLimitUse(state.target);
   }
-  const bool is_lost = random_.NextUnit() < placed.lost_part;
-  const auto done = [this, running, attempt, way,
+  const bool is_lost = random_.NextUnit() < instance.loss_probability;
+  const auto done = [this, active, attempt, latency,
                      is_lost](const request_path::LoadReport& report) {
-    running->sends.at(attempt).work = 0;
-    events_.After(way, [this, running, attempt, is_lost, report] {
-      const Send& ended = running->sends.at(attempt);
+    active->attempts.at(attempt).work = 0;
+    events_.After(latency, [this, active, attempt, is_lost, report] {
+      const AttemptState& ended = active->attempts.at(attempt);
       if (!is_lost) {
         const request_path::TargetIdentity target =
             targets_[ended.target].record.Identity();
-        hosts_[running->host]->Path().OnReport(target, report, events_.Now());
-        TellLoad(*running, target, report);
-        hosts_[running->host]->Path().OnRateLimit(running->ticket, attempt,
-                                                  targets_[ended.target].limit,
-                                                  events_.Now());
+        hosts_[active->host]->Path().OnReport(target, report, events_.Now());
+        ShareLoad(*active, target, report);
+        hosts_[active->host]->Path().OnRateLimit(active->ticket, attempt,
+                                                 targets_[ended.target].limit,
+                                                 events_.Now());
       }
-      EndSend(running, attempt,
-              is_lost ? AttemptEnd::kLost : AttemptEnd::kAnswered);
+      EndAttempt(active, attempt,
+                 is_lost ? AttemptEnd::kLost : AttemptEnd::kAnswered);
     });
   };
-  const auto work =
-      placed.target->Arrive({.object = running->caller.object,
-                             .time = running->caller.work,
-                             .warm_part = running->caller.kind->warm_work},
-                            done);
+  const auto work = instance.target->Submit(
+      {.object = active->caller.object,
+       .time = active->caller.work,
+       .warm_factor = active->caller.request_class->warm_work_factor},
+      done);
   if (work) {
-    send.work = *work;
-    placed.accepted_sends.emplace_back(running, attempt);
-    if (running->caller.crashes_targets) {
+    state.work = *work;
+    instance.accepted_attempts.emplace_back(active, attempt);
+    if (active->caller.crashes_targets) {
       events_.After(kCrashDelay,
-                    [this, target = send.target] { CrashTarget(target); });
+                    [this, target = state.target] { CrashTarget(target); });
     }
     return;
   }
-  events_.After(way, [this, running, attempt] {
-    EndSend(running, attempt, AttemptEnd::kNotRun);
+  events_.After(latency, [this, active, attempt] {
+    EndAttempt(active, attempt, AttemptEnd::kNotRun);
   });
 }
 
-void Emulation::EndSend(const RunningPointer& running,
-                        request_path::AttemptNumber attempt,
-                        AttemptEnd end) {
-  Send& send = running->sends.at(attempt);
-  send.work = 0;
-  if (running->is_over || send.is_abandoned) {
+void Emulation::EndAttempt(const ActiveRequestPointer& active,
+                           request_path::AttemptNumber attempt,
+                           AttemptEnd end) {
+  AttemptState& state = active->attempts.at(attempt);
+  state.work = 0;
+  if (active->is_over || state.is_abandoned) {
     return;
   }
-  Carry(running, hosts_[running->host]->Path().OnAttemptEnd(
-                     running->ticket, attempt, end, events_.Now()));
+  ExecuteStep(active, hosts_[active->host]->Path().OnAttemptEnd(
+                          active->ticket, attempt, end, events_.Now()));
 }
 
-void Emulation::Finish(const RunningPointer& running) {
-  running->is_over = true;
-  for (auto& [number, send] : running->sends) {
-    CancelSend(send, WayTo(hosts_[running->host]->Region(), send.target));
+void Emulation::Finish(const ActiveRequestPointer& active) {
+  active->is_over = true;
+  for (auto& [number, state] : active->attempts) {
+    CancelAttempt(state,
+                  LatencyTo(hosts_[active->host]->Region(), state.target));
   }
 }
 
-void Emulation::CancelSend(Send& send, Duration way) {
-  send.is_abandoned = true;
-  if (send.work == 0) {
+void Emulation::CancelAttempt(AttemptState& state, Duration latency) {
+  state.is_abandoned = true;
+  if (state.work == 0) {
     return;
   }
-  events_.After(way, [this, target = send.target, work = send.work] {
+  events_.After(latency, [this, target = state.target, work = state.work] {
     targets_[target].target->Cancel(work);
   });
 }
 
 void Emulation::OnRefused(const Caller& caller, const RequestFailure& ending) {
   const bool may_return =
-      caller.returns_left > 0 &&
+      caller.retries_left > 0 &&
       (ending.is_not_run ||
-       caller.kind->kind == routing::RequestKind::kIdempotent);
+       caller.request_class->kind == routing::RequestKind::kIdempotent);
   const Duration left =
-      caller.kind->deadline - (events_.Now() - caller.arrived);
-  const Duration longest = FromSeconds(kLongestReturn * ToSeconds(left));
+      caller.request_class->deadline - (events_.Now() - caller.arrived);
+  const Duration longest =
+      FromSeconds(kMaxRetryDelayFraction * ToSeconds(left));
   const Duration wait =
-      std::min(ending.retry_after.value_or(kUsualReturn), longest);
+      std::min(ending.retry_after.value_or(kDefaultRetryDelay), longest);
   if (!may_return || left <= Duration(0)) {
-    Conclude(caller, false, ending.is_not_run);
+    RecordOutcome(caller, false, ending.is_not_run);
     return;
   }
   Caller again = caller;
-  --again.returns_left;
-  events_.After(deployment_.to_callers + wait, [this, again] { Ask(again); });
+  --again.retries_left;
+  events_.After(deployment_.caller_latency + wait,
+                [this, again] { SendToHost(again); });
 }
 
-void Emulation::Conclude(const Caller& caller,
-                         bool is_served,
-                         bool is_refused) {
+void Emulation::RecordOutcome(const Caller& caller,
+                              bool is_served,
+                              bool is_refused) {
   if (caller.crashes_targets) {
     return;
   }
-  const Duration took = events_.Now() + deployment_.to_callers - caller.arrived;
-  figures_.OnOutcome({.kind = caller.kind,
-                      .region = deployment_.regions[caller.region].name,
-                      .arrived = caller.arrived - began_,
-                      .took = took,
-                      .is_served = is_served && took <= caller.kind->deadline,
-                      .is_refused = is_refused});
+  const Duration took =
+      events_.Now() + deployment_.caller_latency - caller.arrived;
+  metrics_.OnOutcome(
+      {.request_class = caller.request_class,
+       .region = deployment_.regions[caller.region].name,
+       .arrived = caller.arrived - start_time_,
+       .took = took,
+       .is_served = is_served && took <= caller.request_class->deadline,
+       .is_refused = is_refused});
 }
 
 }  // namespace medlarcroft::emulation
--- a/lib/libmedlarcroft/source/emulation/emulation_faults.cc
+++ b/lib/libmedlarcroft/source/emulation/emulation_faults.cc
@@ -1,4 +1,4 @@
-// What goes wrong in an emulation, and when.
+// Fault injection of the emulation.
 #include <map>
 #include <string>
 
@@ -8,23 +8,24 @@
 
 void Emulation::PlanFaults() {
   for (const EmulatedFault& fault : deployment_.faults) {
-    events_.At(began_ + fault.from, [this, &fault] { SetFault(fault, true); });
-    events_.At(began_ + fault.until,
+    events_.At(start_time_ + fault.from,
+               [this, &fault] { SetFault(fault, true); });
+    events_.At(start_time_ + fault.until,
                [this, &fault] { SetFault(fault, false); });
   }
 }
 
 void Emulation::SetFault(const EmulatedFault& fault, bool is_on) {
-  switch (fault.trouble) {
-    case EmulatedTrouble::kMoreCallers:
-      more_callers_ = is_on ? fault.strength : 1.0;
+  switch (fault.type) {
+    case EmulatedFaultType::kIncreasedDemand:
+      demand_factor_ = is_on ? fault.strength : 1.0;
       break;
-    case EmulatedTrouble::kCutHosts:
-      SetCutHosts(is_on ? fault.part : 0.0);
+    case EmulatedFaultType::kPartitionedHosts:
+      SetPartitionedHosts(is_on ? fault.fraction : 0.0);
       break;
-    case EmulatedTrouble::kCrashingRequest:
+    case EmulatedFaultType::kCrashingRequest:
       if (is_on) {
-        AskCrashingRequest(fault);
+        SendCrashingRequest(fault);
       }
       break;
     default:
@@ -32,41 +33,42 @@
   }
 }
 
-void Emulation::SetCutHosts(double part) {
-  double owed = 0;
+void Emulation::SetPartitionedHosts(double fraction) {
+  double accumulated = 0;
   for (std::size_t host = 0; host < hosts_.size(); ++host) {
-    owed += part;
-    is_cut_[host] = owed >= 1.0;
-    owed -= is_cut_[host] ? 1.0 : 0.0;
+    accumulated += fraction;
+    is_partitioned_[host] = accumulated >= 1.0;
+    accumulated -= is_partitioned_[host] ? 1.0 : 0.0;
   }
 }
 
 void Emulation::SetTargetFault(const EmulatedFault& fault, bool is_on) {
-  std::map<std::string, double> owed;
-  for (Placed& placed : targets_) {
-    if (!fault.service.empty() && fault.service != placed.service) {
+  std::map<std::string, double> accumulated;
+  for (TargetInstance& instance : targets_) {
+    if (!fault.service.empty() && fault.service != instance.service) {
       continue;
     }
-    // Every so-many-th target of each service, so that all regions have some.
-    double& due = owed[placed.service];
-    due += fault.part;
-    if (due < 1.0) {
+    // Selects targets of each service at even intervals, so that every region
+    // has affected ones.
+    double& sum = accumulated[instance.service];
+    sum += fault.fraction;
+    if (sum < 1.0) {
       continue;
     }
-    due -= 1.0;
-    switch (fault.trouble) {
-      case EmulatedTrouble::kSlow:
-        placed.target->SetSlowdown(is_on ? fault.strength : 1.0);
+    sum -= 1.0;
+    switch (fault.type) {
+      case EmulatedFaultType::kSlow:
+        instance.target->SetSlowdown(is_on ? fault.strength : 1.0);
         break;
-      case EmulatedTrouble::kLostAnswers:
-        placed.lost_part = is_on ? fault.strength : 0.0;
+      case EmulatedFaultType::kLostResponses:
+        instance.loss_probability = is_on ? fault.strength : 0.0;
         break;
-      case EmulatedTrouble::kGone:
-        placed.is_gone = is_on;
+      case EmulatedFaultType::kUnreachable:
+        instance.is_unreachable = is_on;
         break;
-      case EmulatedTrouble::kRateLimit:
-        placed.limit = is_on ? std::optional(fault.strength) : std::nullopt;
-        placed.limit_changed_at = events_.Now();
+      case EmulatedFaultType::kRateLimit:
+        instance.limit = is_on ? std::optional(fault.strength) : std::nullopt;
+        instance.limit_changed_at = events_.Now();
         break;
       default:
         break;
--- a/lib/libmedlarcroft/source/emulation/emulation_metrics.cc
+++ b/lib/libmedlarcroft/source/emulation/emulation_metrics.cc
@@ -7,25 +7,26 @@
 
 namespace {
 
-// By chance alone the shares of fewer requests differ by more than a plan does.
-constexpr std::uint64_t kEnoughForShares = 50;
+// With fewer requests, random variation of the shares exceeds the changes that
+// the region plan makes.
+constexpr std::uint64_t kMinRequestsForShares = 50;
 
-void Add(Credit& credit, double earned, double owed) {
+void Add(Credit& credit, double earned, double possible) {
   credit.earned += earned;
-  credit.owed += owed;
+  credit.possible += possible;
 }
 
 template <typename Key>
-double Least(const std::map<Key, Credit>& credits) {
-  double least = 1.0;
+double MinimumShare(const std::map<Key, Credit>& credits) {
+  double minimum = 1.0;
   for (const auto& [key, credit] : credits) {
-    least = std::min(least, credit.Share());
+    minimum = std::min(minimum, credit.Share());
   }
-  return least;
+  return minimum;
 }
 
-double Part(std::uint64_t some, std::uint64_t all) {
-  return all == 0 ? 0.0 : static_cast<double>(some) / static_cast<double>(all);
+double Fraction(std::uint64_t part, std::uint64_t all) {
+  return all == 0 ? 0.0 : static_cast<double>(part) / static_cast<double>(all);
 }
 
 std::uint64_t Sum(const std::map<std::string, std::uint64_t>& counts) {
@@ -36,56 +37,58 @@
   return sum;
 }
 
-double Moved(const std::map<std::string, std::uint64_t>& before,
-             const std::map<std::string, std::uint64_t>& after) {
+double MovedFraction(const std::map<std::string, std::uint64_t>& before,
+                     const std::map<std::string, std::uint64_t>& after) {
   const std::uint64_t all_before = Sum(before);
   const std::uint64_t all_after = Sum(after);
-  if (all_before < kEnoughForShares || all_after < kEnoughForShares) {
+  if (all_before < kMinRequestsForShares || all_after < kMinRequestsForShares) {
     return 0.0;
   }
   double moved = 0;
   for (const auto& [region, count] : after) {
     const auto found = before.find(region);
-    const double had =
-        found == before.end() ? 0.0 : Part(found->second, all_before);
-    moved += std::max(0.0, Part(count, all_after) - had);
+    const double previous =
+        found == before.end() ? 0.0 : Fraction(found->second, all_before);
+    moved += std::max(0.0, Fraction(count, all_after) - previous);
   }
   return moved;
 }
 
 }  // namespace
 
-void EmulationFigures::OnOutcome(const CallerOutcome& outcome) {
-  const EmulatedKind& kind = *outcome.kind;
+void EmulationMetrics::OnOutcome(const CallerOutcome& outcome) {
+  const EmulatedRequestClass& request_class = *outcome.request_class;
   double earned = 0;
   if (outcome.is_served) {
-    earned = outcome.took <= kind.objective ? kind.worth : kind.worth_late;
+    earned = outcome.took <= request_class.objective
+                 ? request_class.credit
+                 : request_class.late_credit;
     served_times_.push_back(outcome.took);
     ++served_;
   }
   refused_ += outcome.is_refused ? 1 : 0;
   ++requests_;
-  Add(whole_, earned, kind.worth);
-  Add(by_region_[outcome.region], earned, kind.worth);
-  Add(by_kind_[kind.name], earned, kind.worth);
-  Add(by_window_[outcome.arrived / window_], earned, kind.worth);
+  Add(overall_, earned, request_class.credit);
+  Add(by_region_[outcome.region], earned, request_class.credit);
+  Add(by_class_[request_class.name], earned, request_class.credit);
+  Add(by_window_[outcome.arrived / window_], earned, request_class.credit);
 }
 
-void EmulationFigures::OnPlaced(const std::string& from,
-                                const std::string& to,
-                                Duration at) {
-  ++placed_[from][at / window_][to];
+void EmulationMetrics::OnPlacement(const std::string& from,
+                                   const std::string& to,
+                                   Duration at) {
+  ++placements_[from][at / window_][to];
 }
 
-double EmulationFigures::WorstRegion() const {
-  return Least(by_region_);
+double EmulationMetrics::WorstRegion() const {
+  return MinimumShare(by_region_);
 }
 
-double EmulationFigures::WorstKind() const {
-  return Least(by_kind_);
+double EmulationMetrics::WorstClass() const {
+  return MinimumShare(by_class_);
 }
 
-double EmulationFigures::WorstWindows() const {
+double EmulationMetrics::WorstWindows() const {
   if (by_window_.empty()) {
     return 1.0;
   }
@@ -99,7 +102,7 @@
   return (worst + second) / 2;
 }
 
-std::vector<double> EmulationFigures::ByWindow() const {
+std::vector<double> EmulationMetrics::ByWindow() const {
   std::vector<double> shares;
   for (const auto& [window, credit] : by_window_) {
     shares.push_back(credit.Share());
@@ -107,63 +110,65 @@
   return shares;
 }
 
-double EmulationFigures::ServedShare() const {
-  return Part(served_, requests_);
+double EmulationMetrics::ServedShare() const {
+  return Fraction(served_, requests_);
 }
 
-double EmulationFigures::RefusedShare() const {
-  return Part(refused_, requests_);
+double EmulationMetrics::RefusedShare() const {
+  return Fraction(refused_, requests_);
 }
 
-double EmulationFigures::WarmShare() const {
-  return Part(warm_runs_, runs_);
+double EmulationMetrics::WarmShare() const {
+  return Fraction(warm_runs_, runs_);
 }
 
-double EmulationFigures::AwayShare() const {
+double EmulationMetrics::CrossRegionShare() const {
   std::uint64_t away = 0;
   std::uint64_t all = 0;
-  for (const auto& [from, windows] : placed_) {
+  for (const auto& [from, windows] : placements_) {
     for (const auto& [window, counts] : windows) {
       all += Sum(counts);
       const auto own = counts.find(from);
       away += Sum(counts) - (own == counts.end() ? 0 : own->second);
     }
   }
-  return Part(away, all);
+  return Fraction(away, all);
 }
 
-double EmulationFigures::LargestShift() const {
+double EmulationMetrics::LargestShift() const {
   double largest = 0;
-  for (const auto& [from, windows] : placed_) {
+  for (const auto& [from, windows] : placements_) {
     for (const auto& [window, counts] : windows) {
       const auto next = windows.find(window + 1);
       if (next != windows.end()) {
-        largest = std::max(largest, Moved(counts, next->second));
+        largest = std::max(largest, MovedFraction(counts, next->second));
       }
     }
   }
   return largest;
 }
 
-double EmulationFigures::FurtherSendShare() const {
-  return Part(further_sends_, requests_);
+double EmulationMetrics::ExtraAttemptShare() const {
+  return Fraction(extra_attempts_, requests_);
 }
 
-Duration EmulationFigures::Quantile(double part) const {
+Duration EmulationMetrics::Quantile(double fraction) const {
   if (served_times_.empty()) {
     return Duration(0);
   }
   std::vector<Duration> times = served_times_;
   const auto last = static_cast<double>(times.size() - 1);
-  const auto place = static_cast<std::ptrdiff_t>(std::floor(part * last));
-  std::ranges::nth_element(times, times.begin() + place);
-  return times[static_cast<std::size_t>(place)];
+  const auto position =
+      static_cast<std::ptrdiff_t>(std::floor(fraction * last));
+  std::ranges::nth_element(times, times.begin() + position);
+  return times[static_cast<std::size_t>(position)];
 }
 
-double EmulationFigures::Worth(const WorthWeights& weights) const {
-  return weights.whole * Whole() + weights.worst_region * WorstRegion() +
+double EmulationMetrics::Score(const ScoreWeights& weights) const {
+  return weights.overall * OverallCredit() +
+         weights.worst_region * WorstRegion() +
          weights.worst_windows * WorstWindows() +
-         weights.served * ServedShare() + weights.worst_kind * WorstKind();
+         weights.served * ServedShare() + weights.worst_class * WorstClass();
 }
 
 }  // namespace medlarcroft::emulation
--- a/lib/libmedlarcroft/source/emulation/emulation_reports.cc
+++ b/lib/libmedlarcroft/source/emulation/emulation_reports.cc
@@ -17,7 +17,7 @@
 constexpr Duration kRestartDelay = std::chrono::seconds(2);
 constexpr Duration kLimitUpdatePeriod = std::chrono::milliseconds(250);
 // Requests are not checked against a limit that changed more recently, as
-// hosts learn of it only from answers.
+// hosts learn of it only from responses.
 constexpr Duration kLimitPropagationTime = std::chrono::milliseconds(500);
 constexpr Duration kLimitWindow = std::chrono::seconds(4);
 // Tolerated requests per window: kLimitTolerance times the limit, plus
@@ -36,13 +36,13 @@
     hosts_[host]->SetReportSinks(
         {.on_crash =
              [this, host](const request_path::CrashReport& report) {
-               TellOtherHosts(host, [this, report](EmulatedHost& other) {
+               SendToOtherHosts(host, [this, report](EmulatedHost& other) {
                  other.Path().Crashes().OnReport(report, events_.Now());
                });
              },
          .on_limit =
              [this, host](const request_path::LimitReport& report) {
-               TellOtherHosts(host, [this, report](EmulatedHost& other) {
+               SendToOtherHosts(host, [this, report](EmulatedHost& other) {
                  other.Path().OnLimitReport(report, events_.Now());
                });
              }});
@@ -59,7 +59,8 @@
           .known_in_region = region.size(),
           .known_hosts = static_cast<std::uint32_t>(hosts_.size())};
       for (const std::size_t other : region) {
-        if (other == host || (!is_cut_[host] && !is_cut_[other])) {
+        if (other == host ||
+            (!is_partitioned_[host] && !is_partitioned_[other])) {
           hosts.live_in_region.push_back(HostHash(other));
         }
       }
@@ -70,84 +71,87 @@
   events_.After(kLimitUpdatePeriod, [this] { AdvanceRateLimits(); });
 }
 
-void Emulation::TellOtherHosts(
+void Emulation::SendToOtherHosts(
     std::size_t host,
     const std::function<void(EmulatedHost&)>& deliver) {
   for (std::size_t other = 0; other < hosts_.size(); ++other) {
-    if (other == host || is_cut_[host] || is_cut_[other]) {
+    if (other == host || is_partitioned_[host] || is_partitioned_[other]) {
       continue;
     }
     const bool is_same_region =
         hosts_[other]->Region() == hosts_[host]->Region();
-    const Duration way = is_same_region ? deployment_.within_region
-                                        : deployment_.between_regions +
-                                              peer_updates::kReportBatchDelay;
+    const Duration latency = is_same_region
+                                 ? deployment_.intra_region_latency
+                                 : deployment_.inter_region_latency +
+                                       peer_updates::kReportBatchDelay;
     events_.After(
-        way + peer_updates::kReportBatchDelay + peer_updates::kRelayPeriod,
+        latency + peer_updates::kReportBatchDelay + peer_updates::kRelayPeriod,
         [this, other, deliver] { deliver(*hosts_[other]); });
   }
 }
 
-void Emulation::AskCrashingRequest(const EmulatedFault& fault) {
-  const auto kind =
-      std::ranges::find_if(deployment_.kinds, [&](const EmulatedKind& asked) {
-        return fault.service.empty() || asked.service == fault.service;
+void Emulation::SendCrashingRequest(const EmulatedFault& fault) {
+  const auto request_class = std::ranges::find_if(
+      deployment_.request_classes, [&](const EmulatedRequestClass& candidate) {
+        return fault.service.empty() || candidate.service == fault.service;
       });
   if (Elapsed() >= fault.until || fault.strength <= 0 ||
-      kind == deployment_.kinds.end()) {
+      request_class == deployment_.request_classes.end()) {
     return;
   }
   const std::size_t region = random_.NextBelow(deployment_.regions.size());
-  Caller caller = MakeCaller(
-      static_cast<std::size_t>(kind - deployment_.kinds.begin()), region);
+  Caller caller =
+      MakeCaller(static_cast<std::size_t>(request_class -
+                                          deployment_.request_classes.begin()),
+                 region);
   caller.fingerprint = request_path::RequestFingerprint::Of({"crash"});
   caller.crashes_targets = true;
-  Ask(caller);
+  SendToHost(caller);
   events_.After(FromSeconds(1.0 / fault.strength),
-                [this, &fault] { AskCrashingRequest(fault); });
+                [this, &fault] { SendCrashingRequest(fault); });
 }
 
 void Emulation::CrashTarget(std::size_t target) {
-  Placed& placed = targets_[target];
-  if (placed.is_gone) {
+  TargetInstance& instance = targets_[target];
+  if (instance.is_unreachable) {
     return;
   }
-  placed.is_gone = true;
-  placed.target->Restart();
-  figures_.OnCrash();
-  const auto number = request_path::NumberOf(placed.record.Identity());
-  for (const auto& [running, attempt] :
-       std::exchange(placed.accepted_sends, {})) {
-    Send& send = running->sends.at(attempt);
-    if (send.work == 0 || send.is_abandoned || running->is_over) {
+  instance.is_unreachable = true;
+  instance.target->Restart();
+  metrics_.OnCrash();
+  const auto number = request_path::NumberOf(instance.record.Identity());
+  for (const auto& [active, attempt] :
+       std::exchange(instance.accepted_attempts, {})) {
+    AttemptState& state = active->attempts.at(attempt);
+    if (state.work == 0 || state.is_abandoned || active->is_over) {
       continue;
     }
-    send.work = 0;
-    const Duration way = WayTo(hosts_[running->host]->Region(), target);
+    state.work = 0;
+    const Duration latency = LatencyTo(hosts_[active->host]->Region(), target);
     // The host sees the connection drop. It records a crash once its reconnect
     // is refused, a round trip later.
-    events_.After(way, [this, running = running, attempt = attempt] {
-      EndSend(running, attempt, AttemptEnd::kLost);
+    events_.After(latency, [this, active = active, attempt = attempt] {
+      EndAttempt(active, attempt, AttemptEnd::kLost);
     });
-    events_.After(3 * way, [this, running = running, number] {
-      hosts_[running->host]->Path().Crashes().OnCrash(
-          running->caller.fingerprint, number, events_.Now());
+    events_.After(3 * latency, [this, active = active, number] {
+      hosts_[active->host]->Path().Crashes().OnCrash(active->caller.fingerprint,
+                                                     number, events_.Now());
     });
   }
   events_.After(kRestartDelay, [this, target] { RestartTarget(target); });
 }
 
 void Emulation::RestartTarget(std::size_t target) {
-  Placed& placed = targets_[target];
-  placed.is_gone = false;
-  ++placed.record.incarnation;
+  TargetInstance& instance = targets_[target];
+  instance.is_unreachable = false;
+  ++instance.record.incarnation;
   RegisterTargets();
 }
 
 void Emulation::RegisterTargets() {
   std::vector<request_path::TargetRecord> records;
-  for (const Placed& placed : targets_) {
-    records.push_back(placed.record);
+  for (const TargetInstance& instance : targets_) {
+    records.push_back(instance.record);
   }
   for (const auto& host : hosts_) {
     host->Register(records, events_.Now());
@@ -155,54 +159,57 @@
 }
 
 void Emulation::RecordLimitUse(std::size_t target) {
-  Placed& placed = targets_[target];
+  TargetInstance& instance = targets_[target];
   const MonotonicTime now = events_.Now();
-  if (now - placed.limit_changed_at < kLimitPropagationTime) {
+  if (now - instance.limit_changed_at < kLimitPropagationTime) {
     return;
   }
-  placed.arrivals.push_back(now);
-  while (now - placed.arrivals.front() > kLimitWindow) {
-    placed.arrivals.pop_front();
+  instance.arrivals.push_back(now);
+  while (now - instance.arrivals.front() > kLimitWindow) {
+    instance.arrivals.pop_front();
   }
   const double allowed =
-      kLimitTolerance * *placed.limit * ToSeconds(kLimitWindow) + kLimitBurst;
-  figures_.OnLimitUse(static_cast<double>(placed.arrivals.size()) / allowed);
+      kLimitTolerance * *instance.limit * ToSeconds(kLimitWindow) + kLimitBurst;
+  metrics_.OnLimitUse(static_cast<double>(instance.arrivals.size()) / allowed);
 }
 
-void Emulation::TellPlaced(const Running& running, const SendAttempt& attempt) {
-  for (const std::size_t other : hosts_by_region_[running.caller.region]) {
-    if (other == running.host || is_cut_[running.host] || is_cut_[other]) {
+void Emulation::SharePlacement(const ActiveRequest& active,
+                               const SendAttempt& attempt) {
+  for (const std::size_t other : hosts_by_region_[active.caller.region]) {
+    if (other == active.host || is_partitioned_[active.host] ||
+        is_partitioned_[other]) {
       continue;
     }
-    events_.After(deployment_.within_region,
+    events_.After(deployment_.intra_region_latency,
                   [this, other, target = request_path::NumberOf(attempt.target),
-                   object = request_path::ObjectKey(running.caller.object)] {
+                   object = request_path::ObjectKey(active.caller.object)] {
                     hosts_[other]->Path().OnPlacedByOtherHost(target, object);
                   });
   }
 }
 
-void Emulation::TellLoad(const Running& running,
-                         const request_path::TargetIdentity& target,
-                         const request_path::LoadReport& report) {
+void Emulation::ShareLoad(const ActiveRequest& active,
+                          const request_path::TargetIdentity& target,
+                          const request_path::LoadReport& report) {
   const std::vector<std::size_t>& hosts =
-      hosts_by_region_[running.caller.region];
-  if (!tells_loads_) {
+      hosts_by_region_[active.caller.region];
+  if (!shares_loads_) {
     return;
   }
   for (const std::size_t other : hosts) {
-    if (other == running.host || is_cut_[running.host] || is_cut_[other]) {
+    if (other == active.host || is_partitioned_[active.host] ||
+        is_partitioned_[other]) {
       continue;
     }
-    // In the mean a load waits half of each delay on its way.
+    // On average, a load report waits for half of each delay on its way.
     const Duration waits =
         peer_updates::UsesDirectDelivery(hosts.size() - 1)
             ? peer_updates::kReportBatchDelay / 2
             : peer_updates::kReportBatchDelay / 2 + peer_updates::kRelayPeriod;
-    events_.After(
-        deployment_.within_region + waits, [this, other, target, report] {
-          hosts_[other]->Path().OnReport(target, report, events_.Now());
-        });
+    events_.After(deployment_.intra_region_latency + waits, [this, other,
+                                                             target, report] {
+      hosts_[other]->Path().OnReport(target, report, events_.Now());
+    });
   }
 }
 
--- a/lib/libmedlarcroft/source/emulation/experiment.cc
+++ b/lib/libmedlarcroft/source/emulation/experiment.cc
@@ -22,7 +22,7 @@
   }
 
  private:
-  mutable RepeatableRandom random_{1};
+  mutable SeededRandom random_{1};
 };
 
 class RoundRobin final : public CandidateSelector {
@@ -54,7 +54,7 @@
   return {.name = std::move(name), .options = {.path = {.rule = &rule}}};
 }
 
-/// @brief One option of the product's policy, by name.
+/// @brief An option of the production policy that can be varied by name.
 struct VariedOption {
   std::string_view name;
   void (*set)(EmulationOptions& options, double value);
@@ -97,10 +97,10 @@
                  }},
     VariedOption{"tells-loads",
                  [](EmulationOptions& options, double value) {
-                   options.tells_loads = value != 0;
+                   options.shares_loads = value != 0;
                  }},
     VariedOption{"tells-placed", [](EmulationOptions& options, double value) {
-                   options.tells_placed = value != 0;
+                   options.shares_placements = value != 0;
                  }}};
 
 std::string Format(double value, int digits) {
@@ -110,61 +110,63 @@
   return std::string(text.data(), static_cast<std::size_t>(length));
 }
 
-// The plot's measures, in pixels.
+// Dimensions of the plot, in pixels.
 constexpr int kRowHeight = 28;
 constexpr int kBarMargin = 12;
 constexpr int kNameWidth = 220;
 constexpr int kBarWidth = 400;
 constexpr int kValueWidth = 120;
 
-/// @brief A column of the table: a figure of one run.
+/// @brief A column of the table: one metric of a run.
 struct Column {
   std::string_view name;
-  double (*read)(const EmulationFigures& figures);
+  double (*read)(const EmulationMetrics& metrics);
   int digits = 3;
 };
 
 constexpr std::array kColumns = {
-    Column{"whole", [](const EmulationFigures& run) { return run.Whole(); }},
+    Column{"whole",
+           [](const EmulationMetrics& run) { return run.OverallCredit(); }},
     Column{"worst region",
-           [](const EmulationFigures& run) { return run.WorstRegion(); }},
+           [](const EmulationMetrics& run) { return run.WorstRegion(); }},
     Column{"worst windows",
-           [](const EmulationFigures& run) { return run.WorstWindows(); }},
-    Column{"worst kind",
-           [](const EmulationFigures& run) { return run.WorstKind(); }},
+           [](const EmulationMetrics& run) { return run.WorstWindows(); }},
+    Column{"worst class",
+           [](const EmulationMetrics& run) { return run.WorstClass(); }},
     Column{"served",
-           [](const EmulationFigures& run) { return run.ServedShare(); }},
+           [](const EmulationMetrics& run) { return run.ServedShare(); }},
     Column{"refused",
-           [](const EmulationFigures& run) { return run.RefusedShare(); }},
-    Column{"warm", [](const EmulationFigures& run) { return run.WarmShare(); }},
-    Column{"away", [](const EmulationFigures& run) { return run.AwayShare(); }},
+           [](const EmulationMetrics& run) { return run.RefusedShare(); }},
+    Column{"warm", [](const EmulationMetrics& run) { return run.WarmShare(); }},
+    Column{"away",
+           [](const EmulationMetrics& run) { return run.CrossRegionShare(); }},
     Column{"largest shift",
-           [](const EmulationFigures& run) { return run.LargestShift(); }},
-    Column{"further sends",
-           [](const EmulationFigures& run) { return run.FurtherSendShare(); }},
+           [](const EmulationMetrics& run) { return run.LargestShift(); }},
+    Column{"extra attempts",
+           [](const EmulationMetrics& run) { return run.ExtraAttemptShare(); }},
     Column{"p50 ms",
-           [](const EmulationFigures& run) {
+           [](const EmulationMetrics& run) {
              return ToSeconds(run.Quantile(0.5)) * 1000;
            },
            0},
     Column{"p99 ms",
-           [](const EmulationFigures& run) {
+           [](const EmulationMetrics& run) {
              return ToSeconds(run.Quantile(0.99)) * 1000;
            },
            0}};
 
 double Mean(const PolicyResult& result,
-            double (*read)(const EmulationFigures&)) {
+            double (*read)(const EmulationMetrics&)) {
   double sum = 0;
-  for (const EmulationFigures& run : result.runs) {
+  for (const EmulationMetrics& run : result.runs) {
     sum += read(run);
   }
   return sum /
          static_cast<double>(std::max<std::size_t>(1, result.runs.size()));
 }
 
-double WorthOf(const EmulationFigures& run) {
-  return run.Worth();
+double ScoreOf(const EmulationMetrics& run) {
+  return run.Score();
 }
 
 }  // namespace
@@ -209,18 +211,18 @@
   return policies;
 }
 
-double PolicyResult::MeanWorth() const {
-  return Mean(*this, &WorthOf);
+double PolicyResult::MeanScore() const {
+  return Mean(*this, &ScoreOf);
 }
 
-double PolicyResult::Spread() const {
+double PolicyResult::ScoreDeviation() const {
   if (runs.size() < 2) {
     return 0;
   }
-  const double mean = MeanWorth();
+  const double mean = MeanScore();
   double squares = 0;
-  for (const EmulationFigures& run : runs) {
-    squares += (run.Worth() - mean) * (run.Worth() - mean);
+  for (const EmulationMetrics& run : runs) {
+    squares += (run.Score() - mean) * (run.Score() - mean);
   }
   return std::sqrt(squares / static_cast<double>(runs.size() - 1));
 }
@@ -242,7 +244,7 @@
 }
 
 std::string FormatTable(std::span<const PolicyResult> results) {
-  std::string table = "| policy | worth | spread |";
+  std::string table = "| policy | score | deviation |";
   std::string rule = "|---|---|---|";
   for (const Column& column : kColumns) {
     table += " " + std::string(column.name) + " |";
@@ -250,8 +252,8 @@
   }
   table += "\n" + rule + "\n";
   for (const PolicyResult& result : results) {
-    table += "| " + result.name + " | " + Format(result.MeanWorth(), 3) +
-             " | " + Format(result.Spread(), 3) + " |";
+    table += "| " + result.name + " | " + Format(result.MeanScore(), 3) +
+             " | " + Format(result.ScoreDeviation(), 3) + " |";
     for (const Column& column : kColumns) {
       table += " " + Format(Mean(result, column.read), column.digits) + " |";
     }
@@ -264,7 +266,7 @@
   std::string table;
   for (const PolicyResult& result : results) {
     std::vector<double> sums;
-    for (const EmulationFigures& run : result.runs) {
+    for (const EmulationMetrics& run : result.runs) {
       const std::vector<double> shares = run.ByWindow();
       sums.resize(std::max(sums.size(), shares.size()));
       for (std::size_t i = 0; i < shares.size(); ++i) {
@@ -289,15 +291,15 @@
        << "\n";
   int top = 0;
   for (const PolicyResult& result : results) {
-    const double bar = std::clamp(result.MeanWorth(), 0.0, 1.0) * kBarWidth;
+    const double bar = std::clamp(result.MeanScore(), 0.0, 1.0) * kBarWidth;
     const int baseline = top + kRowHeight - kBarMargin;
     plot << R"(<text x="4" y=")" << baseline << R"(">)" << result.name
          << R"(</text><rect x=")" << kNameWidth << R"(" y=")"
          << top + kBarMargin / 2 << R"(" width=")" << bar << R"(" height=")"
          << kRowHeight - kBarMargin << R"(" fill="#4878a8"/><text x=")"
          << kNameWidth + bar + kBarMargin / 2.0 << R"(" y=")" << baseline
-         << R"(">)" << Format(result.MeanWorth(), 3) << " ± "
-         << Format(result.Spread(), 3) << "</text>\n";
+         << R"(">)" << Format(result.MeanScore(), 3) << " ± "
+         << Format(result.ScoreDeviation(), 3) << "</text>\n";
     top += kRowHeight;
   }
   plot << "</svg>\n";
--- a/lib/libmedlarcroft/source/load_generator/arrival_schedule.cc
+++ b/lib/libmedlarcroft/source/load_generator/arrival_schedule.cc
@@ -16,24 +16,24 @@
 
   double highest_factor = 1;
   for (const Burst& burst : plan_.bursts) {
-    // Bursts that overlap multiply.
+    // Factors of overlapping bursts multiply.
     highest_factor *= std::max(1.0, burst.factor);
   }
   for (const ClassLoad& load : plan_.classes) {
-    greatest_rate_ += load.rate * highest_factor;
+    max_rate_ += load.rate * highest_factor;
   }
 }
 
 std::optional<Arrival> ArrivalSchedule::Next() {
-  // Thinning: arrivals are drawn at the greatest rate, and each is kept with
-  // the share that the rate at its time has of it.
-  while (greatest_rate_ > 0) {
-    const double gap = -std::log(1.0 - random_.NextUnit()) / greatest_rate_;
+  // Thinning: candidates are drawn at the maximum rate, and each is accepted
+  // with the probability of the current rate over the maximum rate.
+  while (max_rate_ > 0) {
+    const double gap = -std::log(1.0 - random_.NextUnit()) / max_rate_;
     at_ += FromSeconds(gap);
     if (at_ >= plan_.duration) {
       return std::nullopt;
     }
-    double drawn = random_.NextUnit() * greatest_rate_;
+    double drawn = random_.NextUnit() * max_rate_;
     for (std::size_t i = 0; i < plan_.classes.size(); ++i) {
       drawn -= RateAt(i, at_);
       if (drawn < 0) {
@@ -48,9 +48,9 @@
   const ClassLoad& load = plan_.classes[class_index];
   double rate = load.rate;
   for (const Burst& burst : plan_.bursts) {
-    const bool is_meant =
+    const bool is_affected =
         burst.service.empty() || burst.service == load.service;
-    if (is_meant && at >= burst.at && at < burst.at + burst.duration) {
+    if (is_affected && at >= burst.at && at < burst.at + burst.duration) {
       rate *= burst.factor;
     }
   }
--- a/lib/libmedlarcroft/source/load_generator/load_report.cc
+++ b/lib/libmedlarcroft/source/load_generator/load_report.cc
@@ -33,16 +33,16 @@
 }
 
 void AddChecks(const CheckReport& checks, std::ostream& out) {
-  out << "checks: " << checks.answers << " answers; truncated "
+  out << "checks: " << checks.answers << " responses; truncated "
       << checks.truncated << ", crossed " << checks.crossed
       << ", without outcome " << checks.missing_outcome << "\n";
   if (!checks.is_audited) {
-    out << "runs: not compared (no list of targets)\n";
+    out << "runs: not compared (no targets listed)\n";
     return;
   }
   out << "runs: double " << checks.double_runs << ", false \"not run\" "
-      << checks.false_not_run << ", answered without a run " << checks.no_run
-      << (checks.is_audit_complete ? "" : " (some targets were not heard)")
+      << checks.false_not_run << ", reported but not run " << checks.no_run
+      << (checks.is_audit_complete ? "" : " (some targets did not respond)")
       << "\n";
   for (const std::string& example : checks.examples) {
     out << "  " << example << "\n";
@@ -61,7 +61,7 @@
       return "over-limit";
     case Verdict::kWorse:
       return "worse";
-    case Verdict::kNoAnswer:
+    case Verdict::kNoResponse:
       return "no-answer";
   }
   return "";
@@ -86,7 +86,7 @@
     AddCauses(row, out);
   }
   AddChecks(report.checks, out);
-  for (const std::string& service : report.limits_passed) {
+  for (const std::string& service : report.services_over_limit) {
     out << "over its limits: " << service << "\n";
   }
   out << "verdict: " << NameOf(report.verdict) << "\n";
--- a/lib/libmedlarcroft/source/load_generator/load_report_json.cc
+++ b/lib/libmedlarcroft/source/load_generator/load_report_json.cc
@@ -4,7 +4,8 @@
 
 namespace medlarcroft::load_generator {
 
-// Found by the library through argument-dependent look-up, with its names.
+// nlohmann::json finds these functions by argument-dependent look-up and
+// prescribes their names.
 // NOLINTBEGIN(readability-identifier-naming)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(LatencySummary,
                                    p50_ms,
@@ -59,7 +60,7 @@
   const nlohmann::ordered_json document = {
       {"name", report.name},
       {"verdict", NameOf(report.verdict)},
-      {"limits_passed", report.limits_passed},
+      {"limits_passed", report.services_over_limit},
       {"duration_s", report.duration_s},
       {"checks", nlohmann::json(report.checks)},
       {"classes", nlohmann::json(report.classes)},
--- a/lib/libmedlarcroft/source/load_generator/load_session.cc
+++ b/lib/libmedlarcroft/source/load_generator/load_session.cc
@@ -11,20 +11,20 @@
 namespace {
 
 constexpr Duration kLookupTimeout = std::chrono::seconds(1);
-constexpr Duration kFirstBackoff = std::chrono::milliseconds(10);
-constexpr unsigned kKeysAtOnce = 16;
-/// Hosts asked in vain for a key by one request.
-constexpr std::uint32_t kMaxKeyTries = 3;
-/// A caller waits this much longer than its deadline, so that the system's own
-/// answer about a late request reaches it.
-constexpr Duration kGrace = std::chrono::milliseconds(200);
-
-constexpr int kTooManyRequests = 429;
-constexpr int kFirstServerError = 500;
-
-bool MayHelpToRetry(const ExchangeResult& result) {
-  return result.failure || result.status == kTooManyRequests ||
-         result.status >= kFirstServerError;
+constexpr Duration kBaseBackoff = std::chrono::milliseconds(10);
+constexpr unsigned kKeysPerRequest = 16;
+/// Hosts that one request tries to get keys from.
+constexpr std::uint32_t kMaxKeyAttempts = 3;
+/// A caller waits this much longer than its deadline, so that it receives the
+/// system's own response to a late request.
+constexpr Duration kDeadlineGrace = std::chrono::milliseconds(200);
+
+constexpr int kTooManyRequestsStatus = 429;
+constexpr int kFirstServerErrorStatus = 500;
+
+bool IsRetryable(const ExchangeResult& result) {
+  return result.failure || result.status == kTooManyRequestsStatus ||
+         result.status >= kFirstServerErrorStatus;
 }
 
 std::string MakeBody(std::string_view path, std::size_t size) {
@@ -117,7 +117,7 @@
   request.path = options_.run_name + "-" + std::to_string(number);
   request.body = MakeBody(request.path, ClassOf(request).body_bytes);
   if (requests_.size() > plan_.max_in_flight) {
-    statistics_.NoteCause(arrival.class_index, "too-many-in-flight");
+    statistics_.RecordCause(arrival.class_index, "too-many-in-flight");
     Finish(number, now);
     return;
   }
@@ -135,14 +135,14 @@
     std::vector<RequestNumber>& waiting = waiting_[subject];
     waiting.push_back(number);
     if (waiting.size() == 1) {
-      AskLookup(subject, 0);
+      SendLookup(subject, 0);
     }
     return;
   }
 
   auto host = cache_.Choose(subject, request.unreachable, random_);
   if (!host) {
-    // All were out of reach: begin again, they may be back.
+    // All hosts were unreachable. Try them again, as they may have recovered.
     request.unreachable.clear();
     host = cache_.Choose(subject, request.unreachable, random_);
   }
@@ -153,32 +153,34 @@
   if (ClassOf(request).needs_key && request.key.empty()) {
     request.key = cache_.TakeKey(subject).value_or("");
     if (request.key.empty()) {
-      AskKeys(number, host->address);
+      SendKeysRequest(number, host->address);
       return;
     }
   }
   SendAttempt(number, *host, now);
 }
 
-void LoadSession::AskLookup(const LookupCache::Subject& subject,
-                            std::uint32_t tries) {
+void LoadSession::SendLookup(const LookupCache::Subject& subject,
+                             std::uint32_t failed_attempts) {
   const std::string& base =
       options_.lookup_urls[next_lookup_url_++ % options_.lookup_urls.size()];
   OutgoingRequest request{.url = base + "/v1/lookup?service=" + subject.first +
                                  "&brand=" + subject.second,
                           .timeout = kLookupTimeout};
-  request.id = Register(
-      {.exchange = Exchange::kLookup, .subject = subject, .tries = tries});
+  request.id = Register({.exchange = Exchange::kLookup,
+                         .subject = subject,
+                         .failed_attempts = failed_attempts});
   transport_.Send(std::move(request));
 }
 
-void LoadSession::AskKeys(RequestNumber number, const std::string& address) {
+void LoadSession::SendKeysRequest(RequestNumber number,
+                                  const std::string& address) {
   requests_.at(number).address = address;
   const LookupCache::Subject subject = SubjectOf(requests_.at(number));
   OutgoingRequest request{.method = "POST",
                           .url = "http://" + address +
                                  "/v1/keys?service=" + subject.first +
-                                 "&count=" + std::to_string(kKeysAtOnce),
+                                 "&count=" + std::to_string(kKeysPerRequest),
                           .timeout = kLookupTimeout};
   request.id = Register(
       {.exchange = Exchange::kKeys, .number = number, .subject = subject});
@@ -204,7 +206,7 @@
                                              1, ToMilliseconds(left)))},
                   {"traceparent", MakeTraceparent(random_)}},
       .body = request.body,
-      .timeout = left + kGrace,
+      .timeout = left + kDeadlineGrace,
       .needs_fresh_connection = load.needs_key};
   if (!request.key.empty()) {
     outgoing.headers.push_back({"Idempotency-Key", request.key});
@@ -237,25 +239,26 @@
 void LoadSession::OnLookup(const Pending& pending,
                            const ExchangeResult& result,
                            MonotonicTime now) {
-  auto answer = ParseLookupResponse(result.body);
-  const bool is_good = !result.failure && result.status == 200 && IsOk(answer);
-  if (!is_good && pending.tries + 1 < options_.lookup_urls.size()) {
-    AskLookup(pending.subject, pending.tries + 1);
+  auto response = ParseLookupResponse(result.body);
+  const bool is_good =
+      !result.failure && result.status == 200 && IsOk(response);
+  if (!is_good && pending.failed_attempts + 1 < options_.lookup_urls.size()) {
+    SendLookup(pending.subject, pending.failed_attempts + 1);
     return;
   }
 
   const std::vector<RequestNumber> waiting =
       std::exchange(waiting_[pending.subject], {});
   if (is_good) {
-    cache_.Put(pending.subject, TakeValue(std::move(answer)), now);
+    cache_.Put(pending.subject, TakeValue(std::move(response)), now);
   }
   for (const RequestNumber number : waiting) {
     if (is_good) {
       Advance(number, now);
       continue;
     }
-    statistics_.NoteCause(requests_.at(number).arrival.class_index,
-                          "look-up-" + CauseOf(result));
+    statistics_.RecordCause(requests_.at(number).arrival.class_index,
+                            "look-up-" + CauseOf(result));
     Finish(number, now);
   }
 }
@@ -266,14 +269,14 @@
   std::vector<std::string> keys = ParseKeys(result.body);
   Request& request = requests_.at(pending.number);
   if (result.failure == ExchangeFailure::kNeverSent &&
-      ++request.key_tries < kMaxKeyTries) {
+      ++request.failed_key_attempts < kMaxKeyAttempts) {
     request.unreachable.insert(request.address);
     Advance(pending.number, now);
     return;
   }
   if (result.failure || keys.empty()) {
-    statistics_.NoteCause(request.arrival.class_index,
-                          "keys-" + CauseOf(result));
+    statistics_.RecordCause(request.arrival.class_index,
+                            "keys-" + CauseOf(result));
     Finish(pending.number, now);
     return;
   }
@@ -290,15 +293,15 @@
   const std::string body_hash = HashBody(request.body);
   const AttemptVerdict verdict = CheckResponse(
       result, {.path_suffix = request.path, .body_hash = body_hash});
-  statistics_.NoteAnswer(verdict.fault, request.path);
-  claims_.Note(request.path, request.key, verdict.outcome);
+  statistics_.RecordResponse(verdict.fault, request.path);
+  auditor_.Record(request.path, request.key, verdict.outcome);
   request.last_outcome = verdict.outcome;
   if (verdict.is_success) {
     request.is_success = true;
     Finish(number, now);
     return;
   }
-  statistics_.NoteCause(request.arrival.class_index, CauseOf(result));
+  statistics_.RecordCause(request.arrival.class_index, CauseOf(result));
   RetryOrFinish(number, result, now);
 }
 
@@ -312,12 +315,12 @@
   }
 
   const Duration backoff =
-      kFirstBackoff * (1U << std::min(request.attempts, 6U));
+      kBaseBackoff * (1U << std::min(request.attempts, 6U));
   const MonotonicTime at = now + std::max(RetryAfterOf(result), backoff);
   const bool is_in_time = TimeLeft(request, at) > Duration::zero();
-  const bool is_wanted = random_.NextUnit() < load.retry_ratio;
-  if (request.attempts < load.max_attempts && is_in_time && is_wanted &&
-      MayHelpToRetry(result)) {
+  const bool wants_retry = random_.NextUnit() < load.retry_ratio;
+  if (request.attempts < load.max_attempts && is_in_time && wants_retry &&
+      IsRetryable(result)) {
     retries_.emplace(at, number);
     return;
   }
@@ -335,11 +338,11 @@
               ? RequestEnd::kRefused
               : RequestEnd::kFailed;
   }
-  statistics_.NoteEnd({.class_index = request.arrival.class_index,
-                       .end = end,
-                       .intended_at = request.arrival.at,
-                       .latency = now - (start_ + request.arrival.at),
-                       .attempts = request.attempts});
+  statistics_.RecordEnd({.class_index = request.arrival.class_index,
+                         .end = end,
+                         .intended_at = request.arrival.at,
+                         .latency = now - (start_ + request.arrival.at),
+                         .attempts = request.attempts});
 }
 
 }  // namespace medlarcroft::load_generator
--- a/lib/libmedlarcroft/source/load_generator/load_statistics.cc
+++ b/lib/libmedlarcroft/source/load_generator/load_statistics.cc
@@ -8,9 +8,10 @@
 
 namespace {
 
-/// Quantiles of a run are too high by 4.7% at most.
+/// Quantiles of a run are too high by at most 4.7%.
 constexpr unsigned kBucketsPerDecade = 50;
-/// Those of one second, of which there are many, by 26%.
+/// Quantiles of one second are too high by at most 26%. Fewer buckets limit
+/// memory, as there is one histogram for each second.
 constexpr unsigned kBucketsPerDecadeOfSecond = 10;
 constexpr std::size_t kMaxExamples = 10;
 
@@ -39,9 +40,9 @@
                     : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-std::string Describe(const ClaimMismatch& mismatch) {
+std::string Describe(const OutcomeMismatch& mismatch) {
   constexpr std::array<std::string_view, 3> kNames = {
-      "double run", "false \"not run\"", "answered without a run"};
+      "double run", "false \"not run\"", "reported but not run"};
   std::string text(kNames.at(static_cast<std::size_t>(mismatch.fault)));
   text += ": " + mismatch.request + ", runs: " + std::to_string(mismatch.runs);
   for (const std::string& target : mismatch.targets) {
@@ -56,7 +57,7 @@
   }
 }
 
-void CompareRuns(const ClaimBook& claims,
+void CompareRuns(const OutcomeAuditor& auditor,
                  const RunAudit& audit,
                  CheckReport& checks) {
   constexpr std::array kMembers = {&CheckReport::double_runs,
@@ -64,9 +65,9 @@
                                    &CheckReport::no_run};
   checks.is_audited = true;
   checks.is_audit_complete = audit.is_complete;
-  for (const ClaimMismatch& mismatch : claims.Compare(audit.runs)) {
-    // A run may be on the list of a target that was not heard.
-    if (mismatch.fault == ClaimFault::kNoRun && !audit.is_complete) {
+  for (const OutcomeMismatch& mismatch : auditor.Compare(audit.runs)) {
+    // The run may be on the list of a target that did not respond.
+    if (mismatch.fault == MismatchType::kNoRun && !audit.is_complete) {
       continue;
     }
     (checks.*kMembers.at(static_cast<std::size_t>(mismatch.fault)))++;
@@ -85,29 +86,29 @@
 
 LoadStatistics::LoadStatistics(const LoadPlan& plan)
     : plan_(plan), classes_(plan.classes.size()) {
-  for (ClassLine& line : classes_) {
-    line.latency = std::make_unique<LatencyHistogram>(kBucketsPerDecade);
+  for (ClassStatistics& entry : classes_) {
+    entry.latency = std::make_unique<LatencyHistogram>(kBucketsPerDecade);
   }
 }
 
-void LoadStatistics::NoteEnd(const EndedRequest& request) {
-  ClassLine& line = classes_.at(request.class_index);
-  SecondLine& second = SecondOf(request.intended_at);
-  Count(request.end, line.counts);
+void LoadStatistics::RecordEnd(const EndedRequest& request) {
+  ClassStatistics& entry = classes_.at(request.class_index);
+  SecondStatistics& second = SecondOf(request.intended_at);
+  Count(request.end, entry.counts);
   Count(request.end, second.counts);
-  line.retries += request.attempts > 1 ? request.attempts - 1 : 0;
+  entry.retries += request.attempts > 1 ? request.attempts - 1 : 0;
   if (request.end != RequestEnd::kRan) {
     return;
   }
-  line.latency->Record(request.latency);
+  entry.latency->Record(request.latency);
   second.latency->Record(request.latency);
   if (request.latency > plan_.classes[request.class_index].deadline) {
-    line.late++;
+    entry.late++;
   }
 }
 
-void LoadStatistics::NoteAnswer(std::optional<AnswerFault> fault,
-                                std::string_view path) {
+void LoadStatistics::RecordResponse(std::optional<ResponseFault> fault,
+                                    std::string_view path) {
   constexpr std::array kMembers = {&CheckReport::missing_outcome,
                                    &CheckReport::truncated,
                                    &CheckReport::crossed};
@@ -122,28 +123,28 @@
   }
 }
 
-void LoadStatistics::NoteCause(std::size_t class_index,
-                               const std::string& cause) {
+void LoadStatistics::RecordCause(std::size_t class_index,
+                                 const std::string& cause) {
   classes_.at(class_index).causes[cause]++;
 }
 
-void LoadStatistics::NoteHeadroom(Duration at, double headroom) {
+void LoadStatistics::RecordHeadroom(Duration at, double headroom) {
   SecondOf(at).headroom = headroom;
 }
 
 EndCounts LoadStatistics::Totals() const {
   EndCounts totals;
-  for (const ClassLine& line : classes_) {
-    totals.intended += line.counts.intended;
-    totals.ran += line.counts.ran;
-    totals.refused += line.counts.refused;
-    totals.failed += line.counts.failed;
-    totals.unsent += line.counts.unsent;
+  for (const ClassStatistics& entry : classes_) {
+    totals.intended += entry.counts.intended;
+    totals.ran += entry.counts.ran;
+    totals.refused += entry.counts.refused;
+    totals.failed += entry.counts.failed;
+    totals.unsent += entry.counts.unsent;
   }
   return totals;
 }
 
-LoadStatistics::SecondLine& LoadStatistics::SecondOf(Duration at) {
+LoadStatistics::SecondStatistics& LoadStatistics::SecondOf(Duration at) {
   const auto index = static_cast<std::size_t>(
       std::max<Duration::rep>(0, at / Duration(std::chrono::seconds(1))));
   while (seconds_.size() <= index) {
@@ -155,38 +156,38 @@
 
 LoadReport LoadStatistics::MakeReport(
     std::string name,
-    const ClaimBook& claims,
+    const OutcomeAuditor& auditor,
     const std::optional<RunAudit>& audit) const {
   LoadReport report{.name = std::move(name),
                     .duration_s = ToSeconds(plan_.duration),
                     .checks = checks_};
   for (std::size_t i = 0; i < classes_.size(); ++i) {
-    const ClassLine& line = classes_[i];
+    const ClassStatistics& entry = classes_[i];
     report.classes.push_back({.service = plan_.classes[i].service,
-                              .counts = line.counts,
-                              .late = line.late,
-                              .retries = line.retries,
-                              .latency = Summarise(*line.latency),
-                              .causes = line.causes});
+                              .counts = entry.counts,
+                              .late = entry.late,
+                              .retries = entry.retries,
+                              .latency = Summarise(*entry.latency),
+                              .causes = entry.causes});
     if (IsOverLimit(plan_.classes[i], report.classes.back())) {
-      report.limits_passed.push_back(plan_.classes[i].service);
+      report.services_over_limit.push_back(plan_.classes[i].service);
     }
   }
-  for (const SecondLine& line : seconds_) {
-    report.seconds.push_back({.counts = line.counts,
-                              .p50_ms = ToMs(line.latency->Quantile(0.5)),
-                              .p99_ms = ToMs(line.latency->Quantile(0.99)),
-                              .headroom = line.headroom});
+  for (const SecondStatistics& entry : seconds_) {
+    report.seconds.push_back({.counts = entry.counts,
+                              .p50_ms = ToMs(entry.latency->Quantile(0.5)),
+                              .p99_ms = ToMs(entry.latency->Quantile(0.99)),
+                              .headroom = entry.headroom});
   }
 
   if (audit) {
-    CompareRuns(claims, *audit, report.checks);
+    CompareRuns(auditor, *audit, report.checks);
   }
   if (report.checks.Faults() > 0) {
     report.verdict = Verdict::kFault;
   } else if (Totals().ran == 0) {
-    report.verdict = Verdict::kNoAnswer;
-  } else if (!report.limits_passed.empty()) {
+    report.verdict = Verdict::kNoResponse;
+  } else if (!report.services_over_limit.empty()) {
     report.verdict = Verdict::kOverLimit;
   }
   return report;
--- a/lib/libmedlarcroft/source/load_generator/lookup_cache.cc
+++ b/lib/libmedlarcroft/source/load_generator/lookup_cache.cc
@@ -25,11 +25,12 @@
   return host;
 }
 
-/// A broken answer may say any number; beyond an hour it makes no difference.
+/// A malformed response may contain any number. TTLs are capped at an hour, as
+/// longer ones make no difference.
 Duration ReadTtl(const json& milliseconds) {
-  constexpr double kLongestMs = 3'600'000;
+  constexpr double kMaxTtlMs = 3'600'000;
   const double value = milliseconds.get<double>();
-  return value > 0 ? FromSeconds(std::min(value, kLongestMs) / 1000)
+  return value > 0 ? FromSeconds(std::min(value, kMaxTtlMs) / 1000)
                    : Duration::zero();
 }
 
@@ -52,33 +53,33 @@
 
 }  // namespace
 
-Result<LookupAnswer, LookupAnswerError> ParseLookupResponse(
+Result<LookupResponse, LookupResponseError> ParseLookupResponse(
     std::string_view text) {
   const json document = json::parse(text, nullptr, false);
   if (!document.is_object()) {
-    return LookupAnswerError::kNotJson;
+    return LookupResponseError::kNotJson;
   }
   if (!document.contains("ttl_ms") || !document["ttl_ms"].is_number() ||
       !document.contains("entry_hosts") ||
       !document["entry_hosts"].is_array()) {
-    return LookupAnswerError::kMissingField;
+    return LookupResponseError::kMissingField;
   }
 
-  LookupAnswer answer;
-  answer.ttl = ReadTtl(document["ttl_ms"]);
+  LookupResponse response;
+  response.ttl = ReadTtl(document["ttl_ms"]);
   if (document.contains("revision") && document["revision"].is_number()) {
-    answer.revision = document["revision"];
+    response.revision = document["revision"];
   }
   for (const json& item : document["entry_hosts"]) {
     if (auto host = ReadHost(item)) {
-      answer.entry_hosts.push_back(*std::move(host));
+      response.entry_hosts.push_back(*std::move(host));
     }
   }
-  if (answer.entry_hosts.empty()) {
-    return LookupAnswerError::kNoEntryHost;
+  if (response.entry_hosts.empty()) {
+    return LookupResponseError::kNoEntryHost;
   }
-  answer.keys = ReadKeys(document);
-  return answer;
+  response.keys = ReadKeys(document);
+  return response;
 }
 
 std::vector<std::string> ParseKeys(std::string_view text) {
@@ -86,32 +87,32 @@
 }
 
 void LookupCache::Put(const Subject& subject,
-                      LookupAnswer answer,
+                      LookupResponse response,
                       MonotonicTime now) {
-  Line& line = lines_[subject];
-  line.entry_hosts = std::move(answer.entry_hosts);
-  line.good_until = now + answer.ttl;
-  AddKeys(subject, std::move(answer.keys));
+  Entry& entry = entries_[subject];
+  entry.entry_hosts = std::move(response.entry_hosts);
+  entry.expires_at = now + response.ttl;
+  AddKeys(subject, std::move(response.keys));
 }
 
 void LookupCache::AddKeys(const Subject& subject,
                           std::vector<std::string> keys) {
-  std::vector<std::string>& kept = lines_[subject].keys;
+  std::vector<std::string>& kept = entries_[subject].keys;
   kept.insert(kept.end(), std::make_move_iterator(keys.begin()),
               std::make_move_iterator(keys.end()));
 }
 
 bool LookupCache::IsFresh(const Subject& subject, MonotonicTime now) const {
-  const auto found = lines_.find(subject);
-  return found != lines_.end() && now < found->second.good_until;
+  const auto found = entries_.find(subject);
+  return found != entries_.end() && now < found->second.expires_at;
 }
 
 std::optional<EntryHost> LookupCache::Choose(
     const Subject& subject,
     const std::set<std::string>& tried,
     ports::RandomSource& random) const {
-  const auto found = lines_.find(subject);
-  if (found == lines_.end()) {
+  const auto found = entries_.find(subject);
+  if (found == entries_.end()) {
     return std::nullopt;
   }
 
@@ -137,7 +138,7 @@
 }
 
 std::optional<std::string> LookupCache::TakeKey(const Subject& subject) {
-  std::vector<std::string>& keys = lines_[subject].keys;
+  std::vector<std::string>& keys = entries_[subject].keys;
   if (keys.empty()) {
     return std::nullopt;
   }
--- a/lib/libmedlarcroft/source/load_generator/outcome_auditor.cc
+++ b/lib/libmedlarcroft/source/load_generator/outcome_auditor.cc
@@ -11,7 +11,7 @@
   return slash == std::string_view::npos ? path : path.substr(slash + 1);
 }
 
-/// @brief All runs of one request.
+/// @brief Runs of one request on all targets.
 struct RunTotal {
   std::uint64_t count = 0;
   std::vector<std::string> targets;
@@ -19,7 +19,7 @@
 
 using RunTotals = std::map<std::string, RunTotal, std::less<>>;
 
-RunTotals AddUp(std::span<const TargetRun> runs) {
+RunTotals SumRuns(std::span<const TargetRun> runs) {
   RunTotals totals;
   for (const TargetRun& run : runs) {
     RunTotal& total = totals[std::string(LastSegment(run.path))];
@@ -31,30 +31,30 @@
 
 }  // namespace
 
-void ClaimBook::Note(std::string_view path,
-                     std::string_view key,
-                     idempotency::Outcome told) {
-  Claim& claim = claims_[std::string(LastSegment(path))];
-  claim.has_key = !key.empty();
-  claim.was_told_ran |= told == idempotency::Outcome::kRan;
-  claim.was_told_unknown |= told == idempotency::Outcome::kUnknown;
+void OutcomeAuditor::Record(std::string_view path,
+                            std::string_view key,
+                            idempotency::Outcome outcome) {
+  ReportedOutcomes& reported = outcomes_[std::string(LastSegment(path))];
+  reported.has_key = !key.empty();
+  reported.was_reported_ran |= outcome == idempotency::Outcome::kRan;
+  reported.was_reported_unknown |= outcome == idempotency::Outcome::kUnknown;
 }
 
-std::vector<ClaimMismatch> ClaimBook::Compare(
+std::vector<OutcomeMismatch> OutcomeAuditor::Compare(
     std::span<const TargetRun> runs) const {
-  const RunTotals totals = AddUp(runs);
-  std::vector<ClaimMismatch> mismatches;
-  for (const auto& [path, claim] : claims_) {
+  const RunTotals totals = SumRuns(runs);
+  std::vector<OutcomeMismatch> mismatches;
+  for (const auto& [path, reported] : outcomes_) {
     const auto found = totals.find(path);
     const RunTotal total = found == totals.end() ? RunTotal() : found->second;
-    std::optional<ClaimFault> fault;
-    if (claim.has_key && total.count > 1) {
-      fault = ClaimFault::kDoubleRun;
-    } else if (!claim.was_told_ran && !claim.was_told_unknown &&
+    std::optional<MismatchType> fault;
+    if (reported.has_key && total.count > 1) {
+      fault = MismatchType::kDoubleRun;
+    } else if (!reported.was_reported_ran && !reported.was_reported_unknown &&
                total.count > 0) {
-      fault = ClaimFault::kFalseNotRun;
-    } else if (claim.was_told_ran && total.count == 0) {
-      fault = ClaimFault::kNoRun;
+      fault = MismatchType::kFalseNotRun;
+    } else if (reported.was_reported_ran && total.count == 0) {
+      fault = MismatchType::kNoRun;
     }
     if (fault) {
       mismatches.push_back({.fault = *fault,
--- a/lib/libmedlarcroft/source/load_generator/plot.cc
+++ b/lib/libmedlarcroft/source/load_generator/plot.cc
@@ -11,9 +11,9 @@
 
 constexpr double kWidth = 820;
 constexpr double kHeight = 220;
-constexpr double kLeft = 60;  ///< Room for the numbers of the axis.
-constexpr double kBottom = 24;
-constexpr double kTop = 10;
+constexpr double kLeftMargin = 60;  ///< Margin for the axis labels.
+constexpr double kBottomMargin = 24;
+constexpr double kTopMargin = 10;
 constexpr int kGridLines = 4;
 constexpr std::array<std::string_view, 5> kColours = {
     "#1f5fa8", "#c2410c", "#15803d", "#7e22ce", "#57534e"};
@@ -24,34 +24,35 @@
   return {text.data(), static_cast<std::size_t>(std::max(0, length))};
 }
 
-/// @brief Where values and seconds lie on the drawing.
+/// @brief Maps seconds and values to coordinates of the drawing.
 class Scale {
  public:
   Scale(const PlotOptions& options, std::span<const PlotLine> lines)
       : is_logarithmic_(options.is_logarithmic) {
-    double greatest = 0;
-    double least = 0;
+    double max_value = 0;
+    double min_value = 0;
     for (const PlotLine& line : lines) {
       seconds_ = std::max(seconds_, line.values.size());
       for (const std::optional<double>& value : line.values) {
         if (value && *value > 0) {
-          greatest = std::max(greatest, *value);
-          least = least == 0 ? *value : std::min(least, *value);
+          max_value = std::max(max_value, *value);
+          min_value = min_value == 0 ? *value : std::min(min_value, *value);
         }
       }
     }
-    high_ = options.maximum.value_or(greatest > 0 ? greatest : 1);
+    high_ = options.maximum.value_or(max_value > 0 ? max_value : 1);
     low_ = 0;
     if (is_logarithmic_) {
       high_ = std::ceil(std::log10(high_));
-      low_ = least > 0 ? std::floor(std::log10(least)) : high_ - 1;
+      low_ = min_value > 0 ? std::floor(std::log10(min_value)) : high_ - 1;
       high_ = std::max(high_, low_ + 1);
     }
   }
 
   [[nodiscard]] double X(std::size_t second) const {
     const double last = static_cast<double>(std::max<std::size_t>(2, seconds_));
-    return kLeft + (kWidth - kLeft) * static_cast<double>(second) / (last - 1);
+    return kLeftMargin +
+           (kWidth - kLeftMargin) * static_cast<double>(second) / (last - 1);
   }
 
   [[nodiscard]] std::optional<double> Y(double value) const {
@@ -60,10 +61,11 @@
     }
     const double at = is_logarithmic_ ? std::log10(value) : value;
     const double share = std::clamp((at - low_) / (high_ - low_), 0.0, 1.0);
-    return kHeight - kBottom - (kHeight - kBottom - kTop) * share;
+    return kHeight - kBottomMargin -
+           (kHeight - kBottomMargin - kTopMargin) * share;
   }
 
-  /// @return the value at a share of the axis, 0 to 1.
+  /// @return the value at a fraction of the axis, 0 to 1.
   [[nodiscard]] double ValueAt(double share) const {
     const double at = low_ + (high_ - low_) * share;
     return is_logarithmic_ ? std::pow(10.0, at) : at;
@@ -83,15 +85,15 @@
   for (int i = 0; i <= kGridLines; ++i) {
     const double value = scale.ValueAt(static_cast<double>(i) / kGridLines);
     const std::string y = Format(scale.Y(value).value_or(0));
-    out.append("<line x1='").append(Format(kLeft));
+    out.append("<line x1='").append(Format(kLeftMargin));
     out.append("' x2='").append(Format(kWidth));
     out.append("' y1='").append(y).append("' y2='").append(y);
-    out.append("' stroke='#ddd'/><text x='").append(Format(kLeft - 6));
+    out.append("' stroke='#ddd'/><text x='").append(Format(kLeftMargin - 6));
     out.append("' y='").append(y);
     out.append("' text-anchor='end' dominant-baseline='middle'>");
     out.append(Format(value)).append("</text>");
   }
-  out += "<text x='" + Format(kLeft) + "' y='" + Format(kHeight - 6) +
+  out += "<text x='" + Format(kLeftMargin) + "' y='" + Format(kHeight - 6) +
          "'>0 s</text><text x='" + Format(kWidth) + "' y='" +
          Format(kHeight - 6) + "' text-anchor='end'>" +
          std::to_string(scale.Seconds()) + " s; " + EscapeHtml(unit) +
--- a/lib/libmedlarcroft/source/load_generator/report_comparison.cc
+++ b/lib/libmedlarcroft/source/load_generator/report_comparison.cc
@@ -18,26 +18,27 @@
              : static_cast<double>(part) / static_cast<double>(counts.intended);
 }
 
-/// @brief A quantile that can be judged.
-struct Judged {
+/// @brief A quantile that can be compared.
+struct ComparedQuantile {
   std::string_view name;
   double LatencySummary::*member;
-  std::uint64_t one_above_of;  ///< One request of so many lies above it.
+  std::uint64_t one_in;  ///< One in this many requests is above it.
 };
 
-constexpr std::array kJudged = {
-    Judged{"p99", &LatencySummary::p99_ms, 100},
-    Judged{"p90", &LatencySummary::p90_ms, 10},
-    Judged{"p50", &LatencySummary::p50_ms, 2},
+constexpr std::array kComparedQuantiles = {
+    ComparedQuantile{"p99", &LatencySummary::p99_ms, 100},
+    ComparedQuantile{"p90", &LatencySummary::p90_ms, 10},
+    ComparedQuantile{"p50", &LatencySummary::p50_ms, 2},
 };
 
-const Judged& ChooseJudged(std::uint64_t ran, std::uint64_t least_above) {
-  for (const Judged& judged : kJudged) {
-    if (ran >= least_above * judged.one_above_of) {
-      return judged;
+const ComparedQuantile& ChooseQuantile(std::uint64_t ran,
+                                       std::uint64_t min_requests_above) {
+  for (const ComparedQuantile& quantile : kComparedQuantiles) {
+    if (ran >= min_requests_above * quantile.one_in) {
+      return quantile;
     }
   }
-  return kJudged.back();
+  return kComparedQuantiles.back();
 }
 
 ClassComparison CompareClass(const ClassReport& before,
@@ -51,17 +52,19 @@
       .refused_after = ShareOf(after.counts.refused, after.counts),
       .failed_before = ShareOf(before.counts.failed, before.counts),
       .failed_after = ShareOf(after.counts.failed, after.counts)};
-  const Judged& judged = ChooseJudged(
-      std::min(before.counts.ran, after.counts.ran), limits.least_above);
-  const double was = before.latency.*judged.member;
-  const double is = after.latency.*judged.member;
+  const ComparedQuantile& quantile = ChooseQuantile(
+      std::min(before.counts.ran, after.counts.ran), limits.min_requests_above);
+  const double value_before = before.latency.*quantile.member;
+  const double value_after = after.latency.*quantile.member;
   const bool is_slower =
-      is - was > limits.latency_floor_ms && is > was * limits.latency_ratio;
-  result.judged = judged.name;
+      value_after - value_before > limits.min_latency_increase_ms &&
+      value_after > value_before * limits.max_latency_ratio;
+  result.quantile = quantile.name;
   result.is_worse =
       is_slower ||
-      result.refused_after - result.refused_before > limits.share_growth ||
-      result.failed_after - result.failed_before > limits.share_growth;
+      result.refused_after - result.refused_before >
+          limits.max_share_increase ||
+      result.failed_after - result.failed_before > limits.max_share_increase;
   return result;
 }
 
@@ -93,7 +96,7 @@
         << row.after.p99_ms << " ms, refused " << row.refused_before * kPercent
         << " -> " << row.refused_after * kPercent << "%, failed "
         << row.failed_before * kPercent << " -> " << row.failed_after * kPercent
-        << "%; judged by " << row.judged << (row.is_worse ? ": WORSE" : "")
+        << "%; compared by " << row.quantile << (row.is_worse ? ": WORSE" : "")
         << "\n";
   }
   return out.str();
--- a/lib/libmedlarcroft/source/load_generator/report_page.cc
+++ b/lib/libmedlarcroft/source/load_generator/report_page.cc
@@ -43,33 +43,33 @@
     lines.push_back(MakeLine("p50 before", *before, p50));
     lines.push_back(MakeLine("p99 before", *before, p99));
   }
-  return DrawPlot({.title = "Latency from the intended sending",
-                   .unit = "ms, each second",
+  return DrawPlot({.title = "Latency from the intended send time",
+                   .unit = "ms, by second",
                    .is_logarithmic = true},
                   lines);
 }
 
-std::string DrawEnds(const LoadReport& report) {
-  struct End {
+std::string DrawCounts(const LoadReport& report) {
+  struct CountLine {
     std::string_view name;
     std::uint64_t EndCounts::*member;
   };
-  constexpr End kEnds[] = {{"intended", &EndCounts::intended},
-                           {"refused", &EndCounts::refused},
-                           {"ran", &EndCounts::ran},
-                           {"failed", &EndCounts::failed},
-                           {"unsent", &EndCounts::unsent}};
+  constexpr CountLine kCountLines[] = {{"intended", &EndCounts::intended},
+                                       {"refused", &EndCounts::refused},
+                                       {"ran", &EndCounts::ran},
+                                       {"failed", &EndCounts::failed},
+                                       {"unsent", &EndCounts::unsent}};
   std::vector<PlotLine> lines;
-  lines.reserve(std::size(kEnds));
-  for (const End& end : kEnds) {
-    lines.push_back(MakeLine(std::string(end.name), report,
-                             [member = end.member](const SecondReport& second) {
-                               return static_cast<double>(second.counts.*
-                                                          member);
-                             }));
+  lines.reserve(std::size(kCountLines));
+  for (const CountLine& line : kCountLines) {
+    lines.push_back(
+        MakeLine(std::string(line.name), report,
+                 [member = line.member](const SecondReport& second) {
+                   return static_cast<double>(second.counts.*member);
+                 }));
   }
   return DrawPlot({.title = "Requests and refusals",
-                   .unit = "requests a second",
+                   .unit = "requests per second",
                    .is_logarithmic = false},
                   lines);
 }
@@ -95,12 +95,12 @@
       name + "</title><style>" + std::string(kStyle) + "</style><h1>" + name +
       ": " + std::string(NameOf(report.verdict)) + "</h1>\n";
   page += DrawLatency(report, before);
-  page += DrawEnds(report);
+  page += DrawCounts(report);
   page += DrawHeadroom(report);
-  page += "<h2>Figures</h2><pre>" + EscapeHtml(FormatReportText(report)) +
+  page += "<h2>Results</h2><pre>" + EscapeHtml(FormatReportText(report)) +
           "</pre>\n";
   if (before) {
-    page += "<h2>Against " + EscapeHtml(before->name) + "</h2><pre>" +
+    page += "<h2>Compared with " + EscapeHtml(before->name) + "</h2><pre>" +
             EscapeHtml(FormatComparison(CompareReports(*before, report))) +
             "</pre>\n";
   }
--- a/lib/libmedlarcroft/source/load_generator/response_check.cc
+++ b/lib/libmedlarcroft/source/load_generator/response_check.cc
@@ -12,8 +12,8 @@
 using idempotency::Outcome;
 using nlohmann::json;
 
-constexpr int kFirstError = 400;
-constexpr std::int64_t kLongestRetryAfterSeconds = 3600;
+constexpr int kFirstErrorStatus = 400;
+constexpr std::int64_t kMaxRetryAfterSeconds = 3600;
 
 struct OutcomeName {
   std::string_view name;
@@ -37,23 +37,24 @@
 }
 
 std::string FieldOf(const json& document, const char* name) {
-  const bool is_there = document.is_object() && document.contains(name) &&
-                        document[name].is_string();
-  return is_there ? document[name].get<std::string>() : std::string();
+  const bool has_field = document.is_object() && document.contains(name) &&
+                         document[name].is_string();
+  return has_field ? document[name].get<std::string>() : std::string();
 }
 
-bool IsOwnAnswer(const ExchangeResult& result, const ExpectedEcho& expected) {
+bool IsMatchingResponse(const ExchangeResult& result,
+                        const ExpectedEcho& expected) {
   const json document = json::parse(result.body, nullptr, false);
   return FieldOf(document, "path").ends_with(expected.path_suffix) &&
          FieldOf(document, "body_hash") == expected.body_hash;
 }
 
-AttemptVerdict JudgeFailure(ExchangeFailure failure) {
+AttemptVerdict CheckFailure(ExchangeFailure failure) {
   if (failure == ExchangeFailure::kNeverSent) {
     return {.outcome = Outcome::kNotRun};
   }
   if (failure == ExchangeFailure::kTruncated) {
-    return {.outcome = Outcome::kUnknown, .fault = AnswerFault::kTruncated};
+    return {.outcome = Outcome::kUnknown, .fault = ResponseFault::kTruncated};
   }
   return {.outcome = Outcome::kUnknown};
 }
@@ -63,18 +64,19 @@
 AttemptVerdict CheckResponse(const ExchangeResult& result,
                              const ExpectedEcho& expected) {
   if (result.failure) {
-    return JudgeFailure(*result.failure);
+    return CheckFailure(*result.failure);
   }
   const auto outcome = OutcomeOf(result);
   if (!outcome) {
     return {.outcome = Outcome::kUnknown,
-            .fault = AnswerFault::kMissingOutcome};
+            .fault = ResponseFault::kMissingOutcome};
   }
-  if (*outcome != Outcome::kRan || result.status >= kFirstError) {
+  if (*outcome != Outcome::kRan || result.status >= kFirstErrorStatus) {
     return {.outcome = *outcome};
   }
-  if (!IsOwnAnswer(result, expected)) {
-    return {.outcome = Outcome::kUnknown, .fault = AnswerFault::kCrossed};
+  if (!IsMatchingResponse(result, expected)) {
+    return {.outcome = Outcome::kUnknown,
+            .fault = ResponseFault::kWrongRequest};
   }
   return {.outcome = Outcome::kRan, .is_success = true};
 }
@@ -96,7 +98,7 @@
   std::int64_t seconds = 0;
   std::from_chars(text.data(), text.data() + text.size(), seconds);
   return std::chrono::seconds(
-      std::clamp<std::int64_t>(seconds, 0, kLongestRetryAfterSeconds));
+      std::clamp<std::int64_t>(seconds, 0, kMaxRetryAfterSeconds));
 }
 
 }  // namespace medlarcroft::load_generator
--- a/programs/emulate/emulate_options.cc
+++ b/programs/emulate/emulate_options.cc
@@ -19,27 +19,29 @@
 };
 
 std::string DescribeOptions() {
-  std::string names = "option that is varied, one of:";
+  std::string names = "option to vary, one of:";
   for (const std::string_view name : emulation::OptionNames()) {
     names += " ";
     names += name;
   }
-  return names + "; none: the known policies are compared";
+  return names + "; default: compare the known policies";
 }
 
 po::options_description MakeDescription(EmulateOptions& options, Flags& flags) {
   po::options_description description("Options");
   auto add = description.add_options();
   add("deployment", po::value(&options.deployment_file),
-      "YAML file: regions, services, kinds of requests, faults");
+      "YAML file with regions, services, request classes and faults");
   add("vary", po::value(&options.varied_option), DescribeOptions().c_str());
   add("values", po::value(&options.values)->multitoken(),
-      "values of that option");
-  add("seeds", po::value(&options.seeds), "runs of each policy (5)");
-  add("table", po::value(&options.table_file), "write the table there");
-  add("plot", po::value(&options.plot_file), "write a picture (SVG) there");
+      "values of the varied option");
+  add("seeds", po::value(&options.seeds),
+      "number of runs of each policy (default 5)");
+  add("table", po::value(&options.table_file), "write the table to this file");
+  add("plot", po::value(&options.plot_file),
+      "write an SVG bar chart to this file");
   add("windows", po::bool_switch(&options.shows_windows),
-      "show the credit of each window as well");
+      "also print the credit of each window");
   add("version", po::bool_switch(&flags.version), "print the version and exit");
   add("help", po::bool_switch(&flags.help), "print this text and exit");
   return description;
@@ -65,7 +67,7 @@
     return {.exit_status = adapters::kExitBadUsage};
   }
   if (flags.help) {
-    std::cout << "medlar-emulate: tries policies on an emulated deployment\n"
+    std::cout << "medlar-emulate: compares policies on an emulated deployment\n"
               << description;
     return {};
   }
@@ -74,7 +76,8 @@
     return {};
   }
   if (!IsComplete(options)) {
-    std::cerr << "medlar-emulate: needs --deployment, and --values with --vary"
+    std::cerr << "medlar-emulate: --deployment is required; --vary and "
+                 "--values only together"
               << "\n"
               << description;
     return {.exit_status = adapters::kExitBadUsage};
--- a/programs/emulate/emulate_options.h
+++ b/programs/emulate/emulate_options.h
@@ -8,10 +8,10 @@
 
 namespace medlarcroft::emulate {
 
-/// @brief What the command line asks for.
+/// @brief Command line options of medlar-emulate.
 struct EmulateOptions {
   std::string deployment_file;
-  std::string varied_option;   ///< Empty: the known policies are compared.
+  std::string varied_option;   ///< Empty: compare the known policies.
   std::vector<double> values;  ///< Of the varied option.
   std::uint32_t seeds = 5;
   std::string table_file;  ///< Empty: standard output.
@@ -20,7 +20,7 @@
 };
 
 struct ParsedOptions {
-  std::optional<EmulateOptions> options;  ///< Absent: end with the status.
+  std::optional<EmulateOptions> options;  ///< Unset: exit with `exit_status`.
   int exit_status = 0;
 };
 
--- a/programs/emulate/main.cc
+++ b/programs/emulate/main.cc
@@ -1,4 +1,4 @@
-// medlar-emulate: tries policies on an emulated deployment in virtual time.
+// medlar-emulate: compares policies on an emulated deployment in virtual time.
 #include <fstream>
 #include <iostream>
 
@@ -19,8 +19,9 @@
   return emulation::VaryOption(options.varied_option, options.values);
 }
 
-/// @return whether it was written; standard output when no file is named.
-bool Write(const std::string& file, const std::string& text) {
+/// @brief Writes to standard output when `file` is empty.
+/// @return false, after printing the error, when the file can't be written.
+bool WriteText(const std::string& file, const std::string& text) {
   if (file.empty()) {
     std::cout << text;
     return true;
@@ -29,7 +30,7 @@
   output << text;
   output.close();
   if (!output) {
-    std::cerr << "medlar-emulate: " << file << " can't be written\n";
+    std::cerr << "medlar-emulate: " << file << ": can't write file\n";
   }
   return !output.fail();
 }
@@ -43,7 +44,8 @@
   }
   const auto policies = ChoosePolicies(options);
   if (!policies) {
-    std::cerr << "medlar-emulate: no option " << options.varied_option << "\n";
+    std::cerr << "medlar-emulate: unknown option to vary: "
+              << options.varied_option << "\n";
     return adapters::kExitBadUsage;
   }
   const auto results =
@@ -52,10 +54,10 @@
   if (options.shows_windows) {
     table += "\n" + emulation::FormatWindows(results);
   }
-  bool is_written = Write(options.table_file, table);
+  bool is_written = WriteText(options.table_file, table);
   if (!options.plot_file.empty()) {
-    is_written =
-        Write(options.plot_file, emulation::FormatPlot(results)) && is_written;
+    is_written = WriteText(options.plot_file, emulation::FormatPlot(results)) &&
+                 is_written;
   }
   return is_written ? 0 : adapters::kExitFailure;
 }
--- a/programs/load/headroom_sampler.cc
+++ b/programs/load/headroom_sampler.cc
@@ -23,7 +23,7 @@
     const std::lock_guard lock(mutex_);
     is_stopping_ = true;
   }
-  changed_.notify_one();
+  condition_.notify_one();
   if (thread_.joinable()) {
     thread_.join();
   }
@@ -43,8 +43,8 @@
     if (headroom) {
       samples_.push_back({.at = at, .headroom = *headroom});
     }
-    changed_.wait_for(lock, std::chrono::seconds(1),
-                      [this] { return is_stopping_; });
+    condition_.wait_for(lock, std::chrono::seconds(1),
+                        [this] { return is_stopping_; });
   }
 }
 
--- a/programs/load/headroom_sampler.h
+++ b/programs/load/headroom_sampler.h
@@ -17,8 +17,8 @@
   double headroom = 0;
 };
 
-/// @brief Asks the targets for their load each second, on a thread of its own,
-/// so that a slow target never delays a request of the run.
+/// @brief Samples the targets' load once a second on a thread of its own, so
+/// that a slow target never delays a request of the run.
 class HeadroomSampler {
  public:
   HeadroomSampler(std::vector<std::string> target_urls, MonotonicTime start);
@@ -26,8 +26,8 @@
   HeadroomSampler(const HeadroomSampler&) = delete;
   HeadroomSampler& operator=(const HeadroomSampler&) = delete;
 
-  /// @brief Ends the sampling.
-  /// @return all samples, in the order of time.
+  /// @brief Stops sampling.
+  /// @return all samples in order of time.
   std::vector<HeadroomSample> Stop();
 
  private:
@@ -36,7 +36,7 @@
   const std::vector<std::string> target_urls_;
   const MonotonicTime start_;
   std::mutex mutex_;
-  std::condition_variable changed_;
+  std::condition_variable condition_;
   bool is_stopping_ = false;
   std::vector<HeadroomSample> samples_;
   std::thread thread_;
--- a/programs/load/load_options.h
+++ b/programs/load/load_options.h
@@ -7,19 +7,19 @@
 
 namespace medlarcroft::load {
 
-/// @brief The command line of medlar-load.
+/// @brief Command line options of medlar-load.
 struct LoadOptions {
   std::string plan_file;
   std::string deployment_file;
-  std::vector<std::string> lookup_urls;  ///< In place of a deployment file.
+  std::vector<std::string> lookup_urls;  ///< Instead of a deployment file.
   std::string name = "medlar-load";
   std::string json_file;
   std::string html_file;
-  std::string against_file;
+  std::string baseline_file;
   bool is_quiet = false;  ///< No progress lines.
 };
 
-/// @brief The command line, or the exit status when there is nothing to run.
+/// @brief The options, or the exit status when there is nothing to run.
 struct ParsedOptions {
   std::optional<LoadOptions> options;
   int exit_status = 0;
--- a/programs/load/load_run.cc
+++ b/programs/load/load_run.cc
@@ -20,28 +20,28 @@
 using load_generator::LoadReport;
 using load_generator::LoadSession;
 
-/// The longest sleep of the loop, so that progress is told in time.
-constexpr Duration kLongestWait = std::chrono::milliseconds(250);
+/// Longest wait of the event loop, so that progress is printed in time.
+constexpr Duration kMaxWait = std::chrono::milliseconds(250);
 
-/// @brief The same choices for the same seed.
-class PlanRandom final : public ports::RandomSource {
+/// @brief Pseudorandom numbers that are reproducible for a given seed.
+class SeededRandom final : public ports::RandomSource {
  public:
-  explicit PlanRandom(std::uint64_t seed) : engine_(seed) {}
+  explicit SeededRandom(std::uint64_t seed) : engine_(seed) {}
   [[nodiscard]] std::uint64_t Next() override { return engine_(); }
 
  private:
   std::mt19937_64 engine_;
 };
 
-/// @brief Tells once a second how the run goes.
-class Progress {
+/// @brief Prints the progress of the run once a second.
+class ProgressPrinter {
  public:
-  Progress(MonotonicTime start, bool is_quiet)
+  ProgressPrinter(MonotonicTime start, bool is_quiet)
       : start_(start), next_(start), is_quiet_(is_quiet) {}
 
-  void Tell(const LoadSession& session,
-            const EndCounts& totals,
-            MonotonicTime now) {
+  void Print(const LoadSession& session,
+             const EndCounts& totals,
+             MonotonicTime now) {
     if (is_quiet_ || now < next_) {
       return;
     }
@@ -58,24 +58,24 @@
   const bool is_quiet_;
 };
 
-/// Paths of two runs must differ, as targets remember them.
+/// Request paths must differ between runs, as targets remember them.
 std::string MakeRunName() {
   std::random_device device;
   return "load" + std::to_string(device());
 }
 
-void Drive(LoadSession& session,
-           adapters::HttpLoadTransport& transport,
-           Progress& progress) {
+void RunSession(LoadSession& session,
+                adapters::HttpLoadTransport& transport,
+                ProgressPrinter& progress) {
   const adapters::SystemClock clock;
   while (!session.IsDone()) {
     const auto next = session.Step(clock.Now());
-    const MonotonicTime latest = clock.Now() + kLongestWait;
-    for (const auto& arrived :
+    const MonotonicTime latest = clock.Now() + kMaxWait;
+    for (const auto& received :
          transport.Wait(std::min(next.value_or(latest), latest))) {
-      session.OnResult(arrived.id, arrived.result, arrived.at);
+      session.OnResult(received.id, received.result, received.at);
     }
-    progress.Tell(session, session.Statistics().Totals(), clock.Now());
+    progress.Print(session, session.Statistics().Totals(), clock.Now());
   }
 }
 
@@ -85,9 +85,10 @@
                    const adapters::Deployment& deployment,
                    const LoadOptions& options) {
   const adapters::SystemClock clock;
-  PlanRandom arrivals(plan.seed);
-  PlanRandom choices(plan.seed + 1);
-  // The client ends before the transport that its callbacks use.
+  SeededRandom arrivals(plan.seed);
+  SeededRandom choices(plan.seed + 1);
+  // The client must be destroyed before the transport, as its callbacks use the
+  // transport.
   std::optional<adapters::HttpClient> client(std::in_place,
                                              adapters::HttpClient::Options{});
   adapters::HttpLoadTransport transport(*client);
@@ -96,18 +97,18 @@
   LoadSession session(
       plan, {.lookup_urls = deployment.lookup_urls, .run_name = MakeRunName()},
       arrivals, choices, transport, start);
-  Progress progress(start, options.is_quiet);
-  Drive(session, transport, progress);
+  ProgressPrinter progress(start, options.is_quiet);
+  RunSession(session, transport, progress);
 
   for (const HeadroomSample& sample : sampler.Stop()) {
-    session.Statistics().NoteHeadroom(sample.at, sample.headroom);
+    session.Statistics().RecordHeadroom(sample.at, sample.headroom);
   }
   std::optional<load_generator::RunAudit> audit;
   if (!deployment.target_urls.empty()) {
     audit = adapters::TargetProbe(*client, deployment.target_urls).ReadRuns();
   }
   LoadReport report =
-      session.Statistics().MakeReport(options.name, session.Claims(), audit);
+      session.Statistics().MakeReport(options.name, session.Auditor(), audit);
   client.reset();
   return report;
 }
--- a/programs/load/load_run.h
+++ b/programs/load/load_run.h
@@ -8,8 +8,8 @@
 
 namespace medlarcroft::load {
 
-/// @brief Sends a plan's requests to a deployment and checks what comes back.
-/// Blocks until every request has ended.
+/// @brief Sends the requests of a plan to a deployment and checks the
+/// responses. Blocks until all requests have ended.
 [[nodiscard]] load_generator::LoadReport RunLoad(
     const load_generator::LoadPlan& plan,
     const adapters::Deployment& deployment,
--- a/programs/load/main.cc
+++ b/programs/load/main.cc
@@ -1,4 +1,4 @@
-// medlar-load: open-loop load on a running deployment, with checks.
+// medlar-load: open-loop load generator with correctness checks.
 #include <fstream>
 #include <iostream>
 #include <optional>
@@ -32,7 +32,7 @@
   return TakeValue(std::move(plan));
 }
 
-std::optional<Deployment> FindDeployment(const LoadOptions& options) {
+std::optional<Deployment> LoadDeployment(const LoadOptions& options) {
   if (options.deployment_file.empty()) {
     return Deployment{.lookup_urls = options.lookup_urls};
   }
@@ -43,13 +43,13 @@
   }
   auto deployment = adapters::ParseDeployment(ValueOf(text));
   if (!IsOk(deployment)) {
-    std::cerr << options.deployment_file << ": no deployment's list\n";
+    std::cerr << options.deployment_file << ": not a valid deployment file\n";
     return std::nullopt;
   }
   return TakeValue(std::move(deployment));
 }
 
-/// @return nullopt after saying why the file can't be compared with.
+/// @return nullopt, after printing the reason, when the file is no report.
 std::optional<LoadReport> ReadReport(const std::string& file) {
   const auto text = adapters::ReadSettingsFile(file);
   if (!IsOk(text)) {
@@ -58,7 +58,7 @@
   }
   auto report = load_generator::ParseReportJson(ValueOf(text));
   if (!IsOk(report)) {
-    std::cerr << file << ": no report of medlar-load\n";
+    std::cerr << file << ": not a JSON report of medlar-load\n";
     return std::nullopt;
   }
   return TakeValue(std::move(report));
@@ -66,7 +66,7 @@
 
 void Compare(const LoadReport& before, LoadReport& report) {
   const auto comparison = load_generator::CompareReports(before, report);
-  std::cout << "against " << before.name << ":\n"
+  std::cout << "compared with " << before.name << ":\n"
             << load_generator::FormatComparison(comparison);
   for (const load_generator::ClassComparison& row : comparison) {
     if (row.is_worse && report.verdict == Verdict::kPass) {
@@ -75,14 +75,14 @@
   }
 }
 
-bool Write(const std::string& file, const std::string& text) {
+bool WriteText(const std::string& file, const std::string& text) {
   if (file.empty()) {
     return true;
   }
   std::ofstream out(file, std::ios::binary);
   out << text << std::flush;
   if (!out.good()) {
-    std::cerr << file << ": can't be written\n";
+    std::cerr << file << ": can't write file\n";
   }
   return out.good();
 }
@@ -94,12 +94,12 @@
   }
   const LoadOptions& options = *parsed.options;
   const auto plan = ReadPlan(options.plan_file);
-  const auto deployment = FindDeployment(options);
+  const auto deployment = LoadDeployment(options);
   std::optional<LoadReport> before;
-  if (!options.against_file.empty()) {
-    before = ReadReport(options.against_file);
+  if (!options.baseline_file.empty()) {
+    before = ReadReport(options.baseline_file);
   }
-  if (!plan || !deployment || (!options.against_file.empty() && !before)) {
+  if (!plan || !deployment || (!options.baseline_file.empty() && !before)) {
     return adapters::kExitBadSettings;
   }
 
@@ -109,9 +109,9 @@
   }
   std::cout << load_generator::FormatReportText(report);
   const bool is_written =
-      Write(options.json_file, load_generator::FormatReportJson(report)) &&
-      Write(options.html_file,
-            load_generator::FormatReportPage(report, before));
+      WriteText(options.json_file, load_generator::FormatReportJson(report)) &&
+      WriteText(options.html_file,
+                load_generator::FormatReportPage(report, before));
   return is_written ? static_cast<int>(report.verdict)
                     : adapters::kExitBadUsage;
 }
--- a/tests/unit/adapters/load/load_files_test.cc
+++ b/tests/unit/adapters/load/load_files_test.cc
@@ -10,7 +10,7 @@
 
 class LoadPlans : public testing::TestWithParam<std::string> {};
 
-TEST_P(LoadPlans, OfDistAreGood) {
+TEST_P(LoadPlans, InDistAreValid) {
   const std::string file = std::string(MEDLARCROFT_SOURCE_DIR) + "/dist/load/" +
                            GetParam() + ".yaml";
   const auto plan = LoadSettings(LoadPlanSchema(), file);
@@ -25,7 +25,7 @@
                          testing::Values("uwimana", "campos"),
                          [](const auto& info) { return info.param; });
 
-TEST(DeploymentFileTest, ReadsTheUrls) {
+TEST(DeploymentFileTest, ReadsUrls) {
   const auto result = ParseDeployment(
       R"({"steerd":[{"host":"a","url":"http://127.0.0.1:1"}],
           "targets":[{"target":"t","url":"http://127.0.0.1:2"},{"x":1}]})");
@@ -34,12 +34,12 @@
   EXPECT_EQ(ValueOf(result).target_urls.front(), "http://127.0.0.1:2");
 }
 
-TEST(DeploymentFileTest, OtherFilesAreRefused) {
+TEST(DeploymentFileTest, RejectsOtherFiles) {
   EXPECT_EQ(ErrorOf(ParseDeployment("x")), DeploymentFileError::kNotJson);
   EXPECT_EQ(ErrorOf(ParseDeployment("{}")), DeploymentFileError::kNoSteerd);
 }
 
-TEST(RunListTest, ReadsWhatTheStandInTargetSays) {
+TEST(RunListTest, ReadsStandInTargetResponse) {
   const auto list = ParseRunList(
       R"({"target":"t1","dropped":0,"runs":[{"idempotency_key":"k",
           "path":"/p","count":2,"completed":1,"cancelled":1}]})");
