--- a/tests/unit/emulation/emulation_test.cc
+++ b/tests/unit/emulation/emulation_test.cc
@@ -23,54 +23,54 @@
   return IsOk(deployment) ? ValueOf(deployment) : EmulatedDeployment();
 }
 
-EmulationFigures RunOnce(const EmulatedDeployment& deployment,
+EmulationMetrics RunOnce(const EmulatedDeployment& deployment,
                          std::uint64_t seed = 1) {
   return Emulation(deployment, {.seed = seed}).Run();
 }
 
-TEST(EmulationTest, TheSameSeedGivesTheSameRun) {
+TEST(EmulationTest, RunsWithEqualSeedsAreIdentical) {
   EmulatedDeployment deployment = Load("uwimana");
-  deployment.length = seconds(8);
-  const EmulationFigures first = RunOnce(deployment);
-  const EmulationFigures again = RunOnce(deployment);
-  const EmulationFigures other = RunOnce(deployment, 2);
+  deployment.duration = seconds(8);
+  const EmulationMetrics first = RunOnce(deployment);
+  const EmulationMetrics again = RunOnce(deployment);
+  const EmulationMetrics other = RunOnce(deployment, 2);
 
   EXPECT_GT(first.Requests(), 1000U);
   EXPECT_EQ(first.Requests(), again.Requests());
-  EXPECT_EQ(first.Worth(), again.Worth());
-  EXPECT_NE(first.Worth(), other.Worth());
+  EXPECT_EQ(first.Score(), again.Score());
+  EXPECT_NE(first.Score(), other.Score());
 }
 
 struct DeploymentCase {
   std::string name;
-  double least_worth;  ///< Of the product.
-  double least_gain;   ///< Over each plainer policy but the longer queue.
+  double min_score;  ///< Of the production policy.
+  double min_gain;   ///< Over each baseline except unbounded-queue.
 };
 
 class DeploymentTable : public testing::TestWithParam<DeploymentCase> {};
 
-// Callers of a busy day get more by the product's decisions than by each of the
-// plainer policies, which choose among the same targets by the same plan of
-// regions, and no region's requests change place faster than the bound
-// that callers' operators set (0.15 in two seconds), but for what chance adds.
-TEST_P(DeploymentTable, TheProductServesBetterThanPlainerPolicies) {
+// Under high demand, the production policy scores higher than each baseline,
+// which chooses among the same targets with the same region plan. Requests of
+// a region move to other regions no faster than the operators' bound (0.15 in
+// two seconds), apart from random variation.
+TEST_P(DeploymentTable, ProductionPolicyScoresHigherThanBaselines) {
   const EmulatedDeployment deployment = Load(GetParam().name);
   const auto results = RunExperiment(deployment, KnownPolicies(), 2);
   const PolicyResult& product = results.front();
   ASSERT_EQ(product.name, "product");
 
-  EXPECT_GE(product.MeanWorth(), GetParam().least_worth);
+  EXPECT_GE(product.MeanScore(), GetParam().min_score);
   for (const PolicyResult& result : results) {
     if (&result == &product) {
       continue;
     }
-    const bool only_waits_longer = result.name == "unbounded-queue";
-    // Waiting longer makes no difference beyond that of one seed to the next
-    // while targets have room.
-    const double gain = only_waits_longer ? -0.01 : GetParam().least_gain;
-    EXPECT_GE(product.MeanWorth(), result.MeanWorth() + gain) << result.name;
+    const bool is_unbounded_queue = result.name == "unbounded-queue";
+    // While targets have free capacity, an unbounded queue makes no difference
+    // beyond the variation between seeds.
+    const double gain = is_unbounded_queue ? -0.01 : GetParam().min_gain;
+    EXPECT_GE(product.MeanScore(), result.MeanScore() + gain) << result.name;
   }
-  for (const EmulationFigures& run : product.runs) {
+  for (const EmulationMetrics& run : product.runs) {
     EXPECT_LE(run.LargestShift(), 0.18);
   }
 }
@@ -83,28 +83,28 @@
                                                         0.10}),
                          [](const auto& tested) { return tested.param.name; });
 
-struct TroubleCase {
+struct FaultCase {
   std::string name;
   EmulatedFault fault;
-  double least_served;
+  double min_served;
 };
 
-class TroubleTable : public testing::TestWithParam<TroubleCase> {};
+class FaultTable : public testing::TestWithParam<FaultCase> {};
 
-// Something goes wrong with a third of the targets, or more callers come, for
-// ten seconds. Most callers get their answer all the same.
-TEST_P(TroubleTable, MostCallersAreServedThroughIt) {
+// Most callers are served while, for ten seconds, a third of the targets are
+// slow or unreachable, half of them lose responses, or demand rises.
+TEST_P(FaultTable, MostCallersAreServedDuringFault) {
   EmulatedDeployment deployment = Load("campos");
-  deployment.length = seconds(24);
+  deployment.duration = seconds(24);
   deployment.faults = {GetParam().fault};
-  EXPECT_GE(RunOnce(deployment).ServedShare(), GetParam().least_served);
+  EXPECT_GE(RunOnce(deployment).ServedShare(), GetParam().min_served);
 }
 
-EmulatedFault Between8And18(EmulatedTrouble trouble,
-                            double part,
-                            double strength) {
-  return {.trouble = trouble,
-          .part = part,
+EmulatedFault FaultBetween8And18(EmulatedFaultType type,
+                                 double fraction,
+                                 double strength) {
+  return {.type = type,
+          .fraction = fraction,
           .strength = strength,
           .from = seconds(8),
           .until = seconds(18)};
@@ -112,21 +112,24 @@
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    TroubleTable,
+    FaultTable,
     testing::Values(
-        TroubleCase{"Slow", Between8And18(EmulatedTrouble::kSlow, 0.3, 4),
-                    0.90},
-        TroubleCase{"LostAnswers",
-                    Between8And18(EmulatedTrouble::kLostAnswers, 0.5, 0.05),
-                    0.96},
-        TroubleCase{"Gone", Between8And18(EmulatedTrouble::kGone, 0.3, 1),
-                    0.90},
-        TroubleCase{"MoreCallers",
-                    Between8And18(EmulatedTrouble::kMoreCallers, 1, 1.7),
-                    0.85}),
+        FaultCase{"Slow", FaultBetween8And18(EmulatedFaultType::kSlow, 0.3, 4),
+                  0.90},
+        FaultCase{
+            "LostResponses",
+            FaultBetween8And18(EmulatedFaultType::kLostResponses, 0.5, 0.05),
+            0.96},
+        FaultCase{"Unreachable",
+                  FaultBetween8And18(EmulatedFaultType::kUnreachable, 0.3, 1),
+                  0.90},
+        FaultCase{
+            "IncreasedDemand",
+            FaultBetween8And18(EmulatedFaultType::kIncreasedDemand, 1, 1.7),
+            0.85}),
     [](const auto& tested) { return tested.param.name; });
 
-TEST(ExperimentTest, KnowsItsOptionsAndNoOthers) {
+TEST(ExperimentTest, VariesOnlySupportedOptions) {
   const std::vector<double> values = {0.1, 0.2};
   for (const std::string_view name : OptionNames()) {
     const auto policies = VaryOption(name, values);
@@ -136,9 +139,9 @@
   EXPECT_FALSE(VaryOption("no-such-option", values));
 }
 
-TEST(ExperimentTest, TableAndPlotHaveARowForEachPolicy) {
+TEST(ExperimentTest, TableAndPlotHaveOneRowPerPolicy) {
   EmulatedDeployment deployment = Load("campos");
-  deployment.length = seconds(3);
+  deployment.duration = seconds(3);
   const std::vector<double> values = {0.3, 0.6};
   const auto results =
       RunExperiment(deployment, *VaryOption("longest-wait", values), 1);
@@ -151,42 +154,42 @@
 
 // Guards against a crashing request taking down target after target: blocking
 // it must reduce both the crashes and the credit that other requests lose.
-TEST(EmulationTest, ACrashingRequestIsBlockedAndOthersAreServed) {
+TEST(EmulationTest, CrashingRequestIsBlockedAndOthersAreServed) {
   EmulatedDeployment deployment = Load("campos");
-  deployment.length = seconds(16);
-  const double without_fault = RunOnce(deployment).Whole();
-  deployment.faults = {{.trouble = EmulatedTrouble::kCrashingRequest,
+  deployment.duration = seconds(16);
+  const double without_fault = RunOnce(deployment).OverallCredit();
+  deployment.faults = {{.type = EmulatedFaultType::kCrashingRequest,
                         .service = deployment.services.front().name,
                         .strength = 4,
                         .from = seconds(3),
                         .until = seconds(16)}};
-  const EmulationFigures with_blocking = RunOnce(deployment);
+  const EmulationMetrics with_blocking = RunOnce(deployment);
   EmulationOptions options{.seed = 1};
   options.path.crashes.crashes_to_block = 1'000'000;
-  const EmulationFigures without_blocking =
+  const EmulationMetrics without_blocking =
       Emulation(deployment, options).Run();
 
   EXPECT_GE(with_blocking.Crashes(), 3U);
   EXPECT_LT(with_blocking.Crashes(), without_blocking.Crashes() / 3);
-  EXPECT_LT(without_fault - with_blocking.Whole(),
-            (without_fault - without_blocking.Whole()) / 2);
+  EXPECT_LT(without_fault - with_blocking.OverallCredit(),
+            (without_fault - without_blocking.OverallCredit()) / 2);
 }
 
-// Guards against hosts that respect a declared rate limit only individually
-// and exceed it together.
-TEST(EmulationTest, HostsTogetherKeepRateLimits) {
+// Guards against hosts that each respect a declared rate limit but exceed it
+// together.
+TEST(EmulationTest, HostsTogetherRespectRateLimits) {
   EmulatedDeployment deployment = Load("campos");
-  deployment.length = seconds(16);
-  deployment.faults = {{.trouble = EmulatedTrouble::kRateLimit,
+  deployment.duration = seconds(16);
+  deployment.faults = {{.type = EmulatedFaultType::kRateLimit,
                         .service = deployment.services.front().name,
-                        .part = 0.2,
+                        .fraction = 0.2,
                         .strength = 4.5,
                         .from = seconds(3),
                         .until = seconds(16)}};
-  const EmulationFigures figures = RunOnce(deployment);
+  const EmulationMetrics metrics = RunOnce(deployment);
 
-  EXPECT_GT(figures.LargestLimitUse(), 0.2);
-  EXPECT_LE(figures.LargestLimitUse(), 1.0);
+  EXPECT_GT(metrics.LargestLimitUse(), 0.2);
+  EXPECT_LE(metrics.LargestLimitUse(), 1.0);
 }
 
 }  // namespace
--- a/tests/unit/load_generator/arrival_schedule_test.cc
+++ b/tests/unit/load_generator/arrival_schedule_test.cc
@@ -11,7 +11,7 @@
 
 using std::chrono::seconds;
 
-/// @return arrivals by class, brand and whole second.
+/// @brief Numbers of arrivals by class, brand and whole second.
 struct Drawn {
   std::map<std::size_t, double> by_class;
   std::map<std::size_t, double> by_brand;
@@ -35,7 +35,7 @@
   return drawn;
 }
 
-TEST(ArrivalScheduleTest, KeepsTheRatesOfTheClasses) {
+TEST(ArrivalScheduleTest, MatchesClassRates) {
   const Drawn drawn = Draw({.duration = seconds(100),
                             .classes = {{.rate = 90}, {.rate = 10}},
                             .brands = {{}}});
@@ -43,7 +43,7 @@
   EXPECT_NEAR(drawn.by_class.at(0) / drawn.total, 0.9, 0.01);
 }
 
-TEST(ArrivalScheduleTest, BurstChangesItsTimeAndServiceOnly) {
+TEST(ArrivalScheduleTest, BurstAffectsOnlyItsTimeAndService) {
   const Drawn drawn = Draw(
       {.duration = seconds(30),
        .classes = {{.service = "a", .rate = 200},
@@ -67,7 +67,7 @@
 
 class BrandSkews : public testing::TestWithParam<SkewCase> {};
 
-TEST_P(BrandSkews, FollowTheZipfLaw) {
+TEST_P(BrandSkews, FollowZipfLaw) {
   const Drawn drawn = Draw({.duration = seconds(100),
                             .classes = {{.rate = 100}},
                             .brands = {{}, {}, {}, {}},
@@ -82,7 +82,7 @@
                                          SkewCase{"Steep", 2, 0.702}),
                          [](const auto& info) { return info.param.name; });
 
-TEST(ArrivalScheduleTest, NoRateNoArrivals) {
+TEST(ArrivalScheduleTest, NoArrivalsAtRateZero) {
   EXPECT_EQ(Draw({.classes = {{.rate = 0}}, .brands = {{}}}).total, 0);
 }
 
--- a/tests/unit/load_generator/fake_deployment.h
+++ b/tests/unit/load_generator/fake_deployment.h
@@ -15,25 +15,25 @@
 
 namespace medlarcroft::load_generator {
 
-/// @brief A deployment in a few lines, in virtual time: one look-up listener,
-/// two entry hosts and one target that remembers its runs.
-class FakeSystem final : public LoadTransport {
+/// @brief Fake deployment in virtual time: one look-up listener, two entry
+/// hosts and one target that records its runs.
+class FakeDeployment final : public LoadTransport {
  public:
-  explicit FakeSystem(fakes::ManualClock& clock) : clock_(clock) {}
+  explicit FakeDeployment(fakes::ManualClock& clock) : clock_(clock) {}
 
-  // How it behaves; a test changes these.
+  // Behaviour; set by tests.
   Duration latency = std::chrono::milliseconds(5);
   Duration lookup_ttl = std::chrono::seconds(5);
-  std::function<bool(std::uint64_t attempt)> refuses;  ///< "Not run" for it.
+  std::function<bool(std::uint64_t attempt)> refuses;  ///< Responds "not run".
   bool runs_twice = false;
-  bool crosses_answers = false;
-  bool truncates = false;
-  bool runs_what_it_refuses = false;
-  bool leaves_outcome_out = false;
+  bool swaps_responses = false;
+  bool truncates_responses = false;
+  bool runs_refused_requests = false;
+  bool omits_outcome = false;
   std::string unreachable_address;
   int retry_after_s = 0;
 
-  // What it saw.
+  // Recorded requests and runs.
   std::vector<OutgoingRequest> lookups;
   std::vector<OutgoingRequest> attempts;
   std::vector<MonotonicTime> attempt_times;
@@ -41,23 +41,26 @@
 
   void Send(OutgoingRequest request) override {
     const std::uint64_t id = request.id;
-    ExchangeResult result = Answer(request);
-    due_.emplace(clock_.Now() + latency, std::pair(id, std::move(result)));
+    ExchangeResult result = Respond(request);
+    pending_results_.emplace(clock_.Now() + latency,
+                             std::pair(id, std::move(result)));
   }
 
   /// @brief Runs the session to its end.
   void Drive(LoadSession& session) {
     while (!session.IsDone()) {
       const auto next = session.Step(clock_.Now());
-      const MonotonicTime answer =
-          due_.empty() ? MonotonicTime::max() : due_.begin()->first;
+      const MonotonicTime next_result = pending_results_.empty()
+                                            ? MonotonicTime::max()
+                                            : pending_results_.begin()->first;
       const MonotonicTime at =
-          std::min(next.value_or(MonotonicTime::max()), answer);
+          std::min(next.value_or(MonotonicTime::max()), next_result);
       clock_.Advance(at - clock_.Now());
-      while (!due_.empty() && due_.begin()->first <= clock_.Now()) {
-        const auto arrived = due_.begin()->second;
-        due_.erase(due_.begin());
-        session.OnResult(arrived.first, arrived.second, clock_.Now());
+      while (!pending_results_.empty() &&
+             pending_results_.begin()->first <= clock_.Now()) {
+        const auto received = pending_results_.begin()->second;
+        pending_results_.erase(pending_results_.begin());
+        session.OnResult(received.first, received.second, clock_.Now());
       }
     }
   }
@@ -74,7 +77,7 @@
   }
 
  private:
-  ExchangeResult Answer(const OutgoingRequest& request) {
+  ExchangeResult Respond(const OutgoingRequest& request) {
     if (request.url.find("/v1/lookup") != std::string::npos) {
       lookups.push_back(request);
       return {.status = 200, .body = LookupBody()};
@@ -84,18 +87,18 @@
     }
     attempts.push_back(request);
     attempt_times.push_back(clock_.Now());
-    return AnswerAttempt(request);
+    return RespondToAttempt(request);
   }
 
-  ExchangeResult AnswerAttempt(const OutgoingRequest& request) {
+  ExchangeResult RespondToAttempt(const OutgoingRequest& request) {
     if (!unreachable_address.empty() &&
         request.url.find(unreachable_address) != std::string::npos) {
       return {.failure = ExchangeFailure::kNeverSent};
     }
     const std::string path = request.url.substr(request.url.rfind('/'));
     if (refuses && refuses(attempts.size())) {
-      if (runs_what_it_refuses) {
-        runs[{KeyOf(request), path}]++;
+      if (runs_refused_requests) {
+        runs[{IdempotencyKeyOf(request), path}]++;
       }
       ExchangeResult result{.status = 503, .body = R"({"code":"no-share"})"};
       result.headers = {{"medlar-outcome", "not-run"}};
@@ -105,22 +108,22 @@
       }
       return result;
     }
-    runs[{KeyOf(request), path}] += runs_twice ? 2 : 1;
-    if (truncates) {
+    runs[{IdempotencyKeyOf(request), path}] += runs_twice ? 2 : 1;
+    if (truncates_responses) {
       return {.failure = ExchangeFailure::kTruncated};
     }
     const nlohmann::json body = {
-        {"path", crosses_answers ? previous_path_ : path},
+        {"path", swaps_responses ? previous_path_ : path},
         {"body_hash", HashBody(request.body)}};
     previous_path_ = path;
     ExchangeResult result{.status = 200, .body = body.dump()};
-    if (!leaves_outcome_out) {
+    if (!omits_outcome) {
       result.headers = {{"medlar-outcome", "ran"}};
     }
     return result;
   }
 
-  static std::string KeyOf(const OutgoingRequest& request) {
+  static std::string IdempotencyKeyOf(const OutgoingRequest& request) {
     for (const HeaderField& field : request.headers) {
       if (field.name == "Idempotency-Key") {
         return field.value;
@@ -148,7 +151,8 @@
   }
 
   fakes::ManualClock& clock_;
-  std::multimap<MonotonicTime, std::pair<std::uint64_t, ExchangeResult>> due_;
+  std::multimap<MonotonicTime, std::pair<std::uint64_t, ExchangeResult>>
+      pending_results_;
   std::string previous_path_;
   int last_key_ = 0;
 };
--- a/tests/unit/load_generator/load_report_test.cc
+++ b/tests/unit/load_generator/load_report_test.cc
@@ -27,7 +27,7 @@
                        .headroom = 0.4}}};
 }
 
-TEST(LoadReportTest, JsonReadsBackTheSame) {
+TEST(LoadReportTest, JsonRoundTrips) {
   const LoadReport report = MakeReport(10, 3);
   const auto again = ParseReportJson(FormatReportJson(report));
   ASSERT_TRUE(IsOk(again));
@@ -36,7 +36,7 @@
   EXPECT_EQ(ValueOf(again).seconds[0].headroom, std::nullopt);
 }
 
-TEST(LoadReportTest, OtherFilesAreNoReports) {
+TEST(LoadReportTest, RejectsOtherFiles) {
   EXPECT_EQ(ErrorOf(ParseReportJson("x")), ReportParseError::kNotJson);
   EXPECT_EQ(ErrorOf(ParseReportJson("{}")), ReportParseError::kMissingField);
   EXPECT_EQ(ErrorOf(ParseReportJson(R"({"name":3})")),
@@ -53,7 +53,7 @@
 
 class Comparisons : public testing::TestWithParam<ComparisonCase> {};
 
-TEST_P(Comparisons, SayWhetherARunIsWorse) {
+TEST_P(Comparisons, DetectWorseRuns) {
   const ComparisonCase& expected = GetParam();
   const auto rows =
       CompareReports(MakeReport(expected.p99_before, 3),
@@ -68,28 +68,29 @@
     testing::Values(ComparisonCase{"Same", 20, 20, 3, false},
                     ComparisonCase{"ALittleSlower", 20, 24, 3, false},
                     ComparisonCase{"MuchSlower", 20, 30, 3, true},
-                    ComparisonCase{"NoiseOfAFastOne", 1, 2.5, 3, false},
+                    ComparisonCase{"NoiseAtLowLatency", 1, 2.5, 3, false},
                     ComparisonCase{"MoreRefused", 20, 20, 60, true}),
     [](const auto& info) { return info.param.name; });
 
-// The p99 of a hundred requests is its slowest one or two. Judged by it, two
-// runs of the same system differed; so the quantile follows the number.
-TEST(ReportComparisonTest, FewRequestsAreNotJudgedByTheirP99) {
+// Guards against false alarms between runs of the same system: with about a
+// hundred requests, p99 is set by the slowest one or two and varies at random,
+// so the compared quantile depends on the number of requests.
+TEST(ReportComparisonTest, FewRequestsAreNotComparedByP99) {
   const auto rows =
       CompareReports(MakeReport(20, 0, 110), MakeReport(40, 0, 110));
-  EXPECT_EQ(rows[0].judged, "p90");
+  EXPECT_EQ(rows[0].quantile, "p90");
   EXPECT_FALSE(rows[0].is_worse);
   const auto few = CompareReports(MakeReport(20, 0, 50), MakeReport(40, 0, 50));
-  EXPECT_EQ(few[0].judged, "p50");
+  EXPECT_EQ(few[0].quantile, "p50");
 }
 
-// The page is opened from a mail or a ticket: it must show itself without the
-// network, and a hostile name must not become markup.
+// The page is opened from mails and tickets, so it must render without network
+// access, and a hostile run name must not become markup.
 TEST(ReportPageTest, IsSelfContainedAndEscaped) {
   const std::string page =
       FormatReportPage(MakeReport(10, 3), MakeReport(9, 2));
-  for (const std::string_view part :
-       {"<svg", "Latency", "refused", "Headroom", "a &lt;run&gt;", "Against"}) {
+  for (const std::string_view part : {"<svg", "Latency", "refused", "Headroom",
+                                      "a &lt;run&gt;", "Compared with"}) {
     EXPECT_NE(page.find(part), std::string::npos) << part;
   }
   for (const std::string_view part : {"http", "src=", "href=", "<run>"}) {
@@ -97,7 +98,7 @@
   }
 }
 
-TEST(PlotTest, MissingValuesBreakTheLine) {
+TEST(PlotTest, MissingValuesLeaveGaps) {
   const std::vector<PlotLine> lines = {
       {.name = "x", .values = {1.0, 2.0, std::nullopt, 4.0}}};
   const std::string svg = DrawPlot({.title = "t", .unit = "u"}, lines);
@@ -108,7 +109,7 @@
   EXPECT_EQ(std::count(drawn.begin(), drawn.end(), 'L'), 1);
 }
 
-TEST(PlotTest, NothingToDrawIsStillAPlot) {
+TEST(PlotTest, EmptyPlotIsDrawn) {
   EXPECT_NE(DrawPlot({.title = "t"}, {}).find("<svg"), std::string::npos);
 }
 
--- a/tests/unit/load_generator/load_session_test.cc
+++ b/tests/unit/load_generator/load_session_test.cc
@@ -5,7 +5,7 @@
 #include <set>
 
 #include "fakes/seeded_random.h"
-#include "unit/load_generator/fake_system.h"
+#include "unit/load_generator/fake_deployment.h"
 
 namespace medlarcroft::load_generator {
 namespace {
@@ -28,20 +28,20 @@
  protected:
   LoadReport Run() {
     LoadSession session(plan_, {.lookup_urls = {"http://10.9.9.9:1"}},
-                        arrivals_, choices_, system_, clock_.Now());
-    system_.Drive(session);
-    return session.Statistics().MakeReport("run", session.Claims(),
-                                           system_.Audit());
+                        arrivals_, choices_, deployment_, clock_.Now());
+    deployment_.Drive(session);
+    return session.Statistics().MakeReport("run", session.Auditor(),
+                                           deployment_.Audit());
   }
 
   LoadPlan plan_ = MakePlan();
   fakes::ManualClock clock_;
   fakes::SeededRandom arrivals_{11};
   fakes::SeededRandom choices_{12};
-  FakeSystem system_{clock_};
+  FakeDeployment deployment_{clock_};
 };
 
-TEST_F(LoadSessionTest, GoodSystemPasses) {
+TEST_F(LoadSessionTest, HealthyDeploymentPasses) {
   const LoadReport report = Run();
 
   EXPECT_EQ(report.verdict, Verdict::kPass) << FormatReportText(report);
@@ -54,12 +54,12 @@
   }
 }
 
-// Two runs are compared: a system that refuses more must not be spared by
-// getting fewer requests.
-TEST_F(LoadSessionTest, ArrivalsDoNotDependOnTheAnswers) {
+// Runs are compared with each other, so a system that refuses more requests
+// must not receive fewer of them.
+TEST_F(LoadSessionTest, ArrivalsDoNotDependOnResponses) {
   const LoadReport good = Run();
   arrivals_ = fakes::SeededRandom(11);
-  system_.refuses = [](std::uint64_t attempt) { return attempt % 3 == 0; };
+  deployment_.refuses = [](std::uint64_t attempt) { return attempt % 3 == 0; };
   const LoadReport refusing = Run();
   for (std::size_t i = 0; i < good.classes.size(); ++i) {
     EXPECT_EQ(good.classes[i].counts.intended,
@@ -69,49 +69,51 @@
 
 TEST_F(LoadSessionTest, LooksUpOncePerTtl) {
   Run();
-  // Two subjects, 10 s, answers good for 5 s.
-  EXPECT_GE(system_.lookups.size(), 4U);
-  EXPECT_LE(system_.lookups.size(), 6U);
+  // Two subjects, 10 s, a TTL of 5 s.
+  EXPECT_GE(deployment_.lookups.size(), 4U);
+  EXPECT_LE(deployment_.lookups.size(), 6U);
 }
 
-TEST_F(LoadSessionTest, GoesToEntryHostsByWeight) {
+TEST_F(LoadSessionTest, ChoosesEntryHostsByWeight) {
   Run();
   double first = 0;
-  for (const OutgoingRequest& attempt : system_.attempts) {
+  for (const OutgoingRequest& attempt : deployment_.attempts) {
     first += attempt.url.find("10.0.0.1:") != std::string::npos ? 1 : 0;
   }
-  EXPECT_NEAR(first / static_cast<double>(system_.attempts.size()), 0.75, 0.06);
+  EXPECT_NEAR(first / static_cast<double>(deployment_.attempts.size()), 0.75,
+              0.06);
 }
 
-TEST_F(LoadSessionTest, EachKeyedRequestHasItsOwnKeyAndAFreshConnection) {
+TEST_F(LoadSessionTest, EachKeyedRequestHasItsOwnKeyAndNewConnection) {
   const LoadReport report = Run();
   std::set<std::string> keys;
-  for (const auto& [name, count] : system_.runs) {
+  for (const auto& [name, count] : deployment_.runs) {
     if (!name.first.empty()) {
       keys.insert(name.first);
     }
   }
   EXPECT_EQ(keys.size(), report.classes[1].counts.intended);
-  for (const OutgoingRequest& attempt : system_.attempts) {
+  for (const OutgoingRequest& attempt : deployment_.attempts) {
     EXPECT_EQ(attempt.needs_fresh_connection, attempt.method == "POST");
   }
 }
 
-// A system that stalls for 2 s makes every caller of that time wait. A tool
-// that sends only after the last answer would count one slow request; counted
-// from the intended sending, all of them are slow.
-TEST_F(LoadSessionTest, StallCountsAgainstEveryRequestThatItHeldBack) {
+// Guards against coordinated omission: a stall of 2 s delays every caller who
+// arrives in that time, but a load generator that waits for each response
+// before it sends the next request would record one slow request. Latency is
+// therefore measured from the intended send time.
+TEST_F(LoadSessionTest, StallCountsForEveryDelayedRequest) {
   plan_.classes.resize(1);
   plan_.classes[0].deadline = seconds(5);
   LoadSession session(plan_, {.lookup_urls = {"http://10.9.9.9:1"}}, arrivals_,
-                      choices_, system_, clock_.Now());
-  // The tool itself is paused: arrivals of 2 s come due at once.
+                      choices_, deployment_, clock_.Now());
+  // The load generator itself is paused: the arrivals of 2 s are due at once.
   clock_.Advance(seconds(2));
-  system_.Drive(session);
+  deployment_.Drive(session);
   const LoadReport report =
-      session.Statistics().MakeReport("run", session.Claims(), std::nullopt);
+      session.Statistics().MakeReport("run", session.Auditor(), std::nullopt);
 
-  // A fifth of the run was held back, evenly between 0 and 2 s.
+  // A fifth of the requests were delayed, evenly between 0 and 2 s.
   EXPECT_LT(report.classes[0].latency.p50_ms, 10);
   EXPECT_NEAR(report.classes[0].latency.p90_ms, 1000, 300);
   EXPECT_NEAR(report.classes[0].latency.p99_ms, 1900, 200);
@@ -120,18 +122,18 @@
 TEST_F(LoadSessionTest, RetriesWithTheSameKeyAfterRetryAfter) {
   plan_.classes.erase(plan_.classes.begin());
   plan_.classes[0].deadline = seconds(20);
-  system_.refuses = [](std::uint64_t attempt) { return attempt == 1; };
-  system_.retry_after_s = 3;
+  deployment_.refuses = [](std::uint64_t attempt) { return attempt == 1; };
+  deployment_.retry_after_s = 3;
   const LoadReport report = Run();
 
   EXPECT_EQ(report.classes[0].counts.ran, report.classes[0].counts.intended);
   EXPECT_EQ(report.classes[0].retries, 1U);
-  const std::string url = system_.attempts.front().url;
+  const std::string url = deployment_.attempts.front().url;
   const std::string path = url.substr(url.rfind('/'));
   std::vector<MonotonicTime> times;
-  for (std::size_t i = 0; i < system_.attempts.size(); ++i) {
-    if (system_.attempts[i].url.ends_with(path)) {
-      times.push_back(system_.attempt_times[i]);
+  for (std::size_t i = 0; i < deployment_.attempts.size(); ++i) {
+    if (deployment_.attempts[i].url.ends_with(path)) {
+      times.push_back(deployment_.attempt_times[i]);
     }
   }
   ASSERT_EQ(times.size(), 2U);
@@ -139,47 +141,49 @@
   EXPECT_EQ(report.classes[0].causes.at("no-share"), 1U);
 }
 
-TEST_F(LoadSessionTest, HostOutOfReachCostsOneAttemptAndNotTheRequest) {
-  system_.unreachable_address = "10.0.0.1:80";
+TEST_F(LoadSessionTest, UnreachableHostCostsOneAttemptButNotTheRequest) {
+  deployment_.unreachable_address = "10.0.0.1:80";
   const LoadReport report = Run();
   EXPECT_EQ(report.classes[0].counts.ran, report.classes[0].counts.intended);
   EXPECT_GT(report.classes[0].causes.at("never-sent"), 100U);
 }
 
-TEST_F(LoadSessionTest, OverloadIsRefusedNotWaitedFor) {
+TEST_F(LoadSessionTest, RefusalsOverTheLimitFailTheRun) {
   plan_.classes.resize(1);
   plan_.classes[0].max_attempts = 1;
   plan_.classes[0].max_refused_ratio = 0.2;
-  system_.refuses = [](std::uint64_t attempt) { return attempt % 2 == 0; };
+  deployment_.refuses = [](std::uint64_t attempt) { return attempt % 2 == 0; };
   const LoadReport report = Run();
   EXPECT_EQ(report.verdict, Verdict::kOverLimit);
-  EXPECT_EQ(report.limits_passed, std::vector<std::string>{"lookup-desk"});
+  EXPECT_EQ(report.services_over_limit,
+            std::vector<std::string>{"lookup-desk"});
 }
 
 TEST_F(LoadSessionTest, InFlightIsBounded) {
   plan_.classes.resize(1);
   plan_.max_in_flight = 3;
-  system_.latency = seconds(1);
+  deployment_.latency = seconds(1);
   plan_.classes[0].deadline = seconds(10);
   const LoadReport report = Run();
   EXPECT_GT(report.classes[0].counts.unsent, 300U);
   EXPECT_GT(report.classes[0].counts.ran, 20U);
 }
 
-struct PlantedFault {
+struct InjectedFault {
   std::string name;
-  bool FakeSystem::*fault;
+  bool FakeDeployment::*fault;
   std::uint64_t CheckReport::*counter;
 };
 
-class PlantedFaults : public LoadSessionTest,
-                      public testing::WithParamInterface<PlantedFault> {};
+class InjectedFaults : public LoadSessionTest,
+                       public testing::WithParamInterface<InjectedFault> {};
 
-// Each fault is one that a caller could not see by the status of its answers.
-// The tool finds it by the echo in the answer or by the targets' own lists.
-TEST_P(PlantedFaults, AreFound) {
-  system_.*GetParam().fault = true;
-  system_.refuses = [](std::uint64_t attempt) { return attempt % 10 == 0; };
+// Callers can't detect these faults by the status of a response. The load
+// generator detects them by the echoed values, an incomplete response, a
+// missing Medlar-Outcome header or the targets' lists of runs.
+TEST_P(InjectedFaults, AreDetected) {
+  deployment_.*GetParam().fault = true;
+  deployment_.refuses = [](std::uint64_t attempt) { return attempt % 10 == 0; };
   plan_.classes[0].max_attempts = 1;
   plan_.classes[1].max_attempts = 1;
   const LoadReport report = Run();
@@ -192,19 +196,18 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    PlantedFaults,
-    testing::Values(PlantedFault{"RunTwice", &FakeSystem::runs_twice,
-                                 &CheckReport::double_runs},
-                    PlantedFault{"CrossedAnswer", &FakeSystem::crosses_answers,
-                                 &CheckReport::crossed},
-                    PlantedFault{"TruncatedAnswer", &FakeSystem::truncates,
-                                 &CheckReport::truncated},
-                    PlantedFault{"FalseNotRun",
-                                 &FakeSystem::runs_what_it_refuses,
-                                 &CheckReport::false_not_run},
-                    PlantedFault{"MissingOutcome",
-                                 &FakeSystem::leaves_outcome_out,
-                                 &CheckReport::missing_outcome}),
+    InjectedFaults,
+    testing::Values(
+        InjectedFault{"RunTwice", &FakeDeployment::runs_twice,
+                      &CheckReport::double_runs},
+        InjectedFault{"SwappedResponse", &FakeDeployment::swaps_responses,
+                      &CheckReport::crossed},
+        InjectedFault{"TruncatedResponse", &FakeDeployment::truncates_responses,
+                      &CheckReport::truncated},
+        InjectedFault{"FalseNotRun", &FakeDeployment::runs_refused_requests,
+                      &CheckReport::false_not_run},
+        InjectedFault{"MissingOutcome", &FakeDeployment::omits_outcome,
+                      &CheckReport::missing_outcome}),
     [](const auto& info) { return info.param.name; });
 
 }  // namespace
--- a/tests/unit/load_generator/response_check_test.cc
+++ b/tests/unit/load_generator/response_check_test.cc
@@ -19,17 +19,17 @@
       .status = status, .headers = {{"medlar-outcome", outcome}}, .body = body};
 }
 
-struct AnswerCase {
+struct ResponseCase {
   std::string name;
   ExchangeResult result;
   Outcome outcome;
-  std::optional<AnswerFault> fault;
+  std::optional<ResponseFault> fault;
   bool is_success;
 };
 
-class Answers : public testing::TestWithParam<AnswerCase> {};
+class Responses : public testing::TestWithParam<ResponseCase> {};
 
-TEST_P(Answers, AreJudged) {
+TEST_P(Responses, AreChecked) {
   const AttemptVerdict verdict = CheckResponse(GetParam().result, kEcho);
   EXPECT_EQ(verdict.outcome, GetParam().outcome);
   EXPECT_EQ(verdict.fault, GetParam().fault);
@@ -43,44 +43,44 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    Answers,
+    Responses,
     testing::Values(
-        AnswerCase{"Good", MakeResult(200, "ran", GoodBody()), Outcome::kRan,
-                   std::nullopt, true},
-        AnswerCase{
+        ResponseCase{"Good", MakeResult(200, "ran", GoodBody()), Outcome::kRan,
+                     std::nullopt, true},
+        ResponseCase{
             "OtherPath",
             MakeResult(200, "ran", R"({"path":"/run-2","body_hash":"abc"})"),
-            Outcome::kUnknown, AnswerFault::kCrossed, false},
-        AnswerCase{
+            Outcome::kUnknown, ResponseFault::kWrongRequest, false},
+        ResponseCase{
             "OtherBody",
             MakeResult(200, "ran", R"({"path":"/run-1","body_hash":"abd"})"),
-            Outcome::kUnknown, AnswerFault::kCrossed, false},
-        AnswerCase{"NoJson", MakeResult(200, "ran", "{"), Outcome::kUnknown,
-                   AnswerFault::kCrossed, false},
-        AnswerCase{"Refused", MakeResult(503, "not-run", ""), Outcome::kNotRun,
-                   std::nullopt, false},
-        AnswerCase{"TargetsError", MakeResult(500, "ran", ""), Outcome::kRan,
-                   std::nullopt, false},
-        AnswerCase{"OddOutcome", MakeResult(200, "maybe", GoodBody()),
-                   Outcome::kUnknown, AnswerFault::kMissingOutcome, false},
-        AnswerCase{"NeverSent",
-                   {.failure = ExchangeFailure::kNeverSent},
-                   Outcome::kNotRun,
-                   std::nullopt,
-                   false},
-        AnswerCase{"TimedOut",
-                   {.failure = ExchangeFailure::kTimedOut},
-                   Outcome::kUnknown,
-                   std::nullopt,
-                   false},
-        AnswerCase{"Truncated",
-                   {.failure = ExchangeFailure::kTruncated},
-                   Outcome::kUnknown,
-                   AnswerFault::kTruncated,
-                   false}),
+            Outcome::kUnknown, ResponseFault::kWrongRequest, false},
+        ResponseCase{"NoJson", MakeResult(200, "ran", "{"), Outcome::kUnknown,
+                     ResponseFault::kWrongRequest, false},
+        ResponseCase{"Refused", MakeResult(503, "not-run", ""),
+                     Outcome::kNotRun, std::nullopt, false},
+        ResponseCase{"TargetError", MakeResult(500, "ran", ""), Outcome::kRan,
+                     std::nullopt, false},
+        ResponseCase{"UnknownOutcome", MakeResult(200, "maybe", GoodBody()),
+                     Outcome::kUnknown, ResponseFault::kMissingOutcome, false},
+        ResponseCase{"NeverSent",
+                     {.failure = ExchangeFailure::kNeverSent},
+                     Outcome::kNotRun,
+                     std::nullopt,
+                     false},
+        ResponseCase{"TimedOut",
+                     {.failure = ExchangeFailure::kTimedOut},
+                     Outcome::kUnknown,
+                     std::nullopt,
+                     false},
+        ResponseCase{"Truncated",
+                     {.failure = ExchangeFailure::kTruncated},
+                     Outcome::kUnknown,
+                     ResponseFault::kTruncated,
+                     false}),
     [](const auto& info) { return info.param.name; });
 
-TEST(AnswerCheckTest, ReadsCauseAndRetryAfter) {
+TEST(ResponseCheckTest, ReadsCauseAndRetryAfter) {
   ExchangeResult result = MakeResult(503, "not-run", R"({"code":"no-share"})");
   EXPECT_EQ(CauseOf(result), "no-share");
   EXPECT_EQ(RetryAfterOf(result), Duration::zero());
@@ -90,22 +90,22 @@
   EXPECT_EQ(CauseOf({.failure = ExchangeFailure::kTimedOut}), "timed-out");
 }
 
-struct ClaimCase {
+struct OutcomeCase {
   std::string name;
   std::string key;
-  std::vector<Outcome> told;
+  std::vector<Outcome> reported;
   std::vector<TargetRun> runs;
-  std::optional<ClaimFault> fault;
+  std::optional<MismatchType> fault;
 };
 
-class Claims : public testing::TestWithParam<ClaimCase> {};
+class ReportedOutcomes : public testing::TestWithParam<OutcomeCase> {};
 
-TEST_P(Claims, AreComparedWithWhatRan) {
-  ClaimBook book;
-  for (const Outcome outcome : GetParam().told) {
-    book.Note("/r1", GetParam().key, outcome);
+TEST_P(ReportedOutcomes, AreComparedWithRuns) {
+  OutcomeAuditor auditor;
+  for (const Outcome outcome : GetParam().reported) {
+    auditor.Record("/r1", GetParam().key, outcome);
   }
-  const auto mismatches = book.Compare(GetParam().runs);
+  const auto mismatches = auditor.Compare(GetParam().runs);
   ASSERT_EQ(mismatches.size(), GetParam().fault ? 1U : 0U);
   if (GetParam().fault) {
     EXPECT_EQ(mismatches.front().fault, *GetParam().fault);
@@ -118,40 +118,44 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    Claims,
+    ReportedOutcomes,
     testing::Values(
-        ClaimCase{"RanOnce", "k", {Outcome::kRan}, {MakeRun("a", 1)}, {}},
-        ClaimCase{"RanTwiceAtOneTarget",
-                  "k",
-                  {Outcome::kRan},
-                  {MakeRun("a", 2)},
-                  ClaimFault::kDoubleRun},
-        ClaimCase{"RanAtTwoTargets",
-                  "k",
-                  {Outcome::kUnknown, Outcome::kRan},
-                  {MakeRun("a", 1), MakeRun("b", 1)},
-                  ClaimFault::kDoubleRun},
-        ClaimCase{"IdempotentMayRunTwice",
-                  "",
-                  {Outcome::kUnknown, Outcome::kRan},
-                  {MakeRun("a", 1), MakeRun("b", 1)},
-                  {}},
-        ClaimCase{"NotRunButRan",
-                  "",
-                  {Outcome::kNotRun},
-                  {MakeRun("a", 1)},
-                  ClaimFault::kFalseNotRun},
-        ClaimCase{"UnknownMayHaveRun",
-                  "k",
-                  {Outcome::kUnknown},
-                  {MakeRun("a", 1)},
-                  {}},
-        ClaimCase{"NotRunThenRan",
-                  "k",
-                  {Outcome::kNotRun, Outcome::kRan},
-                  {MakeRun("a", 1)},
-                  {}},
-        ClaimCase{"RanButNoRun", "k", {Outcome::kRan}, {}, ClaimFault::kNoRun}),
+        OutcomeCase{"RanOnce", "k", {Outcome::kRan}, {MakeRun("a", 1)}, {}},
+        OutcomeCase{"RanTwiceAtOneTarget",
+                    "k",
+                    {Outcome::kRan},
+                    {MakeRun("a", 2)},
+                    MismatchType::kDoubleRun},
+        OutcomeCase{"RanAtTwoTargets",
+                    "k",
+                    {Outcome::kUnknown, Outcome::kRan},
+                    {MakeRun("a", 1), MakeRun("b", 1)},
+                    MismatchType::kDoubleRun},
+        OutcomeCase{"IdempotentMayRunTwice",
+                    "",
+                    {Outcome::kUnknown, Outcome::kRan},
+                    {MakeRun("a", 1), MakeRun("b", 1)},
+                    {}},
+        OutcomeCase{"NotRunButRan",
+                    "",
+                    {Outcome::kNotRun},
+                    {MakeRun("a", 1)},
+                    MismatchType::kFalseNotRun},
+        OutcomeCase{"UnknownMayHaveRun",
+                    "k",
+                    {Outcome::kUnknown},
+                    {MakeRun("a", 1)},
+                    {}},
+        OutcomeCase{"NotRunThenRan",
+                    "k",
+                    {Outcome::kNotRun, Outcome::kRan},
+                    {MakeRun("a", 1)},
+                    {}},
+        OutcomeCase{"RanButNoRun",
+                    "k",
+                    {Outcome::kRan},
+                    {},
+                    MismatchType::kNoRun}),
     [](const auto& info) { return info.param.name; });
 
 struct TtlCase {
@@ -173,7 +177,7 @@
 INSTANTIATE_TEST_SUITE_P(
     Table,
     Ttls,
-    testing::Values(TtlCase{"Usual", "4500", std::chrono::milliseconds(4500)},
+    testing::Values(TtlCase{"Typical", "4500", std::chrono::milliseconds(4500)},
                     TtlCase{"Negative", "-1", Duration::zero()},
                     TtlCase{"Huge", "9e300", std::chrono::hours(1)},
                     TtlCase{"BeyondNanoseconds", "9223372036854775807",
@@ -183,12 +187,12 @@
 struct LookupCase {
   std::string name;
   std::string body;
-  LookupAnswerError error;
+  LookupResponseError error;
 };
 
 class BadLookups : public testing::TestWithParam<LookupCase> {};
 
-TEST_P(BadLookups, AreRefused) {
+TEST_P(BadLookups, AreRejected) {
   const auto result = ParseLookupResponse(GetParam().body);
   ASSERT_FALSE(IsOk(result));
   EXPECT_EQ(ErrorOf(result), GetParam().error);
@@ -197,15 +201,15 @@
 INSTANTIATE_TEST_SUITE_P(
     Table,
     BadLookups,
-    testing::Values(LookupCase{"Empty", "", LookupAnswerError::kNotJson},
-                    LookupCase{"List", "[]", LookupAnswerError::kNotJson},
+    testing::Values(LookupCase{"Empty", "", LookupResponseError::kNotJson},
+                    LookupCase{"List", "[]", LookupResponseError::kNotJson},
                     LookupCase{"NoTtl", R"({"entry_hosts":[]})",
-                               LookupAnswerError::kMissingField},
+                               LookupResponseError::kMissingField},
                     LookupCase{"NoHosts", R"({"ttl_ms":1,"entry_hosts":[]})",
-                               LookupAnswerError::kNoEntryHost},
+                               LookupResponseError::kNoEntryHost},
                     LookupCase{"NoAddress",
                                R"({"ttl_ms":1,"entry_hosts":[{"host":"a"}]})",
-                               LookupAnswerError::kNoEntryHost}),
+                               LookupResponseError::kNoEntryHost}),
     [](const auto& info) { return info.param.name; });
 
 }  // namespace
