--- a/benchmarks/allocation_counter.h
+++ b/benchmarks/allocation_counter.h
@@ -10,15 +10,15 @@
 
 namespace medlarcroft::benchmarks {
 
-// Every allocation of a program that includes this header is counted: what a
-// reload needs at its peak has to fit the memory of a node, not only what is
-// left in the end.
+// Counts every allocation of a program that includes this header. Peak usage is
+// counted too, as the peak of a reload must fit into the memory of a node, not
+// only what remains allocated afterwards.
 inline std::atomic<std::size_t> live_bytes = 0;
 inline std::atomic<std::size_t> peak_bytes = 0;
 
 }  // namespace medlarcroft::benchmarks
 
-// Not inlined, else the compiler takes malloc and delete for a mismatched pair.
+// Not inlined, otherwise the compiler warns that malloc and delete mismatch.
 [[gnu::noinline]] void* operator new(std::size_t size) {
   void* memory = std::malloc(size);
   if (memory == nullptr) {
--- a/benchmarks/block_map.cc
+++ b/benchmarks/block_map.cc
@@ -23,8 +23,9 @@
 constexpr std::size_t kProbes = 1U << 16U;
 constexpr double kMegabyte = 1e6;
 
-/// Blocks as registries give them out: most IPv4 ones are /24 in runs, some
-/// are /16 to /23 with smaller ones inside; IPv6 ones are /48 inside of /32.
+/// Generates address blocks as allocated by registries: most IPv4 blocks are
+/// /24, some /16 to /23 with smaller ones inside; IPv6 blocks are /48 inside
+/// /32.
 BlockMapContent MakeContent(std::size_t ipv4, std::size_t ipv6) {
   std::mt19937_64 engine(20261202);
   const auto draw = [&](std::uint64_t bound) { return engine() % bound; };
@@ -78,8 +79,8 @@
   return map;
 }
 
-/// Half of the callers come from known IPv4 blocks, half from IPv6 ones; in
-/// random order, so that hardly two share a cache line.
+/// Client addresses, half from the IPv4 blocks and half from the IPv6 blocks,
+/// in random order, so that hardly any two share a cache line.
 const std::vector<ClientAddress>& Probes() {
   static const std::vector<ClientAddress> probes = [] {
     std::mt19937_64 engine(7);
@@ -116,8 +117,7 @@
 }
 BENCHMARK(FindSite);
 
-/// The way that it is compared with: a hash table for each length, probed from
-/// the longest on.
+/// Baseline: one hash table for each prefix length, probed from the longest.
 struct HashTables {
   std::array<std::unordered_map<std::uint64_t, std::uint16_t>, 65> ipv4;
   std::array<std::unordered_map<std::uint64_t, std::uint16_t>, 65> ipv6;
@@ -164,7 +164,7 @@
 }
 BENCHMARK(FindSiteInHashTables);
 
-/// Reads a whole object while another map is in use. The argument is thousands
+/// Decodes a complete object while another map is in use. Argument: thousands
 /// of blocks.
 void Decode(benchmark::State& state) {
   const auto blocks = static_cast<std::size_t>(state.range(0)) * 1000;
@@ -184,7 +184,7 @@
 }
 BENCHMARK(Decode)->Arg(100)->Arg(400)->Arg(1600)->Unit(benchmark::kMillisecond);
 
-/// Applies a delta of so many changed blocks to 1.6 million.
+/// Applies a delta to a map of 1.6 million blocks. Argument: changed blocks.
 void ApplyDelta(benchmark::State& state) {
   BlockMapContent changes{.version = 2, .sites = Content().sites};
   const auto count = static_cast<std::size_t>(state.range(0));
--- a/benchmarks/catalogue_benchmark.cc
+++ b/benchmarks/catalogue_benchmark.cc
@@ -1,5 +1,5 @@
-// What the catalogue costs a host at the planned size: 17 failure domains, all
-// links between them, and services whose targets stand at 260 sites.
+// Cost of the catalogue on a host at the planned size: 17 failure domains, all
+// links between them, and services with targets at 260 sites.
 
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -109,7 +109,7 @@
 }
 BENCHMARK(CheckServiceChange)->Unit(benchmark::kMicrosecond);
 
-/// One change of a service at a host that holds the whole catalogue.
+/// Applies one service change on a host that holds the complete catalogue.
 void ApplyServiceChange(benchmark::State& state) {
   const fakes::ManualClock clock;
   CatalogueReplica replica({}, clock);
@@ -138,8 +138,8 @@
 }
 BENCHMARK(DecodeAndReplaceSnapshot)->Unit(benchmark::kMillisecond);
 
-/// Memory of a replica that holds the whole catalogue, its view and the changes
-/// it keeps for peers.
+/// Memory of a replica with the complete catalogue, its view and the changes it
+/// keeps for peers.
 void HoldCatalogue(benchmark::State& state) {
   const fakes::ManualClock clock;
   const Delta changes = MakeChanges();
@@ -155,7 +155,7 @@
 }
 BENCHMARK(HoldCatalogue)->Unit(benchmark::kMillisecond);
 
-/// What a request pays to read the catalogue.
+/// Cost for a request of reading the catalogue.
 void TakeView(benchmark::State& state) {
   const fakes::ManualClock clock;
   CatalogueReplica replica({}, clock);
--- a/benchmarks/catalogue_view.cc
+++ b/benchmarks/catalogue_view.cc
@@ -30,8 +30,8 @@
   return entries;
 }
 
-/// Makes the next revision: copies the entries, changes one, indexes them. The
-/// argument is how many entries, each a service with 12 targets.
+/// Creates the next revision: copies the entries, changes one and indexes them.
+/// Argument: number of entries, each a service with 12 targets.
 void ApplyChange(benchmark::State& state) {
   const std::size_t before = live_bytes;
   const auto entries = MakeEntries(static_cast<int>(state.range(0)));
--- a/benchmarks/coordination_benchmark.cc
+++ b/benchmarks/coordination_benchmark.cc
@@ -13,7 +13,7 @@
 namespace medlarcroft {
 namespace {
 
-/// One dispatch's share: taken and given back.
+/// Acquires and releases the share for one dispatch. Argument: limits.
 void TakeAndReleaseShare(benchmark::State& state) {
   const fakes::ManualClock clock;
   capacity::ShareAllocator book({.host = HostName("h")}, clock);
@@ -32,7 +32,7 @@
 }
 BENCHMARK(TakeAndReleaseShare)->Arg(12)->Arg(260)->Arg(5000);
 
-/// One order's key: issued, read, verified, run and settled.
+/// Processes one idempotency key: issue, parse, verify, begin and complete.
 void KeyThroughTheLedger(benchmark::State& state) {
   fakes::ManualClock clock;
   idempotency::KeyAuthority authority(
@@ -52,7 +52,8 @@
 }
 BENCHMARK(KeyThroughTheLedger);
 
-/// One exchange's message made and taken in, in a domain of so many hosts.
+/// Creates and applies one message between peers. Argument: hosts in the
+/// failure domain.
 void ExchangeOfADomain(benchmark::State& state) {
   fakes::ManualClock clock;
   const membership::HostState self{.host = HostName("entry-host-0"),
--- a/benchmarks/host_at_size.cc
+++ b/benchmarks/host_at_size.cc
@@ -1,6 +1,7 @@
-// What one host of a region of a hundred does for each request and each
-// datagram, with 549 targets of a service in nine failure domains: placing a
-// request and taking its answer, hearing a relay's digest, answering a look-up.
+// Cost per request and per datagram on one host in a region of about 100 hosts,
+// with 549 targets of a service in nine failure domains: dispatching a request
+// and handling its answer, receiving a digest of heartbeats, answering a
+// look-up.
 #include <benchmark/benchmark.h>
 
 #include <cstdint>
--- a/benchmarks/peer_exchange.cc
+++ b/benchmarks/peer_exchange.cc
@@ -19,7 +19,7 @@
 
 constexpr int kDomains = 17;
 constexpr int kServices = 3;
-constexpr int kTargetsOfDomain = 36;
+constexpr int kTargetsPerDomain = 36;
 
 wire::ServiceLoad MakeLoad(int service) {
   wire::ServiceLoad load;
@@ -77,17 +77,18 @@
   return summary;
 }
 
-/// What a host tells another: `hosts` of its domain, what it saw of the targets
-/// and the sums of all domains.
-wire::Exchange MakeExchange(int hosts, bool has_rest) {
+/// A message between peers with `hosts` hosts of the failure domain, and with
+/// `has_targets_and_summaries` also observations of targets and summaries of
+/// all domains.
+wire::Exchange MakeExchange(int hosts, bool has_targets_and_summaries) {
   wire::Exchange exchange;
   exchange.protocol_version = 1;
   exchange.sender = MakeHost(0);
   for (int number = 1; number < hosts; ++number) {
     exchange.hosts.push_back(MakeHost(number));
   }
-  if (has_rest) {
-    for (int target = 0; target < kTargetsOfDomain; ++target) {
+  if (has_targets_and_summaries) {
+    for (int target = 0; target < kTargetsPerDomain; ++target) {
       exchange.observations.push_back(MakeObservation(target));
     }
     for (int domain = 0; domain < kDomains; ++domain) {
@@ -137,7 +138,7 @@
   state.counters["bytes"] = static_cast<double>(bytes.size());
 }
 
-// Arguments: hosts told of; whether targets and other domains come along.
+// Arguments: number of hosts; whether targets and other domains are included.
 #define MEDLARCROFT_SIZES \
   ->Args({1, 0})->Args({8, 0})->Args({52, 0})->Args({52, 1})
 BENCHMARK(EncodeExchange<TBinaryProtocol>) MEDLARCROFT_SIZES;
--- a/benchmarks/placement_benchmark.cc
+++ b/benchmarks/placement_benchmark.cc
@@ -1,8 +1,8 @@
-// Nanoseconds for one placement (choosing a target, taking and giving back its
-// slot) and for one request through the whole scheduler, by number of targets.
+// Time of one placement (choosing a target, acquiring and releasing its slot)
+// and of one request through the complete scheduler, by number of targets.
 //
-// Bound: two choices take at most four times as long as random in the same run,
-// and 1 us at any size.
+// Bounds: two choices take at most four times as long as a random choice in the
+// same run, and at most 1 us with any number of targets.
 #include <benchmark/benchmark.h>
 
 #include <string>
--- a/benchmarks/planned_size.h
+++ b/benchmarks/planned_size.h
@@ -12,8 +12,8 @@
 
 inline constexpr int kDomains = 17;
 inline constexpr int kRegions = 7;
-inline constexpr int kHostsOfDomain = 52;
-inline constexpr double kSlotsOfDomain = 100.0;
+inline constexpr int kHostsPerDomain = 52;
+inline constexpr double kSlotsPerDomain = 100.0;
 
 inline std::string DomainName(int domain) {
   return "r" + std::to_string(domain % kRegions) + "-" +
@@ -24,7 +24,8 @@
   return ServiceName("service-" + std::to_string(service));
 }
 
-/// @return 17 domains in 7 regions with a link in each direction, and services.
+/// @return a catalogue with 17 failure domains in 7 regions, links in both
+/// directions between all of them, and `services` services.
 inline catalogue::SharedCatalogueView PlannedCatalogue(int services) {
   steering::fixture::CatalogueBuilder builder;
   for (int from = 0; from < kDomains; ++from) {
@@ -45,24 +46,24 @@
   return builder.Build();
 }
 
-/// @param busy demand of domains as a part of their capacity.
-/// @param busiest the same of the first domain.
-inline std::vector<steering::DomainLoad> PlannedLoads(int services,
-                                                      double busy,
-                                                      double busiest) {
-  constexpr double kCapacity = kSlotsOfDomain / 0.02;
+/// @param utilisation demand of each domain as a fraction of its capacity.
+/// @param first_utilisation the same for the first domain.
+inline std::vector<steering::DomainLoad>
+PlannedLoads(int services, double utilisation, double first_utilisation) {
+  constexpr double kCapacity = kSlotsPerDomain / 0.02;
   std::vector<steering::DomainLoad> loads;
   for (int domain = 0; domain < kDomains; ++domain) {
-    const double demand = kCapacity * (domain == 0 ? busiest : busy);
+    const double demand =
+        kCapacity * (domain == 0 ? first_utilisation : utilisation);
     steering::DomainLoad load{
         .failure_domain = FailureDomainName(DomainName(domain)),
-        .live_hosts = kHostsOfDomain};
+        .live_hosts = kHostsPerDomain};
     for (int service = 0; service < services; ++service) {
       load.loads.push_back(
           {.service = ServiceOf(service),
            .demand_per_second = demand,
-           .outstanding = std::min(demand * 0.02, kSlotsOfDomain),
-           .usable_slots = kSlotsOfDomain});
+           .outstanding = std::min(demand * 0.02, kSlotsPerDomain),
+           .usable_slots = kSlotsPerDomain});
     }
     loads.push_back(std::move(load));
   }
--- a/benchmarks/reference_sort.h
+++ b/benchmarks/reference_sort.h
@@ -10,8 +10,8 @@
 
 namespace medlarcroft::benchmarks {
 
-/// @brief Sorts a thousand numbers: what this machine does in this run, so that
-/// bounds can be ratios instead of times.
+/// @brief Sorts 1000 numbers as a reference for the speed of the computer in
+/// the same run, so that bounds can be ratios instead of times.
 inline void SortThousand(benchmark::State& state) {
   std::mt19937_64 engine(1);
   std::vector<std::uint64_t> numbers(1000);
--- a/benchmarks/request_lines.cc
+++ b/benchmarks/request_lines.cc
@@ -1,5 +1,5 @@
-// Cost of the lines of one good request in medlar-node: paid by every request,
-// so they must stay far below the request itself.
+// Cost of the log lines of one successful request in medlar-node. Every request
+// pays it, so it must be far below the cost of the request itself.
 #include <benchmark/benchmark.h>
 
 #include <fcntl.h>
@@ -12,26 +12,26 @@
 namespace medlarcroft::adapters {
 namespace {
 
-/// @brief Logs to nowhere on standard output while it lives.
+/// @brief Redirects standard output to /dev/null during its lifetime.
 class DiscardedOutput {
  public:
-  DiscardedOutput() : kept_(::dup(STDOUT_FILENO)) {
-    const int nowhere = ::open("/dev/null", O_WRONLY | O_CLOEXEC);
-    ::dup2(nowhere, STDOUT_FILENO);
-    ::close(nowhere);
+  DiscardedOutput() : saved_stdout_(::dup(STDOUT_FILENO)) {
+    const int null_device = ::open("/dev/null", O_WRONLY | O_CLOEXEC);
+    ::dup2(null_device, STDOUT_FILENO);
+    ::close(null_device);
   }
   ~DiscardedOutput() {
-    ::dup2(kept_, STDOUT_FILENO);
-    ::close(kept_);
+    ::dup2(saved_stdout_, STDOUT_FILENO);
+    ::close(saved_stdout_);
   }
   DiscardedOutput(const DiscardedOutput&) = delete;
   DiscardedOutput& operator=(const DiscardedOutput&) = delete;
 
  private:
-  int kept_;
+  int saved_stdout_;
 };
 
-/// @param range(0) whether the level lets lines of good requests through.
+/// @param range(0) 1 if the log level includes successful requests.
 void LinesOfOneRequest(benchmark::State& state) {
   const DiscardedOutput discarded;
   StartLogging(
@@ -62,7 +62,7 @@
 }
 BENCHMARK(LinesOfOneRequest)->Arg(0)->Arg(1);
 
-/// One line made and handed to the pipe's writer.
+/// Formats one log line.
 void OneWrittenLine(benchmark::State& state) {
   const LogOptions options{
       .program = "medlar-node", .host = "h", .failure_domain = "z"};
--- a/benchmarks/shift_baselines.h
+++ b/benchmarks/shift_baselines.h
@@ -17,8 +17,8 @@
 using steering::ShiftPlan;
 using steering::scenario::ShiftPolicy;
 
-/// Utilisation above which the compared ways shift.
-inline constexpr double kTarget = 0.8;
+/// Utilisation above which the baselines shift demand.
+inline constexpr double kTargetUtilisation = 0.8;
 
 inline double CapacityOf(const catalogue::ServiceEntry& service,
                          const ServiceLoad& load) {
@@ -58,8 +58,8 @@
        .fraction = std::min(capped / source.demand_per_second, 1.0)});
 }
 
-/// Nothing is ever shifted.
-class StayHome final : public ShiftPolicy {
+/// Never shifts anything.
+class NoShift final : public ShiftPolicy {
  public:
   ShiftPlan Plan(const ShiftInputs& /*inputs*/,
                  const FailureDomainName& /*own_domain*/) override {
@@ -67,8 +67,8 @@
   }
 };
 
-/// All demand above the target goes to the nearest domains with free slots, as
-/// last measured.
+/// Shifts all demand above kTargetUtilisation to the nearest domains with free
+/// slots in the latest load reports.
 class GreedyNearest final : public ShiftPolicy {
  public:
   ShiftPlan Plan(const ShiftInputs& inputs,
@@ -91,8 +91,8 @@
                   return left->latency < right->latency;
                 });
 
-      double excess =
-          own->demand_per_second - kTarget * CapacityOf(*service, *own);
+      double excess = own->demand_per_second -
+                      kTargetUtilisation * CapacityOf(*service, *own);
       for (const auto* link : links) {
         const ServiceLoad* load = LoadOf(inputs, link->to, service->service);
         if (load == nullptr || excess <= 0.0) {
@@ -110,8 +110,9 @@
   }
 };
 
-/// Each step moves the rate by a part of the error of the busy slots at home,
-/// and splits it by the free slots of the others.
+/// Proportional controller: each step changes the shifted rate by a fraction of
+/// the error of the own slot utilisation, and splits it among other domains by
+/// their free slots.
 class ProportionalFeedback final : public ShiftPolicy {
  public:
   ShiftPlan Plan(const ShiftInputs& inputs,
@@ -126,7 +127,7 @@
 
       const double used = (own->outstanding + own->queued) / own->usable_slots;
       double& total = totals_[service->service];
-      total += kGain * (used - kTarget) * CapacityOf(*service, *own);
+      total += kGain * (used - kTargetUtilisation) * CapacityOf(*service, *own);
       total = std::clamp(total, 0.0, own->demand_per_second);
 
       double free_slots = 0.0;
@@ -159,10 +160,10 @@
   std::map<ServiceName, double> totals_;
 };
 
-/// The planner with one of its safeguards taken away.
-class WithoutPending final : public ShiftPolicy {
+/// The planner without one of its safeguards: it gets no pending demand.
+class PlannerWithoutPending final : public ShiftPolicy {
  public:
-  explicit WithoutPending(const ports::Clock& clock) : planner_(clock) {}
+  explicit PlannerWithoutPending(const ports::Clock& clock) : planner_(clock) {}
 
   ShiftPlan Plan(const ShiftInputs& inputs,
                  const FailureDomainName& own_domain) override {
--- a/benchmarks/shift_policies.cc
+++ b/benchmarks/shift_policies.cc
@@ -1,6 +1,6 @@
-// Compares ways to shift in the scenarios of tests/scenarios/steering. The
-// counters are figures of virtual time and the same on each run; the times say
-// only how long the simulation takes.
+// Compares shift policies in the scenarios of tests/scenarios/steering. The
+// counters are computed in virtual time and are the same in each run; the times
+// are only the duration of the simulation.
 
 #include <benchmark/benchmark.h>
 
@@ -22,9 +22,9 @@
 constexpr std::uint64_t kSeed = 20261202;
 
 std::vector<std::pair<std::string, PolicyFactory>> Policies() {
-  ShiftPlannerOptions impatient;
-  impatient.return_hold_time = Duration::zero();
-  impatient.growth_margin = 0.0;
+  ShiftPlannerOptions no_hysteresis;
+  no_hysteresis.return_hold_time = Duration::zero();
+  no_hysteresis.growth_margin = 0.0;
   ShiftPlannerOptions no_warm_up;
   no_warm_up.warm_up.cold_fraction = 1.0;
 
@@ -35,11 +35,11 @@
        }},
       {"planner_without_pending",
        [](const auto& clock) {
-         return std::make_unique<WithoutPending>(clock);
+         return std::make_unique<PlannerWithoutPending>(clock);
        }},
       {"planner_without_hysteresis",
-       [impatient](const auto& clock) {
-         return std::make_unique<PlannerPolicy>(clock, impatient);
+       [no_hysteresis](const auto& clock) {
+         return std::make_unique<PlannerPolicy>(clock, no_hysteresis);
        }},
       {"planner_without_warm_up",
        [no_warm_up](const auto& clock) {
@@ -49,7 +49,7 @@
        [](const auto&) { return std::make_unique<GreedyNearest>(); }},
       {"proportional_feedback",
        [](const auto&) { return std::make_unique<ProportionalFeedback>(); }},
-      {"stay_home", [](const auto&) { return std::make_unique<StayHome>(); }}};
+      {"stay_home", [](const auto&) { return std::make_unique<NoShift>(); }}};
 }
 
 void RunScenario(benchmark::State& state,
--- a/benchmarks/steering_decisions.cc
+++ b/benchmarks/steering_decisions.cc
@@ -17,11 +17,11 @@
 
 constexpr Duration kPlanInterval = std::chrono::milliseconds(500);
 
-/// One step of all services at 17 domains; the argument is how many services.
-void PlanShifts(benchmark::State& state, double busiest) {
+/// One planning step for all services in 17 domains. Argument: services.
+void PlanShifts(benchmark::State& state, double first_utilisation) {
   const int services = static_cast<int>(state.range(0));
   const auto catalogue = PlannedCatalogue(services);
-  const auto loads = PlannedLoads(services, 0.5, busiest);
+  const auto loads = PlannedLoads(services, 0.5, first_utilisation);
   fakes::ManualClock clock;
   const std::size_t before = live_bytes;
   steering::ShiftPlanner planner(clock);
@@ -47,7 +47,7 @@
 std::vector<EntryHost> PlannedHosts(int services) {
   std::vector<EntryHost> hosts;
   for (int domain = 0; domain < kDomains; ++domain) {
-    for (int number = 0; number < kHostsOfDomain; ++number) {
+    for (int number = 0; number < kHostsPerDomain; ++number) {
       EntryHost host{
           .host = HostName(DomainName(domain) + "-" + std::to_string(number)),
           .address = "10.0.0.1:8080",
@@ -72,7 +72,7 @@
           .own_domain = FailureDomainName(DomainName(0))};
 }
 
-/// One answer among 884 hosts; the argument is how many services there are.
+/// Plans one look-up answer among 884 hosts. Argument: services.
 void PlanLookup(benchmark::State& state) {
   const int services = static_cast<int>(state.range(0));
   fakes::ManualClock clock;
@@ -90,8 +90,8 @@
 }
 BENCHMARK(PlanLookup)->Arg(1)->Arg(12);
 
-/// Taking over 884 hosts, several times a second; the copy of the inputs is
-/// counted too.
+/// Updates the planner with 884 hosts, which happens several times a second;
+/// includes the copy of the inputs.
 void UpdateLookups(benchmark::State& state) {
   fakes::ManualClock clock;
   fakes::SeededRandom random(1);
--- a/benchmarks/telemetry_benchmark.cc
+++ b/benchmarks/telemetry_benchmark.cc
@@ -1,5 +1,5 @@
-// Cost of telemetry on the path of a request: it is paid by every request, so
-// each must stay far below the hop itself.
+// Cost of telemetry while handling a request. Every request pays it, so each
+// operation must cost far less than sending the request on.
 #include <benchmark/benchmark.h>
 
 #include "adapters/process/system_clock.h"
@@ -48,7 +48,7 @@
 }
 BENCHMARK(ParseOneTraceparent);
 
-/// @param range(0) sampling in percent.
+/// @param range(0) sampled traces in percent.
 void SpanWithFourAttributes(benchmark::State& state) {
   const adapters::SystemClock clock;
   adapters::SystemRandom random;
--- a/examples/embedding/example_clock.h
+++ b/examples/embedding/example_clock.h
@@ -3,8 +3,8 @@
 
 #include "medlarcroft/ports/clock.h"
 
-/// @brief A clock that the example moves, so that its output is always the
-/// same. A real program reads the machine's clocks, the monotonic one from
+/// @brief A manual clock, so that the output of the example is deterministic. A
+/// real program reads the clocks of the system, the monotonic one from
 /// CLOCK_BOOTTIME.
 class ExampleClock final : public medlarcroft::ports::Clock {
  public:
--- a/examples/embedding/keys.cc
+++ b/examples/embedding/keys.cc
@@ -25,7 +25,8 @@
       {.issuing = "a secret of 16 bytes or more"}, clock);
   idempotency::Ledger ledger({.host = host, .incarnation = 1}, clock);
 
-  // The caller got this text before its request and sends it with each attempt.
+  // The caller obtains this key before its request and sends it with each
+  // attempt.
   const std::string text =
       idempotency::FormatKey(authority.Issue(idempotency::Mode::kLocal));
   const auto parsed = idempotency::ParseKey(text);
--- a/examples/embedding/main.cc
+++ b/examples/embedding/main.cc
@@ -1,5 +1,5 @@
-// Uses medlarcroft's coordination parts in a program of one's own: no daemon,
-// no socket, no thread.
+// Embeds the coordination parts of medlarcroft in another program, without
+// daemons, sockets or threads.
 #include "examples.h"
 
 int main() {
--- a/examples/embedding/placement.cc
+++ b/examples/embedding/placement.cc
@@ -19,7 +19,7 @@
 using std::chrono::milliseconds;
 
 constexpr int kRequests = 200;
-/// The slow target needs ten times as long.
+/// Service times; the slow target takes ten times as long.
 constexpr Duration kFast = milliseconds(20);
 constexpr Duration kSlow = milliseconds(200);
 
@@ -39,11 +39,11 @@
                       {.name = TargetName("slow"), .slots = 4, .share = 4}}};
 }
 
-/// @brief A piece of work that a target does, ended at `first` of the map.
+/// @brief Requests in progress by the time when they end.
 using WorkByEnd =
     std::multimap<medlarcroft::MonotonicTime, decision::AttemptId>;
 
-/// @brief Runs requests that come every 10 ms and counts them by target.
+/// @brief Submits a request every 10 ms and counts the dispatches by target.
 std::map<std::string, int> Place(decision::RequestScheduler& scheduler,
                                  ExampleClock& clock) {
   std::map<std::string, int> placed;
@@ -51,7 +51,8 @@
   for (int i = 0; i < kRequests; ++i) {
     while (!work.empty() && work.begin()->first <= clock.Now()) {
       const auto done = work.extract(work.begin());
-      // The step says what to tell the caller; all are answered here.
+      // The return value says what to send to the caller; ignored here, as all
+      // requests are answered.
       (void)scheduler.OnAttemptEnd(
           done.mapped(), decision::AttemptOutcome::kAnswered, clock.Now());
     }
--- a/examples/embedding/shares.cc
+++ b/examples/embedding/shares.cc
@@ -14,7 +14,7 @@
 
 constexpr std::string_view kLimit = "target/swap-ledger-1";
 
-/// @return how many units `book` can take now.
+/// @return how many units `book` can acquire now.
 int TakeAll(ShareAllocator& book) {
   int taken = 0;
   while (book.TryAcquire(kLimit)) {
@@ -30,14 +30,15 @@
   ShareAllocator first({.host = HostName("first"), .incarnation = 1}, clock);
   ShareAllocator second({.host = HostName("second"), .incarnation = 1}, clock);
 
-  // The target works on three requests at once: two for one, one for the other.
+  // The target accepts three concurrent requests: two from the first process
+  // and one from the second.
   first.SetOwn(kLimit, 2);
   second.SetOwn(kLimit, 1);
   first.SetOwnValidUntil(MonotonicTime::max());
   second.SetOwnValidUntil(MonotonicTime::max());
 
-  // The second is busy and borrows one. In a real program the request and the
-  // answer travel over the network, and either may be lost.
+  // The second is busy and borrows one unit. In a real program the request and
+  // the answer are sent over the network, and either may be lost.
   const OutgoingShareRequest ask = second.Borrow(kLimit, 1, HostName("first"));
   second.Apply(ask, first.Lend(ask.request));
 
@@ -46,7 +47,7 @@
   std::cout << "shares: the first may use " << by_first << ", the second "
             << by_second << ", together never more than 3\n";
 
-  // Nobody renews the loan, so the borrower may not start work on it any more.
+  // The loan is not renewed, so the borrower must not start new requests on it.
   clock.Advance(std::chrono::seconds(10));
   const auto standing = second.State(kLimit);
   std::cout << "shares: after the lease the second may start "
--- a/lib/libmedlarcroft/include/medlarcroft/core/duration_text.h
+++ b/lib/libmedlarcroft/include/medlarcroft/core/duration_text.h
@@ -9,11 +9,12 @@
 
 namespace medlarcroft {
 
-/// @return a time written as a number and its unit, "1500ms" or "2.5s"; nullopt
-/// for anything else, a negative one, or one beyond some hundred days.
+/// @brief Parses a number with unit "ms" or "s", such as "1500ms" or "2.5s".
+/// @return nullopt for any other text, a negative duration, or more than 1e7 s
+/// (115 days).
 [[nodiscard]] std::optional<Duration> ParseDuration(std::string_view text);
 
-/// @return whole milliseconds, "1500ms".
+/// @return the duration in whole milliseconds, such as "1500ms".
 [[nodiscard]] std::string FormatDuration(Duration duration);
 
 }  // namespace medlarcroft
--- a/lib/libmedlarcroft/include/medlarcroft/core/identifiers.h
+++ b/lib/libmedlarcroft/include/medlarcroft/core/identifiers.h
@@ -10,8 +10,8 @@
 
 namespace medlarcroft {
 
-/// @brief A name of one kind; names of different kinds do not convert into each
-/// other.
+/// @brief A strongly typed name; names of different types do not convert into
+/// each other.
 template <typename Tag>
 class Identifier {
  public:
--- a/lib/libmedlarcroft/include/medlarcroft/core/little_endian.h
+++ b/lib/libmedlarcroft/include/medlarcroft/core/little_endian.h
@@ -8,7 +8,7 @@
 
 namespace medlarcroft {
 
-/// @brief Appends the lowest `bytes` bytes of a number, the lowest first.
+/// @brief Appends the lowest `bytes` bytes of a number in little-endian order.
 inline void AppendLittleEndian(std::string& text,
                                std::uint32_t number,
                                std::size_t bytes) {
@@ -17,8 +17,9 @@
   }
 }
 
-/// @brief Takes a number of `count` bytes, the lowest first, off the front.
-/// @param bytes at least `count`.
+/// @brief Reads a little-endian number of `count` bytes and removes them from
+/// the front of `bytes`.
+/// @param bytes must hold at least `count` bytes.
 [[nodiscard]] inline std::uint32_t TakeLittleEndian(std::string_view& bytes,
                                                     std::size_t count) {
   std::uint32_t number = 0;
--- a/lib/libmedlarcroft/include/medlarcroft/core/mix_bits.h
+++ b/lib/libmedlarcroft/include/medlarcroft/core/mix_bits.h
@@ -5,8 +5,8 @@
 
 namespace medlarcroft {
 
-// The last steps of SplitMix64: each bit of the result depends on each of
-// `number`.
+/// @brief The finalizer of SplitMix64: each bit of the result depends on every
+/// bit of `number`.
 [[nodiscard]] constexpr std::uint64_t MixBits(std::uint64_t number) {
   constexpr std::uint64_t kFirstFactor = 0xbf58476d1ce4e5b9U;
   constexpr std::uint64_t kSecondFactor = 0x94d049bb133111ebU;
--- a/lib/libmedlarcroft/include/medlarcroft/core/result.h
+++ b/lib/libmedlarcroft/include/medlarcroft/core/result.h
@@ -6,14 +6,14 @@
 
 namespace medlarcroft {
 
-/// @brief A value, or the typed reason why there is none.
+/// @brief A value or a typed error.
 template <typename Value, typename Error>
 using Result = std::variant<Value, Error>;
 
-/// @brief The value of an operation that returns nothing when it succeeds.
+/// @brief The value type of an operation that returns no value.
 using Success = std::monostate;
 
-/// @return true when `result` holds a value.
+/// @return true if `result` holds a value.
 template <typename Value, typename Error>
 [[nodiscard]] constexpr bool IsOk(const std::variant<Value, Error>& result) {
   return result.index() == 0;
@@ -25,7 +25,7 @@
   return std::get<0>(result);
 }
 
-/// @return the value, moved out; `result` must hold one.
+/// @return the value, moved out of `result`, which must hold one.
 template <typename Value, typename Error>
 [[nodiscard]] Value TakeValue(std::variant<Value, Error>&& result) {
   return std::get<0>(std::move(result));
--- a/lib/libmedlarcroft/include/medlarcroft/core/service_load.h
+++ b/lib/libmedlarcroft/include/medlarcroft/core/service_load.h
@@ -7,14 +7,14 @@
 
 namespace medlarcroft {
 
-/// @brief What one host counts of one service.
+/// @brief The load of one service on one host.
 struct ServiceLoad {
   ServiceName service;
-  /// What callers bring, without what other domains sent on.
+  /// Requests of callers, without those shifted in from other failure domains.
   double demand_per_second = 0.0;
-  std::uint32_t outstanding = 0;   ///< Requests at targets now.
-  std::uint32_t queued = 0;        ///< Requests that wait for a slot now.
-  std::uint32_t usable_slots = 0;  ///< Of targets that take new work.
+  std::uint32_t outstanding = 0;   ///< Requests now in flight at targets.
+  std::uint32_t queued = 0;        ///< Requests now waiting for a slot.
+  std::uint32_t usable_slots = 0;  ///< Slots of targets that accept work.
   double refused_per_second = 0.0;
   double shifted_in_per_second = 0.0;
 
--- a/lib/libmedlarcroft/include/medlarcroft/core/time.h
+++ b/lib/libmedlarcroft/include/medlarcroft/core/time.h
@@ -8,7 +8,7 @@
 
 using Duration = std::chrono::nanoseconds;
 
-/// @brief A host's own monotonic clock. Its readings are never compared between
+/// @brief The monotonic clock of one host. Never compare its readings between
 /// hosts.
 struct MonotonicTimeline {
   using rep = Duration::rep;
@@ -18,8 +18,8 @@
   static constexpr bool is_steady = true;
 };
 
-/// @brief Time since the Unix epoch: for people and key expiry, never for
-/// leases.
+/// @brief Time since the Unix epoch, for display and key expiry. Never use it
+/// for leases.
 struct WallTimeline {
   using rep = Duration::rep;
   using period = Duration::period;
--- a/lib/libmedlarcroft/include/medlarcroft/ports/clock.h
+++ b/lib/libmedlarcroft/include/medlarcroft/ports/clock.h
@@ -5,16 +5,16 @@
 
 namespace medlarcroft::ports {
 
-/// @brief Where time comes from; tests move it by hand.
+/// @brief Source of time; tests inject a manual clock.
 class Clock {
  public:
   virtual ~Clock() = default;
 
-  /// @return this host's monotonic time; it counts on while the process is
-  /// paused.
+  /// @return the monotonic time of this host, which advances also while the
+  /// process is paused.
   [[nodiscard]] virtual MonotonicTime Now() const = 0;
 
-  /// @return time since the Unix epoch as this host believes it.
+  /// @return time since the Unix epoch by the clock of this host.
   [[nodiscard]] virtual WallTime WallNow() const = 0;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/ports/host_list.h
+++ b/lib/libmedlarcroft/include/medlarcroft/ports/host_list.h
@@ -10,21 +10,21 @@
 
 namespace medlarcroft::ports {
 
-/// @brief What a listed host runs.
+/// @brief What runs at a listed address.
 enum class ListedRole { kEntryHost, kTarget };
 
-/// @brief One line of the platform's host list. The list lags: a host may be
-/// gone, or be back.
+/// @brief One entry of the platform's host list. The list lags: a host may have
+/// stopped or restarted since.
 struct ListedHost {
   std::string name;  ///< A `HostName` or a `TargetName`, by `role`.
   ListedRole role = ListedRole::kEntryHost;
   FailureDomainName failure_domain;
-  std::string address;  ///< IP:port of its peer listener (entry host) or
-                        ///< service (target).
+  std::string address;  ///< IP:port of the peer listener (entry host) or
+                        ///< of the service (target).
   bool is_leaving = false;
 };
 
-/// @brief The platform's lagging list of live and leaving hosts.
+/// @brief Client for the platform's list of live and leaving hosts, which lags.
 class HostList {
  public:
   virtual ~HostList() = default;
--- a/lib/libmedlarcroft/include/medlarcroft/ports/object_store.h
+++ b/lib/libmedlarcroft/include/medlarcroft/ports/object_store.h
@@ -10,13 +10,13 @@
 
 namespace medlarcroft::ports {
 
-/// @brief The platform's object store: whole objects by name, written once
-/// under a fresh name.
+/// @brief Client for the platform's object store. Objects are read and written
+/// as a whole; each is written once, under a new name.
 class ObjectStore {
  public:
   virtual ~ObjectStore() = default;
 
-  /// @return the object's bytes, or nullopt when there is none.
+  /// @return the bytes of the object, or nullopt if it does not exist.
   [[nodiscard]] virtual Result<std::optional<std::string>, StoreFailure> Get(
       std::string_view name) = 0;
 
--- a/lib/libmedlarcroft/include/medlarcroft/ports/random_source.h
+++ b/lib/libmedlarcroft/include/medlarcroft/ports/random_source.h
@@ -5,7 +5,7 @@
 
 namespace medlarcroft::ports {
 
-/// @brief Where random numbers come from; tests seed it.
+/// @brief Source of random numbers; tests inject a seeded one.
 class RandomSource {
  public:
   virtual ~RandomSource() = default;
@@ -13,17 +13,17 @@
   /// @return 64 uniformly distributed bits.
   [[nodiscard]] virtual std::uint64_t Next() = 0;
 
-  /// @return a uniform number below `bound`, which must not be 0. The bias of
-  /// the multiply-shift reduction is below 2^-32 for the small bounds used
-  /// here.
+  /// @return a uniformly distributed number below `bound`, which must not be 0.
+  /// The bias of the multiply-shift reduction is below 2^-32 for the small
+  /// bounds used here.
   [[nodiscard]] std::uint64_t NextBelow(std::uint64_t bound) {
-    // The 128-bit type is an extension, which -Wpedantic reports otherwise.
+    // __extension__ silences -Wpedantic: the 128-bit type is not standard.
     __extension__ using Wide = unsigned __int128;
     return static_cast<std::uint64_t>((static_cast<Wide>(Next()) * bound) >>
                                       64U);
   }
 
-  /// @return a uniform number in [0, 1).
+  /// @return a uniformly distributed number in [0, 1).
   [[nodiscard]] double NextUnit() {
     return static_cast<double>(Next() >> 11U) * 0x1.0p-53;
   }
--- a/lib/libmedlarcroft/include/medlarcroft/ports/slot_source.h
+++ b/lib/libmedlarcroft/include/medlarcroft/ports/slot_source.h
@@ -5,20 +5,21 @@
 
 namespace medlarcroft::ports {
 
-/// @brief Asked for each slot at the moment of dispatch.
+/// @brief Acquires a slot of a target at the moment of dispatch.
 ///
-/// Failure: the host is paused between its decision and the dispatch, and its
-/// share of the target passes to another meanwhile. Symptom: the target gets
-/// more than its slots. A share that was counted when the decision was made is
-/// therefore not enough; the slot itself is taken here, from what is valid now.
+/// Failure: the process is paused between its decision and the dispatch, and
+/// its share of the target's slots is meanwhile given to another host. Symptom:
+/// the target receives more requests than it has slots. A count made at the
+/// time of the decision does not prevent this, so each slot is acquired here,
+/// from the share that is valid at dispatch.
 class SlotSource {
  public:
   virtual ~SlotSource() = default;
 
-  /// @return whether a slot of the target was taken.
+  /// @return whether a slot of the target was acquired.
   [[nodiscard]] virtual bool TryTake(const TargetName& target) = 0;
 
-  /// @brief Gives back a slot that was taken.
+  /// @brief Releases a slot that `TryTake` acquired.
   virtual void Release(const TargetName& target) = 0;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/ports/table_store.h
+++ b/lib/libmedlarcroft/include/medlarcroft/ports/table_store.h
@@ -17,53 +17,53 @@
 struct Row {
   std::string key;
   std::string value;
-  /// Set by the service: 1 when inserted, one more with each write; 0 means
-  /// "there is no such row".
+  /// Set by the service: 1 after the insertion, incremented by each write; 0
+  /// means that the row does not exist.
   std::uint64_t version = 0;
 };
 
-/// @brief Why a store call gave no answer.
+/// @brief Why a store call failed.
 enum class StoreFailure {
-  kUnavailable,     ///< Refused or never sent: the call had no effect.
-  kOutcomeUnknown,  ///< Sent, but no answer came: a write may have taken
+  kUnavailable,     ///< Rejected or never sent: the call had no effect.
+  kOutcomeUnknown,  ///< Sent without a response: a write may have taken
                     ///< effect.
-  kBadAnswer,  ///< The answer could not be understood; a write may have taken
+  kBadAnswer,  ///< The response could not be parsed; a write may have taken
                ///< effect.
 };
 
-/// @brief A row that a transaction requires to be at `version` (0: absent).
+/// @brief Requires a row to have `version` (0: not to exist).
 struct RowCondition {
   std::string key;
   std::uint64_t version = 0;
 };
 
-/// @brief A row that a transaction writes, or deletes when `value` is empty.
+/// @brief Writes a row, or deletes it if `value` is nullopt.
 struct RowWrite {
   std::string key;
   std::optional<std::string> value;
 };
 
-/// @brief All conditions hold and all writes take effect, or nothing does.
+/// @brief Applies all writes atomically if all conditions hold, otherwise none.
 struct Transaction {
   std::vector<RowCondition> conditions;
   std::vector<RowWrite> writes;
 };
 
-/// @brief What became of a transaction that was answered.
+/// @brief The result of a transaction that the store responded to.
 struct TransactionOutcome {
   bool committed = false;
-  /// When not committed: the rows, as they are, whose condition failed.
+  /// If not committed: the current rows whose conditions failed.
   std::vector<Row> conflicting;
 };
 
-/// @brief The platform's transactional table service. Calls block, so they
-/// never run on the path of a request; a call that fails may have taken effect
-/// unless it says otherwise.
+/// @brief Client for the platform's transactional table service. Calls block,
+/// so they must not be made while handling a request. A failed call may have
+/// taken effect unless the failure excludes it.
 class TableStore {
  public:
   virtual ~TableStore() = default;
 
-  /// @return the row, or one with version 0 when there is none.
+  /// @return the row, or one with version 0 if it does not exist.
   [[nodiscard]] virtual Result<Row, StoreFailure> Read(
       std::string_view key) = 0;
 
--- a/lib/libmedlarcroft/include/medlarcroft/ports/timers.h
+++ b/lib/libmedlarcroft/include/medlarcroft/ports/timers.h
@@ -7,17 +7,17 @@
 
 namespace medlarcroft::ports {
 
-/// @brief Runs tasks later, one after the other; tests move its time by hand.
+/// @brief Runs tasks after a delay, one at a time; tests inject manual time.
 class Timers {
  public:
   virtual ~Timers() = default;
 
-  /// @return this host's monotonic time; it counts on while the process is
-  /// paused.
+  /// @return the monotonic time of this host, which advances also while the
+  /// process is paused.
   [[nodiscard]] virtual MonotonicTime Now() const = 0;
 
-  /// @brief Runs `task` once, no earlier than after `delay`, and never before
-  /// this call has returned.
+  /// @brief Runs `task` once, at the earliest after `delay`, and never before
+  /// this call returns.
   virtual void RunAfter(Duration delay, std::function<void()> task) = 0;
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/process/stop_sequence.h
+++ b/lib/libmedlarcroft/include/medlarcroft/process/stop_sequence.h
@@ -7,45 +7,46 @@
 
 namespace medlarcroft::process {
 
-/// @brief How far a daemon's stop has come.
+/// @brief Phase of the graceful shutdown of a daemon.
 enum class StopPhase {
-  kServing,     ///< No stop was asked for.
-  kAnnouncing,  ///< Peers and look-ups name other hosts; all is still served.
-  kFinishing,   ///< Nothing new is taken; what is in flight ends.
-  kStopped,     ///< The process may end.
+  kServing,     ///< No shutdown requested.
+  kAnnouncing,  ///< Peers and look-ups name other hosts; requests are served.
+  kFinishing,   ///< New requests are rejected; those in flight may end.
+  kStopped,     ///< The process may exit.
 };
 
-/// @brief The order of a graceful stop, without I/O.
+/// @brief State machine of a graceful shutdown, without I/O.
 ///
-/// Failure: a host leaves while callers still hold look-up answers that name
-/// it. Symptom: their requests meet a closed port, or are cut in the middle.
-/// So it first announces that it leaves and serves on until those answers have
-/// run out; then takes nothing new and lets what is in flight end. A limit
-/// bounds it all, as a stuck request must not keep a host for ever; a second
-/// signal ends the wait at once.
+/// Failure: a host shuts down while callers still cache look-up answers that
+/// name it. Symptom: their connections are refused, or their requests are
+/// aborted. The host therefore announces first that it leaves and serves
+/// requests until those answers have expired; then it accepts no new requests
+/// and waits for those in flight. The wait is limited, so that a stuck request
+/// cannot block the shutdown; a second signal ends the wait at once.
 class StopSequence {
  public:
   struct Options {
-    /// At least the longest look-up TTL of the catalogue.
+    /// At least the longest TTL of look-up answers in the catalogue.
     Duration announce_time = std::chrono::seconds(6);
-    /// For what is in flight, after the announcement; at least the longest
-    /// deadline of a class.
+    /// Limit for requests in flight after the announcement; at least the
+    /// longest deadline of any request class.
     Duration finish_limit = std::chrono::seconds(65);
   };
 
   explicit StopSequence(const Options& options) : options_(options) {}
 
-  /// @brief A signal to stop; `count` signals have come so far.
+  /// @brief Handles a termination signal.
+  /// @param count number of signals received so far.
   void OnSignal(int count, MonotonicTime now);
 
-  /// @brief Moves on when it is time.
-  /// @param in_flight requests that still wait for their answer.
+  /// @brief Enters the next phase when it is due.
+  /// @param in_flight number of requests not yet answered.
   void Advance(std::size_t in_flight, MonotonicTime now);
 
   [[nodiscard]] StopPhase Phase() const { return phase_; }
 
-  /// @return requests that the stop cut, once stopped.
-  [[nodiscard]] std::size_t Cut() const { return cut_; }
+  /// @return number of requests aborted by the shutdown; 0 until stopped.
+  [[nodiscard]] std::size_t Cut() const { return aborted_count_; }
 
  private:
   void Enter(StopPhase phase, MonotonicTime now);
@@ -53,8 +54,8 @@
   const Options options_;
   StopPhase phase_ = StopPhase::kServing;
   MonotonicTime entered_at_;
-  bool is_hastened_ = false;
-  std::size_t cut_ = 0;
+  bool is_immediate_ = false;
+  std::size_t aborted_count_ = 0;
 };
 
 }  // namespace medlarcroft::process
--- a/lib/libmedlarcroft/include/medlarcroft/telemetry/gauge_group.h
+++ b/lib/libmedlarcroft/include/medlarcroft/telemetry/gauge_group.h
@@ -10,31 +10,32 @@
 
 namespace medlarcroft::telemetry {
 
-/// @brief One series' labels and value.
+/// @brief The labels and value of one series.
 struct GaugeValue {
   Labels labels;
   double value = 0;
 };
 
-/// @brief Gauges of one name whose label sets come and go.
+/// @brief Gauges of one name whose label sets change over time.
 ///
-/// Failure: a shift that ended keeps the value it last had. Symptom: operators
-/// see traffic move that stays. So a series that is no longer told falls to 0.
-/// Safe to share between threads.
+/// Failure: the series of a traffic shift that has ended keeps its last value.
+/// Symptom: operators see a shift that no longer exists. A series that is not
+/// in the latest update is therefore set to 0, which keeps it exported.
+/// Thread-safe.
 class GaugeGroup {
  public:
-  /// @param metrics outlives this.
+  /// @param metrics must outlive this object.
   GaugeGroup(MetricsRegistry& metrics, const MetricDescription& metric)
       : metrics_(metrics), metric_(metric) {}
 
-  /// @brief From now on these values hold, and 0 for all series not in them.
+  /// @brief Sets these series, and all earlier ones not among them to 0.
   void Set(std::span<const GaugeValue> values);
 
  private:
   MetricsRegistry& metrics_;
   const MetricDescription metric_;
   std::mutex mutex_;
-  std::vector<Gauge*> told_;
+  std::vector<Gauge*> active_;
 };
 
 }  // namespace medlarcroft::telemetry
--- a/lib/libmedlarcroft/include/medlarcroft/telemetry/label.h
+++ b/lib/libmedlarcroft/include/medlarcroft/telemetry/label.h
@@ -10,11 +10,12 @@
 
 namespace medlarcroft::telemetry {
 
-/// @brief One label of a metric. It is made from a typed name or from a code's
-/// constant only, so that no request can invent label values.
+/// @brief One label of a metric. It is constructed only from typed names or
+/// constants in the code, so that requests cannot create arbitrary label
+/// values.
 class Label {
  public:
-  // Implicit, so that a list of names reads as a list of labels.
+  // Implicit, so that a list of names can be passed as a list of labels.
   // NOLINTBEGIN(google-explicit-constructor)
   Label(const ServiceName& name) : Label("service", name.Value()) {}
   Label(const BrandName& name) : Label("brand", name.Value()) {}
@@ -25,13 +26,13 @@
   Label(const RegionName& name) : Label("region", name.Value()) {}
   // NOLINTEND(google-explicit-constructor)
 
-  /// @param name, value constants of the code, for example "outcome", "ran".
+  /// @param name, value constants in the code, e.g. "outcome", "ran".
   static Label OfConstant(std::string_view name, std::string_view value) {
     return {name, value};
   }
 
-  /// @param role a constant of the code, for series that name two failure
-  /// domains, for example "from" and "to".
+  /// @param role label name, a constant in the code, for series with two
+  /// failure domains, e.g. "from" and "to".
   static Label OfDomain(std::string_view role, const FailureDomainName& name) {
     return {role, name.Value()};
   }
--- a/lib/libmedlarcroft/include/medlarcroft/telemetry/latency_histogram.h
+++ b/lib/libmedlarcroft/include/medlarcroft/telemetry/latency_histogram.h
@@ -13,32 +13,33 @@
 
 namespace medlarcroft::telemetry {
 
-/// @brief One bucket with its count.
+/// @brief One bucket of a histogram.
 struct LatencyBucket {
-  Duration upper_bound;  ///< Longest duration counted here.
+  Duration upper_bound;  ///< Longest duration in this bucket.
   std::uint64_t count = 0;
 };
 
-/// @brief Durations from 10 µs to 100 s in buckets of equal ratio; shorter and
-/// longer ones fall into the first and last. Recording takes no lock: it is on
-/// the path of every request.
+/// @brief Histogram of durations from 10 µs to 100 s in logarithmic buckets;
+/// shorter and longer durations count in the first and last bucket. Recording
+/// is lock-free, since it is done for every request.
 class LatencyHistogram {
  public:
   static constexpr Duration kShortest = std::chrono::microseconds(10);
   static constexpr Duration kLongest = std::chrono::seconds(100);
 
-  /// @param buckets_per_decade a quantile is too high by a factor of at most
-  /// 10^(1 / buckets_per_decade).
+  /// @param buckets_per_decade quantiles are overestimated by a factor of at
+  /// most 10^(1 / buckets_per_decade).
   explicit LatencyHistogram(unsigned buckets_per_decade = 5);
 
   void Record(Duration duration);
 
   [[nodiscard]] std::uint64_t Count() const;
   [[nodiscard]] Duration Sum() const;
-  /// @return the upper bound of the bucket that holds the quantile, or nullopt
-  /// when nothing was recorded. @param quantile 0 to 1.
+  /// @param quantile 0 to 1.
+  /// @return the upper bound of the bucket that contains the quantile; nullopt
+  /// if nothing was recorded.
   [[nodiscard]] std::optional<Duration> Quantile(double quantile) const;
-  /// @return all buckets; the last one has no real bound and says kLongest.
+  /// @return all buckets; the last one is unbounded and reports kLongest.
   [[nodiscard]] std::vector<LatencyBucket> Buckets() const;
 
  private:
--- a/lib/libmedlarcroft/include/medlarcroft/telemetry/metrics.h
+++ b/lib/libmedlarcroft/include/medlarcroft/telemetry/metrics.h
@@ -15,13 +15,14 @@
 
 namespace medlarcroft::telemetry {
 
-/// @brief Counts events; never falls while the process lives.
+/// @brief A counter of events; it never decreases while the process runs.
 class Counter {
  public:
   void Add(std::uint64_t count = 1) {
     value_.fetch_add(count, std::memory_order_relaxed);
   }
-  /// @brief Takes over a count that is kept elsewhere; a lower one is ignored.
+  /// @brief Sets the counter to a count that is kept elsewhere; a lower count
+  /// is ignored.
   void RaiseTo(std::uint64_t count) {
     std::uint64_t seen = Value();
     while (seen < count && !value_.compare_exchange_weak(
@@ -36,7 +37,7 @@
   std::atomic<std::uint64_t> value_{0};
 };
 
-/// @brief A value that rises and falls.
+/// @brief A value that can increase and decrease.
 class Gauge {
  public:
   void Set(double value) { value_.store(value, std::memory_order_relaxed); }
@@ -48,19 +49,20 @@
   std::atomic<double> value_{0};
 };
 
-/// @brief A metric's name and meaning; constants of the code.
+/// @brief Name and HELP text of a metric; constants in the code.
 struct MetricDescription {
-  std::string_view name;  ///< For example "medlar_requests_total".
+  std::string_view name;  ///< E.g. "medlar_requests_total".
   std::string_view help;
 };
 
-/// @brief All metrics of a process. A feature asks for its metrics once and
-/// keeps the references, which stay good as long as the registry; using them
-/// takes no lock.
+/// @brief All metrics of a process. Callers get their metrics once and keep the
+/// references, which stay valid as long as the registry; updating a metric is
+/// lock-free.
 class MetricsRegistry {
  public:
-  /// Series of one name; further label sets share one series that is labelled
-  /// overflow="true". Bounds memory when brands or targets come and go.
+  /// Maximum number of series per name; further label sets share one series
+  /// with label overflow="true". Bounds memory when brands or targets come and
+  /// go.
   static constexpr std::size_t kMaxSeries = 4096;
 
   MetricsRegistry();
@@ -68,19 +70,20 @@
   MetricsRegistry(const MetricsRegistry&) = delete;
   MetricsRegistry& operator=(const MetricsRegistry&) = delete;
 
-  /// @return the counter of these labels, new or known.
+  /// @return the counter with these labels, created if it does not exist.
   Counter& CounterOf(const MetricDescription& metric, Labels labels = {});
   Gauge& GaugeOf(const MetricDescription& metric, Labels labels = {});
   LatencyHistogram& HistogramOf(const MetricDescription& metric,
                                 Labels labels = {});
 
-  /// @brief A gauge that is asked when the metrics are read. `read` must stay
-  /// callable as long as the registry and must not use it.
+  /// @brief Adds a gauge whose value is computed by `read` on each export.
+  /// `read` must stay callable as long as the registry exists, and must not use
+  /// the registry.
   void AddGaugeSource(const MetricDescription& metric,
                       Labels labels,
                       std::function<double()> read);
 
-  /// @return all metrics in Prometheus' text format, version 0.0.4, sorted.
+  /// @return all metrics, sorted, in the Prometheus text format version 0.0.4.
   [[nodiscard]] std::string FormatPrometheus() const;
 
  private:
--- a/lib/libmedlarcroft/include/medlarcroft/telemetry/request_log_sampler.h
+++ b/lib/libmedlarcroft/include/medlarcroft/telemetry/request_log_sampler.h
@@ -9,51 +9,53 @@
 
 namespace medlarcroft::telemetry {
 
-/// @brief How a request ended, for whoever may have to explain it.
+/// @brief How a request ended, in order of increasing severity.
 enum class RequestOutcome {
   kServed,
-  kLate,                 ///< Answered past its objective, or its caller left.
-  kFailed,               ///< Refused or failed by this host.
-  kNonIdempotentFailed,  ///< The same, of a request that is not idempotent.
+  kLate,    ///< Answered after its objective, or cancelled by its caller.
+  kFailed,  ///< Refused or failed on this host.
+  kNonIdempotentFailed,  ///< Like kFailed, for a non-idempotent request.
 };
 
 [[nodiscard]] std::string_view NameOf(RequestOutcome outcome);
 
-/// @brief Decides which requests are logged, each with all its lines or with
-/// none.
+/// @brief Samples the requests to log. A request is logged with all of its
+/// lines or not at all.
 ///
-/// Load: thousands of requests a second, of which many may fail at once. Harm
-/// prevented: a limit on lines alone lets parts of requests through, so that an
-/// id that is found can't be explained; and without a limit lines cost more
-/// than the requests. A hash of the id selects some, whatever becomes of them;
-/// others are selected at their end, orders that failed before the rest.
+/// Load: thousands of requests per second, many of which may fail at once.
+/// Without a limit, logging costs more than the requests. A limit on lines
+/// alone would log requests in part, so that an id found in the log could not
+/// be explained. Some requests are therefore sampled by a hash of their id,
+/// whatever their outcome; others are sampled when they end, with priority for
+/// failed requests that are not idempotent.
 class RequestLogSampler {
  public:
-  /// Most requests a second that are logged for their id.
-  static constexpr std::uint32_t kById = 20;
-  /// Most requests a second that are logged for their end. A part of it is kept
-  /// for the graver outcomes: an order that may have run has to be found.
-  static constexpr std::uint32_t kAtEnd = 20;
-
-  /// @brief Asked once a request, at its first line.
+  /// Maximum number of requests per second that are sampled by id.
+  static constexpr std::uint32_t kMaxByIdPerSecond = 20;
+  /// Maximum number of requests per second that are sampled by outcome. Part of
+  /// it is reserved for the more severe outcomes: a non-idempotent request that
+  /// may have run must be found in the log.
+  static constexpr std::uint32_t kMaxAtEndPerSecond = 20;
+
+  /// @brief Decides at the first line of a request; call it once per request.
   [[nodiscard]] bool SampleById(std::string_view id, MonotonicTime now);
-  /// @brief Asked at the end of a request that is not logged for its id.
+  /// @brief Decides at the end of a request that was not sampled by id.
   [[nodiscard]] bool SampleAtEnd(RequestOutcome outcome, MonotonicTime now);
-  /// @return how many requests were left out since it was last asked.
+  /// @return the number of requests not logged since the previous call.
   [[nodiscard]] std::uint64_t TakeUnsampledCount() {
-    return std::exchange(left_out_, 0);
+    return std::exchange(unsampled_count_, 0);
   }
 
  private:
   void Advance(MonotonicTime now);
 
-  MonotonicTime began_{};
-  std::uint32_t arrived_ = 0;
-  std::uint32_t chosen_by_id_ = 0;
-  std::uint32_t chosen_at_end_ = 0;
-  /// Requests whose hash is below it are logged for their id.
-  std::uint64_t chosen_below_ = UINT64_MAX;
-  std::uint64_t left_out_ = 0;
+  MonotonicTime window_start_{};
+  std::uint32_t request_count_ = 0;
+  std::uint32_t sampled_by_id_ = 0;
+  std::uint32_t sampled_at_end_ = 0;
+  /// Requests are sampled by id if their hash is not above this.
+  std::uint64_t max_sampled_hash_ = UINT64_MAX;
+  std::uint64_t unsampled_count_ = 0;
 };
 
 }  // namespace medlarcroft::telemetry
--- a/lib/libmedlarcroft/include/medlarcroft/telemetry/span.h
+++ b/lib/libmedlarcroft/include/medlarcroft/telemetry/span.h
@@ -13,21 +13,21 @@
 
 namespace medlarcroft::telemetry {
 
-/// @brief Which end of a hop a span describes. Values are OTLP's.
+/// @brief Which side of a call a span describes. Values as in OTLP.
 enum class SpanKind { kInternal = 1, kServer = 2, kClient = 3 };
 
-/// @brief How the work of a span ended. Values are OTLP's.
+/// @brief Status of a finished span. Values as in OTLP.
 enum class SpanStatus { kUnset = 0, kOk = 1, kError = 2 };
 
 using SpanValue = std::variant<bool, std::int64_t, double, std::string>;
 
-/// @brief One fact about a span, for example {"medlar.outcome", "not-run"}.
+/// @brief One attribute of a span, e.g. {"medlar.outcome", "not-run"}.
 struct SpanAttribute {
   std::string name;
   SpanValue value;
 };
 
-/// @brief One hop's part of a trace, ended.
+/// @brief A finished span.
 struct Span {
   TraceContext context;
   std::optional<SpanId> parent;
@@ -39,8 +39,8 @@
   std::vector<SpanAttribute> attributes;
 };
 
-/// @brief Where ended spans go. Called on the path of requests, so it must not
-/// block; what it can't take it drops and counts.
+/// @brief Receives finished spans. Called while handling requests, so it must
+/// not block; it drops and counts spans that it cannot accept.
 class SpanExporter {
  public:
   virtual ~SpanExporter() = default;
--- a/lib/libmedlarcroft/include/medlarcroft/telemetry/tracer.h
+++ b/lib/libmedlarcroft/include/medlarcroft/telemetry/tracer.h
@@ -14,8 +14,8 @@
 
 class Tracer;
 
-/// @brief A span that has begun. It is exported when it ends or is destroyed,
-/// if its trace is sampled; otherwise it only carries the ids on.
+/// @brief A started span. If its trace is sampled, it is exported when it ends
+/// or is destroyed; otherwise it only propagates the ids.
 class ActiveSpan {
  public:
   ActiveSpan(ActiveSpan&& other) noexcept;
@@ -24,38 +24,38 @@
   ActiveSpan& operator=(const ActiveSpan&) = delete;
   ~ActiveSpan();
 
-  /// @return what to send to the next hop.
+  /// @return the trace context to send to the next service.
   [[nodiscard]] const TraceContext& Context() const { return span_.context; }
   [[nodiscard]] bool IsSampled() const { return span_.context.is_sampled; }
 
   void SetAttribute(std::string_view name, SpanValue value);
   void SetStatus(SpanStatus status) { span_.status = status; }
 
-  /// @brief Ends the span now; further calls do nothing.
+  /// @brief Ends the span; further calls have no effect.
   void End();
 
  private:
   friend class Tracer;
-  ActiveSpan(const Tracer& tracer, Span span, MonotonicTime began);
+  ActiveSpan(const Tracer& tracer, Span span, MonotonicTime started_at);
 
-  const Tracer* tracer_;  ///< Null after the end.
+  const Tracer* tracer_;  ///< Null once ended.
   Span span_;
-  MonotonicTime began_;
+  MonotonicTime started_at_;
 };
 
-/// @brief Begins spans. The first hop of a trace decides whether it is
-/// sampled; all later hops keep that decision, so that a trace is whole or
-/// absent. Any thread may use it.
+/// @brief Starts spans. The first service of a trace decides whether it is
+/// sampled; all later ones keep that decision, so that a trace is complete or
+/// absent. Thread-safe.
 class Tracer {
  public:
-  /// @param sampling share of the traces begun here that is kept, 0 to 1.
-  /// All references must outlive the tracer and its spans.
+  /// @param sampling fraction of the traces started here that is sampled, 0 to
+  /// 1. All references must outlive the tracer and its spans.
   Tracer(const ports::Clock& clock,
          ports::RandomSource& random,
          SpanExporter& exporter,
          double sampling);
 
-  /// @param parent what the hop before sent; nullopt begins a trace.
+  /// @param parent trace context of the caller; nullopt starts a new trace.
   [[nodiscard]] ActiveSpan Start(std::string_view name,
                                  SpanKind kind,
                                  const std::optional<TraceContext>& parent);
--- a/lib/libmedlarcroft/source/adapters/console/catalogue_change_commands.cc
+++ b/lib/libmedlarcroft/source/adapters/console/catalogue_change_commands.cc
@@ -15,7 +15,7 @@
 namespace options = boost::program_options;
 using Json = nlohmann::ordered_json;
 
-/// Owners expect a change in force everywhere within 18 s.
+/// A change must be in force on all hosts within 18 s.
 constexpr int kDefaultWaitSeconds = 30;
 
 options::options_description ChangeOptions() {
@@ -28,7 +28,7 @@
   return description;
 }
 
-/// @return the version that a document read by `catalogue get` carries.
+/// @return the "version" field of a document, as printed by `catalogue get`.
 std::optional<std::uint64_t> VersionIn(const std::string& document) {
   const Json json = Json::parse(document, nullptr, false);
   if (!json.is_object() || !json.contains("version") ||
@@ -38,7 +38,8 @@
   return json["version"].get<std::uint64_t>();
 }
 
-void SetVersion(const options::variables_map& given, ConsoleChange& change) {
+void SetVersion(const options::variables_map& given,
+                CatalogueChangeRequest& change) {
   if (given.contains("if-version")) {
     change.version = given["if-version"].as<std::uint64_t>();
     change.has_version = true;
@@ -52,7 +53,7 @@
 
 ExitCode SendAndWait(const CommandContext& context,
                      const options::variables_map& given,
-                     ConsoleChange& change) {
+                     CatalogueChangeRequest& change) {
   change.change_id = given["change-id"].as<std::string>();
   if (change.change_id.empty()) {
     change.change_id = context.make_change_id();
@@ -66,7 +67,7 @@
                           std::chrono::seconds(given["timeout"].as<int>()));
 }
 
-HttpHeaders HeadersOf(const ConsoleChange& change) {
+HttpHeaders HeadersOf(const CatalogueChangeRequest& change) {
   HttpHeaders headers;
   headers.Add("Medlar-Change-Id", change.change_id);
   if (change.has_version && change.version == 0) {
@@ -84,29 +85,30 @@
 }
 
 ExitCode SendChange(const CommandContext& context,
-                    const ConsoleChange& change,
+                    const CatalogueChangeRequest& change,
                     std::optional<std::uint64_t>& revision) {
-  const auto reply = context.client.Send(change.method, EntryPath(change.entry),
-                                         HeadersOf(change), change.document);
-  if (!IsOk(reply)) {
-    return ReportNoAnswer(context, ErrorOf(reply), change.change_id);
+  const auto result =
+      context.client.Send(change.method, EntryPath(change.entry),
+                          HeadersOf(change), change.document);
+  if (!IsOk(result)) {
+    return ReportNoResponse(context, ErrorOf(result), change.change_id);
   }
 
-  const ClientResponse& answer = ValueOf(reply).answer;
-  const ExitCode code = ExitCodeOfChange(ValueOf(reply));
-  if (code != ExitCode::kDone) {
-    (void)ReportRefusal(context, answer);
+  const ClientResponse& response = ValueOf(result).response;
+  const ExitCode code = ExitCodeOfChange(ValueOf(result));
+  if (code != ExitCode::kSuccess) {
+    (void)ReportErrorResponse(context, response);
     if (code == ExitCode::kOutcomeUnknown) {
-      context.errors << "the change may have been made: repeat it with "
+      context.errors << "the change may have been accepted: retry with "
                         "--change-id "
                      << change.change_id << '\n';
     }
     return code;
   }
 
-  const Json body = Json::parse(answer.body, nullptr, false);
+  const Json body = Json::parse(response.body, nullptr, false);
   if (!body.is_object() || !body.contains("revision")) {
-    context.errors << "the answer can't be understood\n";
+    context.errors << "cannot parse the response of steerd\n";
     return ExitCode::kFailed;
   }
   revision = body.value("revision", std::uint64_t{0});
@@ -127,14 +129,14 @@
   if (!parsed) {
     return ExitCode::kBadUsage;
   }
-  const auto document = ReadSettingsFile(parsed->words[1]);
+  const auto document = ReadSettingsFile(parsed->positional[1]);
   if (!IsOk(document)) {
     PrintSettingsErrors(ErrorOf(document), context.errors);
     return ExitCode::kBadUsage;
   }
 
-  ConsoleChange change{.entry = parsed->words[0],
-                       .document = ValueOf(document)};
+  CatalogueChangeRequest change{.entry = parsed->positional[0],
+                                .document = ValueOf(document)};
   SetVersion(parsed->options, change);
   if (parsed->options["create"].as<bool>()) {
     change.version = 0;
@@ -150,10 +152,11 @@
   if (!parsed) {
     return ExitCode::kBadUsage;
   }
-  ConsoleChange change{.method = "DELETE", .entry = parsed->words[0]};
+  CatalogueChangeRequest change{.method = "DELETE",
+                                .entry = parsed->positional[0]};
   SetVersion(parsed->options, change);
   if (!change.has_version) {
-    context.errors << "--if-version is required: the version to delete\n";
+    context.errors << "--if-version is required to delete an entry\n";
     return ExitCode::kBadUsage;
   }
   return SendAndWait(context, parsed->options, change);
--- a/lib/libmedlarcroft/source/adapters/console/catalogue_check_command.cc
+++ b/lib/libmedlarcroft/source/adapters/console/catalogue_check_command.cc
@@ -14,8 +14,8 @@
 using catalogue::Entry;
 using catalogue::FieldFaults;
 
-/// @brief A file that holds a good entry by itself.
-struct CheckedFile {
+/// @brief A file whose entry is valid on its own.
+struct ParsedFile {
   std::string path;
   Entry entry;
 };
@@ -27,8 +27,8 @@
   PrintFieldFaults(faults, context.errors);
 }
 
-std::optional<CheckedFile> CheckAlone(const CommandContext& context,
-                                      const std::string& path) {
+std::optional<ParsedFile> CheckFile(const CommandContext& context,
+                                    const std::string& path) {
   const auto text = ReadSettingsFile(path);
   if (!IsOk(text)) {
     PrintSettingsErrors(ErrorOf(text), context.errors);
@@ -41,60 +41,60 @@
     return std::nullopt;
   }
 
-  CheckedFile checked{.path = path, .entry = TakeValue(std::move(parsed))};
+  ParsedFile checked{.path = path, .entry = TakeValue(std::move(parsed))};
   if (checked.entry.name.IsEmpty()) {
     checked.entry.name = EntryName(path);
   }
   return checked;
 }
 
-/// Files that name failure domains make sense only together with the files of
-/// these, so references are checked when several are given.
-bool CheckTogether(const CommandContext& context,
-                   const std::vector<CheckedFile>& files) {
+/// Checks references between entries. Entries refer to failure domains that are
+/// defined in other files, so this is possible only with several files.
+bool CheckAcrossFiles(const CommandContext& context,
+                      const std::vector<ParsedFile>& files) {
   std::map<EntryName, Entry> entries;
-  bool are_good = true;
-  for (const CheckedFile& file : files) {
+  bool are_valid = true;
+  for (const ParsedFile& file : files) {
     if (!entries.emplace(file.entry.name, file.entry).second) {
-      context.errors << file.path << ": a second file for entry "
+      context.errors << file.path << ": duplicate definition of entry "
                      << file.entry.name << '\n';
-      are_good = false;
+      are_valid = false;
     }
   }
 
   const catalogue::CatalogueView view(1, std::move(entries));
-  for (const CheckedFile& file : files) {
+  for (const ParsedFile& file : files) {
     const FieldFaults faults = catalogue::CheckChange(view, file.entry);
     if (!faults.empty()) {
       ReportFaults(context, file.path, faults);
-      are_good = false;
+      are_valid = false;
     }
   }
-  return are_good;
+  return are_valid;
 }
 
 }  // namespace
 
 ExitCode RunCatalogueCheck(const CommandContext& context, Arguments arguments) {
   if (arguments.empty()) {
-    context.errors << "takes one file or more\n";
+    context.errors << "expects at least one file\n";
     return ExitCode::kBadUsage;
   }
-  std::vector<CheckedFile> files;
+  std::vector<ParsedFile> files;
   for (const std::string& path : arguments) {
-    if (auto checked = CheckAlone(context, path)) {
+    if (auto checked = CheckFile(context, path)) {
       files.push_back(*std::move(checked));
     }
   }
 
-  bool are_good = files.size() == arguments.size();
-  if (are_good && files.size() > 1) {
-    are_good = CheckTogether(context, files);
+  bool are_valid = files.size() == arguments.size();
+  if (are_valid && files.size() > 1) {
+    are_valid = CheckAcrossFiles(context, files);
   }
-  if (are_good) {
-    context.out << files.size() << " good\n";
+  if (are_valid) {
+    context.out << files.size() << " valid\n";
   }
-  return are_good ? ExitCode::kDone : ExitCode::kInvalid;
+  return are_valid ? ExitCode::kSuccess : ExitCode::kInvalid;
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/console/catalogue_commands.h
+++ b/lib/libmedlarcroft/source/adapters/console/catalogue_commands.h
@@ -21,20 +21,20 @@
 ExitCode RunCatalogueStatus(const CommandContext& context, Arguments arguments);
 ExitCode RunCatalogueCheck(const CommandContext& context, Arguments arguments);
 
-/// @brief A change to send.
-struct ConsoleChange {
+/// @brief A request to create, replace or delete a catalogue entry.
+struct CatalogueChangeRequest {
   std::string method = "PUT";
   std::string entry;
   std::string document;
-  std::uint64_t version = 0;  ///< 0: the entry must not exist.
+  std::uint64_t version = 0;  ///< 0: the entry must not exist yet.
   bool has_version = false;   ///< False: no precondition is sent.
   std::string change_id;
 };
 
-/// @brief Sends a change and reports what became of it.
-/// @param revision set when it was accepted.
+/// @brief Sends a change and prints its result.
+/// @param revision set if the change was accepted.
 ExitCode SendChange(const CommandContext& context,
-                    const ConsoleChange& change,
+                    const CatalogueChangeRequest& change,
                     std::optional<std::uint64_t>& revision);
 
 /// @return the path of an entry, percent-encoded.
--- a/lib/libmedlarcroft/source/adapters/console/catalogue_read_commands.cc
+++ b/lib/libmedlarcroft/source/adapters/console/catalogue_read_commands.cc
@@ -84,7 +84,8 @@
   TextTable table({"FAILURE DOMAIN", "IN FORCE", "BEHIND", "OUT OF REACH"});
   for (const auto& [name, domain] : progress) {
     table.Add({name, std::to_string(domain.hosts_in_force),
-               JoinWords(domain.behind), JoinWords(domain.out_of_reach)});
+               JoinWithCommas(domain.behind),
+               JoinWithCommas(domain.out_of_reach)});
   }
   table.Print(out);
 }
@@ -96,14 +97,15 @@
   if (!parsed) {
     return ExitCode::kBadUsage;
   }
-  // The document goes out as JSON in any case: it is edited and put back.
+  // Always printed as JSON, to be edited and passed to `catalogue put`.
   return GetAndPrint(
-      context, EntryPath(parsed->words[0]), [&context](const JsonReply& reply) {
-        if (reply.headers.Find("Medlar-Source") == "replica") {
-          context.errors << "the platform is unavailable; this is what is in "
-                            "force on the host asked\n";
+      context, EntryPath(parsed->positional[0]),
+      [&context](const JsonResponse& response) {
+        if (response.headers.Find("Medlar-Source") == "replica") {
+          context.errors << "the platform is unavailable; showing the entry "
+                            "in force on the queried host\n";
         }
-        context.out << reply.body.dump(2) << '\n';
+        context.out << response.body.dump(2) << '\n';
       });
 }
 
@@ -118,8 +120,8 @@
   const auto kind = parsed->options["kind"].as<std::string>();
   const std::string query = kind.empty() ? "" : "?kind=" + PercentEncode(kind);
   return GetAndPrint(context, "/v1/catalogue" + query,
-                     [&context](const JsonReply& reply) {
-                       PrintEntries(reply.body, context.out);
+                     [&context](const JsonResponse& response) {
+                       PrintEntries(response.body, context.out);
                      });
 }
 
@@ -133,10 +135,10 @@
     return ExitCode::kBadUsage;
   }
   const std::string path =
-      EntryPath(parsed->words[0]) + "/history?limit=" +
+      EntryPath(parsed->positional[0]) + "/history?limit=" +
       std::to_string(parsed->options["limit"].as<unsigned>());
-  return GetAndPrint(context, path, [&context](const JsonReply& reply) {
-    PrintHistory(reply.body, context.out);
+  return GetAndPrint(context, path, [&context](const JsonResponse& response) {
+    PrintHistory(response.body, context.out);
   });
 }
 
@@ -145,7 +147,7 @@
   if (!ParseArguments({}, arguments, 0, context.errors)) {
     return ExitCode::kBadUsage;
   }
-  const auto statuses = AskStatuses(context);
+  const auto statuses = FetchStatuses(context);
   if (statuses.empty()) {
     context.errors << "no steerd answered\n";
     return ExitCode::kUnreachable;
@@ -162,7 +164,7 @@
     context.out << "highest revision " << highest << '\n';
     PrintProgress(progress, context.out);
   }
-  return IsInForce(progress) ? ExitCode::kDone : ExitCode::kNotYet;
+  return IsInForce(progress) ? ExitCode::kSuccess : ExitCode::kIncomplete;
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/console/command.cc
+++ b/lib/libmedlarcroft/source/adapters/console/command.cc
@@ -15,47 +15,51 @@
 namespace {
 
 constexpr std::array<Command, 13> kCommands{{
-    {"catalogue get", "ENTRY", "prints an entry, ready to be edited",
+    {"catalogue get", "ENTRY", "prints an entry as JSON that can be edited",
      "medlarctl catalogue get service.lookup-desk > desk.json",
      &RunCatalogueGet},
     {"catalogue put",
      "ENTRY FILE [--create | --if-version N] [--change-id ID] [--wait] "
      "[--timeout S]",
-     "sets an entry; the version in FILE is the one it replaces",
+     "creates or replaces an entry; FILE holds the version to replace",
      "medlarctl catalogue put service.lookup-desk desk.json --wait",
      &RunCataloguePut},
     {"catalogue delete",
      "ENTRY --if-version N [--change-id ID] [--wait] [--timeout S]",
      "deletes an entry", "medlarctl catalogue delete link.a.b --if-version 3",
      &RunCatalogueDelete},
-    {"catalogue list", "[--kind KIND]", "lists what is in force",
+    {"catalogue list", "[--kind KIND]", "lists the entries in force",
      "medlarctl catalogue list --kind drain", &RunCatalogueList},
-    {"catalogue history", "ENTRY [--limit N]", "who changed an entry and when",
+    {"catalogue history", "ENTRY [--limit N]",
+     "lists who changed an entry and when",
      "medlarctl catalogue history service.lookup-desk", &RunCatalogueHistory},
-    {"catalogue status", "", "how far the newest revision has come, by domain",
+    {"catalogue status", "",
+     "shows the rollout of the newest revision by domain",
      "medlarctl --steerd http://127.31.1.1:17001 catalogue status",
      &RunCatalogueStatus},
-    {"catalogue check", "FILE…", "checks files without a deployment",
+    {"catalogue check", "FILE…", "validates entry files offline",
      "medlarctl catalogue check dist/deployments/uwimana/catalogue/*.json",
      &RunCatalogueCheck},
     {"drain",
      "host|target|failure-domain NAME [--undo] [--watch] [--reason TEXT] "
      "[--timeout S]",
-     "takes something out of service, or back in",
+     "takes a host, target or domain out of service, or back in",
      "medlarctl drain target lookup-desk-1 --reason 'new disk' --watch",
      &RunDrain},
     {"explain", "--service S --brand B [--client IP]",
-     "which inputs, rule and limit made a look-up's answer",
+     "shows the inputs, rule and limit behind a look-up result",
      "medlarctl explain --service lookup-desk --brand uwimana", &RunExplain},
-    {"status", "[--members]", "hosts, readiness, what each serves and can't",
+    {"status", "[--members]",
+     "shows hosts, readiness, and which functions are available",
      "medlarctl status --members", &RunStatus},
     {"request", "ID FILE…",
-     "one request's log lines from several hosts' logs, in order of time",
+     "prints the log lines of one request from several logs, by time",
      "medlarctl request 9c41d07be2a35f68 logs/*.log", &RunRequest},
     {"outcomes", "FILE…",
-     "what became of requests, by second, domain and route, from hosts' logs",
+     "counts request outcomes in logs by second, domain and route",
      "medlarctl outcomes logs/*.log", &RunOutcomes},
-    {"report", "", "all steerds' status and catalogue, as one JSON document",
+    {"report", "",
+     "prints status and catalogue of all steerds as one JSON document",
      "medlarctl report > report.json", &RunReport},
 }};
 
@@ -96,7 +100,7 @@
     }
     return code;
   }
-  context.errors << "no such command; see medlarctl --help\n";
+  context.errors << "unknown command; see medlarctl --help\n";
   return ExitCode::kBadUsage;
 }
 
--- a/lib/libmedlarcroft/source/adapters/console/command.h
+++ b/lib/libmedlarcroft/source/adapters/console/command.h
@@ -15,7 +15,7 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief What every command works with.
+/// @brief Dependencies and output streams shared by all commands.
 struct CommandContext {
   SteerdClient& client;
   const ports::Clock& clock;
@@ -23,23 +23,24 @@
   std::function<std::string()> make_change_id;
   std::ostream& out;
   std::ostream& errors;
-  bool is_json = false;  ///< Print JSON for programs, not tables for people.
+  bool is_json = false;  ///< Print JSON instead of text tables.
 };
 
 /// @brief One command of medlarctl.
 struct Command {
-  std::string_view name;   ///< One or two words, for example "catalogue get".
-  std::string_view usage;  ///< What follows the name.
+  std::string_view name;   ///< One or two words, e.g. "catalogue get".
+  std::string_view usage;  ///< Synopsis of the arguments.
   std::string_view summary;
   std::string_view example;
   ExitCode (*run)(const CommandContext& context,
                   std::span<const std::string> arguments);
 };
 
-/// @return every command, in the order of the help text.
+/// @return all commands in the order of the help text.
 [[nodiscard]] std::span<const Command> AllCommands();
 
-/// @brief Finds the command that `words` begin with and runs it with the rest.
+/// @brief Runs the command that `words` begin with; the remaining words are its
+/// arguments.
 [[nodiscard]] ExitCode RunCommand(const CommandContext& context,
                                   std::span<const std::string> words);
 
--- a/lib/libmedlarcroft/source/adapters/console/command_line.cc
+++ b/lib/libmedlarcroft/source/adapters/console/command_line.cc
@@ -7,7 +7,7 @@
 std::optional<ParsedArguments> ParseArguments(
     const options::options_description& description,
     std::span<const std::string> arguments,
-    std::size_t words,
+    std::size_t positional_count,
     std::ostream& errors) {
   options::options_description all;
   all.add(description);
@@ -31,11 +31,11 @@
   }
 
   if (parsed.options.contains("word")) {
-    parsed.words = parsed.options["word"].as<std::vector<std::string>>();
+    parsed.positional = parsed.options["word"].as<std::vector<std::string>>();
   }
-  if (parsed.words.size() != words) {
-    errors << "takes " << words << " argument(s), not " << parsed.words.size()
-           << '\n';
+  if (parsed.positional.size() != positional_count) {
+    errors << "expected " << positional_count << " argument(s), got "
+           << parsed.positional.size() << '\n';
     return std::nullopt;
   }
   return parsed;
--- a/lib/libmedlarcroft/source/adapters/console/command_line.h
+++ b/lib/libmedlarcroft/source/adapters/console/command_line.h
@@ -11,19 +11,18 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief A command's own arguments: options and plain words.
+/// @brief Options and positional arguments of a command.
 struct ParsedArguments {
   boost::program_options::variables_map options;
-  std::vector<std::string> words;
+  std::vector<std::string> positional;
 };
 
-/// @brief Parses a command's arguments.
-/// @param words how many plain words the command takes.
-/// @return nullopt after saying on `errors` what is wrong.
+/// @param positional_count required number of positional arguments.
+/// @return nullopt after printing the error to `errors`.
 [[nodiscard]] std::optional<ParsedArguments> ParseArguments(
     const boost::program_options::options_description& options,
     std::span<const std::string> arguments,
-    std::size_t words,
+    std::size_t positional_count,
     std::ostream& errors);
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/console/drain_command.cc
+++ b/lib/libmedlarcroft/source/adapters/console/drain_command.cc
@@ -37,25 +37,26 @@
          drain.name;
 }
 
-/// @return the version of an entry, 0 when there is none, or the exit code.
+/// @return the version of an entry, 0 if it does not exist, or the exit code of
+/// the failed request.
 Result<std::uint64_t, ExitCode> FindVersion(const CommandContext& context,
                                             const std::string& entry) {
-  const auto reply = context.client.Send("GET", EntryPath(entry));
-  if (!IsOk(reply)) {
-    return ReportNoAnswer(context, ErrorOf(reply), {});
+  const auto result = context.client.Send("GET", EntryPath(entry));
+  if (!IsOk(result)) {
+    return ReportNoResponse(context, ErrorOf(result), {});
   }
-  const ClientResponse& answer = ValueOf(reply).answer;
-  const ExitCode code = ExitCodeOf(answer);
+  const ClientResponse& response = ValueOf(result).response;
+  const ExitCode code = ExitCodeOf(response);
   if (code == ExitCode::kNotFound) {
     return std::uint64_t{0};
   }
-  if (code != ExitCode::kDone) {
-    return ReportRefusal(context, answer);
+  if (code != ExitCode::kSuccess) {
+    return ReportErrorResponse(context, response);
   }
   const auto parsed =
-      catalogue::ParseEntry(answer.body, catalogue::UnknownFields::kIgnore);
+      catalogue::ParseEntry(response.body, catalogue::UnknownFields::kIgnore);
   if (!IsOk(parsed)) {
-    context.errors << "the answer can't be understood\n";
+    context.errors << "cannot parse the response of steerd\n";
     return ExitCode::kFailed;
   }
   return ValueOf(parsed).version;
@@ -74,14 +75,14 @@
   if (is_drained != is_undo) {
     context.out << drain.name
                 << (is_drained ? " is drained already\n" : " is not drained\n");
-    return ExitCode::kDone;
+    return ExitCode::kSuccess;
   }
 
-  ConsoleChange change{.method = is_undo ? "DELETE" : "PUT",
-                       .entry = entry,
-                       .version = ValueOf(version),
-                       .has_version = true,
-                       .change_id = context.make_change_id()};
+  CatalogueChangeRequest change{.method = is_undo ? "DELETE" : "PUT",
+                                .entry = entry,
+                                .version = ValueOf(version),
+                                .has_version = true,
+                                .change_id = context.make_change_id()};
   if (!is_undo) {
     change.document =
         catalogue::FormatEntry({.name = EntryName(entry), .body = drain});
@@ -89,52 +90,53 @@
   return SendChange(context, change, revision);
 }
 
-/// In its own domain a stopped host counts as dead; other domains can't tell it
-/// from one that is cut off and say "unknown". Neither gets work from them.
-bool IsGoneState(const std::string& state) {
+/// Hosts of the same failure domain report a stopped host as "dead". Hosts of
+/// other domains cannot distinguish it from an unreachable one and report
+/// "unknown". A host in either state receives no work.
+bool IsUnreachableState(const std::string& state) {
   return state == "dead" || state == "unknown";
 }
 
-bool IsHostGone(const std::vector<SteerdStatus>& statuses,
-                const std::string& host) {
+bool IsHostUnreachable(const std::vector<SteerdStatus>& statuses,
+                       const std::string& host) {
   return std::all_of(
       statuses.begin(), statuses.end(), [&host](const SteerdStatus& status) {
         return status.host != host &&
                std::all_of(status.members.begin(), status.members.end(),
                            [&host](const MemberStatus& member) {
                              return member.host != host ||
-                                    IsGoneState(member.state);
+                                    IsUnreachableState(member.state);
                            });
       });
 }
 
-/// @return whether nothing is left to wait for, as far as it can be seen.
-bool IsDrainDone(const std::vector<SteerdStatus>& statuses,
-                 const DrainEntry& drain) {
-  const auto outstanding =
-      OutstandingOf(statuses, catalogue::NameOf(drain.subject), drain.name);
+/// @return whether the drain is complete, as far as the statuses show.
+bool IsDrainComplete(const std::vector<SteerdStatus>& statuses,
+                     const DrainEntry& drain) {
+  const auto outstanding = OutstandingRequestsOf(
+      statuses, catalogue::NameOf(drain.subject), drain.name);
   if (outstanding) {
     return *outstanding == 0;
   }
   return drain.subject != DrainSubject::kHost ||
-         IsHostGone(statuses, drain.name);
+         IsHostUnreachable(statuses, drain.name);
 }
 
 void PrintOutcome(const CommandContext& context,
                   const std::vector<SteerdStatus>& statuses,
                   const DrainEntry& drain) {
-  const auto outstanding =
-      OutstandingOf(statuses, catalogue::NameOf(drain.subject), drain.name);
-  context.out << drain.name << ": gets no new work";
+  const auto outstanding = OutstandingRequestsOf(
+      statuses, catalogue::NameOf(drain.subject), drain.name);
+  context.out << drain.name << ": receives no new requests";
   if (outstanding) {
     context.out << ", " << *outstanding << " request(s) in flight\n";
   } else if (drain.subject == DrainSubject::kHost &&
-             IsDrainDone(statuses, drain)) {
-    context.out << "; stopped, or out of reach of the others\n";
-  } else if (IsDrainDone(statuses, drain)) {
-    context.out << "; what is in flight ends within its deadline\n";
+             IsDrainComplete(statuses, drain)) {
+    context.out << "; stopped, or unreachable from the other hosts\n";
+  } else if (IsDrainComplete(statuses, drain)) {
+    context.out << "; requests in flight end by their deadlines\n";
   } else {
-    context.out << "; the host still runs: stop its daemons\n";
+    context.out << "; the host is still running: stop its daemons\n";
   }
 }
 
@@ -144,17 +146,19 @@
                     Duration limit) {
   const MonotonicTime start = context.clock.Now();
   const ExitCode in_force = WaitUntilInForce(context, revision, limit);
-  if (in_force != ExitCode::kDone) {
+  if (in_force != ExitCode::kSuccess) {
     return in_force;
   }
 
-  std::vector<SteerdStatus> statuses = AskStatuses(context);
-  while (!IsDrainDone(statuses, drain) && context.clock.Now() - start < limit) {
+  std::vector<SteerdStatus> statuses = FetchStatuses(context);
+  while (!IsDrainComplete(statuses, drain) &&
+         context.clock.Now() - start < limit) {
     context.sleep(kPollPeriod);
-    statuses = AskStatuses(context);
+    statuses = FetchStatuses(context);
   }
   PrintOutcome(context, statuses, drain);
-  return IsDrainDone(statuses, drain) ? ExitCode::kDone : ExitCode::kNotYet;
+  return IsDrainComplete(statuses, drain) ? ExitCode::kSuccess
+                                          : ExitCode::kIncomplete;
 }
 
 }  // namespace
@@ -170,25 +174,26 @@
   if (!parsed) {
     return ExitCode::kBadUsage;
   }
-  const auto subject = ParseSubject(parsed->words[0]);
+  const auto subject = ParseSubject(parsed->positional[0]);
   if (!subject) {
-    context.errors << "drains a host, target or failure-domain\n";
+    context.errors << "expected host, target or failure-domain\n";
     return ExitCode::kBadUsage;
   }
 
   const DrainEntry drain{.subject = *subject,
-                         .name = parsed->words[1],
+                         .name = parsed->positional[1],
                          .reason = parsed->options["reason"].as<std::string>()};
   const bool is_undo = parsed->options["undo"].as<bool>();
   std::optional<std::uint64_t> revision;
   const ExitCode code = SendDrain(context, drain, is_undo, revision);
-  if (code != ExitCode::kDone || !parsed->options["watch"].as<bool>()) {
+  if (code != ExitCode::kSuccess || !parsed->options["watch"].as<bool>()) {
     return code;
   }
 
   const Duration limit =
       std::chrono::seconds(parsed->options["timeout"].as<int>());
-  // A drain that stood already is in force unless a host has just started.
+  // Without a revision the drain existed before: it is in force unless a host
+  // has just started.
   return is_undo ? WaitUntilInForce(context, revision.value_or(0), limit)
                  : WatchDrain(context, drain, revision.value_or(0), limit);
 }
--- a/lib/libmedlarcroft/source/adapters/console/drain_command.h
+++ b/lib/libmedlarcroft/source/adapters/console/drain_command.h
@@ -5,8 +5,9 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Writes or deletes the drain entry of a host, target or failure
-/// domain, and with --watch waits until it is in force and its work is done.
+/// @brief Creates or deletes the drain entry of a host, target or failure
+/// domain. With --watch it waits until the entry is in force and the requests
+/// in flight have ended.
 ExitCode RunDrain(const CommandContext& context, Arguments arguments);
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/console/exit_code.h
+++ b/lib/libmedlarcroft/source/adapters/console/exit_code.h
@@ -5,19 +5,19 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief How a medlarctl command ended, so that scripts can tell what to do.
+/// @brief Exit codes of medlarctl, for use in scripts.
 enum class ExitCode {
-  kDone = 0,
-  kFailed = kExitFailure,     ///< An answer that fits no other code.
-  kBadUsage = kExitBadUsage,  ///< The command line is wrong.
-  kInvalid = 3,         ///< The entry or a file is wrong; faults are listed.
-  kConflict = 4,        ///< Somebody else was first; read again.
-  kNotAllowed = 5,      ///< The token is unknown or belongs to another owner.
-  kNotFound = 6,        ///< No such entry.
-  kUnreachable = 7,     ///< No steerd answered; nothing was done.
-  kUnavailable = 8,     ///< The platform is unavailable; nothing was done.
-  kOutcomeUnknown = 9,  ///< It may have been done: repeat with the change id.
-  kNotYet = 10,         ///< A wait ended before what was waited for.
+  kSuccess = 0,
+  kFailed = kExitFailure,     ///< Any error without a code of its own.
+  kBadUsage = kExitBadUsage,  ///< Invalid command line.
+  kInvalid = 3,               ///< Invalid entry or file; faults are printed.
+  kConflict = 4,              ///< Changed concurrently; read it again.
+  kNotAllowed = 5,            ///< Unknown token, or token of another owner.
+  kNotFound = 6,              ///< The entry does not exist.
+  kUnreachable = 7,           ///< No steerd responded; nothing was changed.
+  kUnavailable = 8,           ///< Platform unavailable; nothing was changed.
+  kOutcomeUnknown = 9,        ///< Possibly changed: retry with the change id.
+  kIncomplete = 10,           ///< The requested state is not reached yet.
 };
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/console/in_force_wait.cc
+++ b/lib/libmedlarcroft/source/adapters/console/in_force_wait.cc
@@ -11,16 +11,17 @@
 namespace {
 
 constexpr Duration kPollPeriod = std::chrono::milliseconds(250);
-/// A paused steerd must not blur the times of the others.
+/// Short, so that a paused steerd does not distort the times of the others.
 constexpr Duration kPollTimeout = std::chrono::milliseconds(500);
 
-/// @brief When each failure domain was first seen with the revision in force.
+/// @brief Time after which the revision was first in force in each failure
+/// domain.
 class DomainTimes {
  public:
   explicit DomainTimes(MonotonicTime start) : start_(start) {}
 
-  void Note(const std::map<std::string, DomainProgress>& progress,
-            MonotonicTime now) {
+  void Record(const std::map<std::string, DomainProgress>& progress,
+              MonotonicTime now) {
     for (const auto& [name, domain] : progress) {
       if (domain.behind.empty() && domain.hosts_in_force > 0) {
         times_.emplace(name, now - start_);
@@ -39,7 +40,8 @@
                                     : FormatMilliseconds(static_cast<double>(
                                           ToMilliseconds(time->second)));
       table.Add({name, std::to_string(domain.hosts_in_force), after,
-                 JoinWords(domain.behind), JoinWords(domain.out_of_reach)});
+                 JoinWithCommas(domain.behind),
+                 JoinWithCommas(domain.out_of_reach)});
     }
     table.Print(out);
   }
@@ -51,14 +53,14 @@
 
 }  // namespace
 
-std::vector<SteerdStatus> AskStatuses(const CommandContext& context) {
+std::vector<SteerdStatus> FetchStatuses(const CommandContext& context) {
   std::vector<SteerdStatus> statuses;
-  for (const SteerdAnswer& answer :
+  for (const SteerdResult& result :
        context.client.GetFromAll("/v1/status", kPollTimeout)) {
-    if (!IsOk(answer.result)) {
+    if (!IsOk(result.response)) {
       continue;
     }
-    auto status = ParseSteerdStatus(ValueOf(answer.result).body);
+    auto status = ParseSteerdStatus(ValueOf(result.response).body);
     if (status) {
       statuses.push_back(*std::move(status));
     }
@@ -73,9 +75,9 @@
   DomainTimes times(start);
   std::map<std::string, DomainProgress> progress;
   while (true) {
-    progress = MeasureProgress(AskStatuses(context), revision);
+    progress = MeasureProgress(FetchStatuses(context), revision);
     const MonotonicTime now = context.clock.Now();
-    times.Note(progress, now);
+    times.Record(progress, now);
     if (IsInForce(progress) || now - start >= limit) {
       break;
     }
@@ -89,7 +91,7 @@
     context.errors << "no steerd answered\n";
     return ExitCode::kUnreachable;
   }
-  return IsInForce(progress) ? ExitCode::kDone : ExitCode::kNotYet;
+  return IsInForce(progress) ? ExitCode::kSuccess : ExitCode::kIncomplete;
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/console/in_force_wait.h
+++ b/lib/libmedlarcroft/source/adapters/console/in_force_wait.h
@@ -9,14 +9,14 @@
 
 namespace medlarcroft::adapters {
 
-/// @return the status of every steerd that answers.
-[[nodiscard]] std::vector<SteerdStatus> AskStatuses(
+/// @return the status of every steerd that responds.
+[[nodiscard]] std::vector<SteerdStatus> FetchStatuses(
     const CommandContext& context);
 
-/// @brief Polls until `revision` is in force on every host that is alive, and
-/// prints for each failure domain how long it took. Hosts out of reach are
-/// named and not waited for.
-/// @return kDone, kUnreachable, or kNotYet when `limit` passes first.
+/// @brief Polls until `revision` is in force on all hosts that are alive, then
+/// prints the time that each failure domain took. Unreachable hosts are listed
+/// but not waited for.
+/// @return kSuccess, kUnreachable, or kIncomplete when `limit` expires first.
 [[nodiscard]] ExitCode WaitUntilInForce(const CommandContext& context,
                                         std::uint64_t revision,
                                         Duration limit);
--- a/lib/libmedlarcroft/source/adapters/console/json_tree.cc
+++ b/lib/libmedlarcroft/source/adapters/console/json_tree.cc
@@ -12,44 +12,45 @@
 
 constexpr std::size_t kIndent = 2;
 
-bool IsPlain(const Json& value) {
+bool IsScalarOrEmpty(const Json& value) {
   return !value.is_structured() || value.empty();
 }
 
-bool IsPlainList(const Json& value) {
-  return value.is_array() && std::all_of(value.begin(), value.end(), &IsPlain);
+bool IsScalarList(const Json& value) {
+  return value.is_array() &&
+         std::all_of(value.begin(), value.end(), &IsScalarOrEmpty);
 }
 
-std::string FormatPlain(const Json& value) {
+std::string FormatScalar(const Json& value) {
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-std::string FormatPlainList(const Json& list) {
+std::string FormatScalarList(const Json& list) {
   std::string line;
   for (const Json& item : list) {
-    line += (line.empty() ? "" : ", ") + FormatPlain(item);
+    line += (line.empty() ? "" : ", ") + FormatScalar(item);
   }
   return line;
 }
 
-void PrintBelow(const Json& value, std::size_t depth, std::ostream& out);
+void PrintChildren(const Json& value, std::size_t depth, std::ostream& out);
 
 void PrintMember(const std::string& label,
                  const Json& value,
                  std::size_t depth,
                  std::ostream& out) {
   out << std::string(depth * kIndent, ' ') << label;
-  if (IsPlain(value)) {
-    out << ' ' << FormatPlain(value) << '\n';
-  } else if (IsPlainList(value)) {
-    out << ' ' << FormatPlainList(value) << '\n';
+  if (IsScalarOrEmpty(value)) {
+    out << ' ' << FormatScalar(value) << '\n';
+  } else if (IsScalarList(value)) {
+    out << ' ' << FormatScalarList(value) << '\n';
   } else {
     out << '\n';
-    PrintBelow(value, depth + 1, out);
+    PrintChildren(value, depth + 1, out);
   }
 }
 
-void PrintBelow(const Json& value, std::size_t depth, std::ostream& out) {
+void PrintChildren(const Json& value, std::size_t depth, std::ostream& out) {
   if (value.is_array()) {
     for (const Json& item : value) {
       PrintMember("-", item, depth, out);
@@ -63,12 +64,12 @@
 
 }  // namespace
 
-void PrintTree(const Json& value, std::ostream& out) {
-  if (IsPlain(value)) {
-    out << FormatPlain(value) << '\n';
+void PrintJsonTree(const Json& value, std::ostream& out) {
+  if (IsScalarOrEmpty(value)) {
+    out << FormatScalar(value) << '\n';
     return;
   }
-  PrintBelow(value, 0, out);
+  PrintChildren(value, 0, out);
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/console/json_tree.h
+++ b/lib/libmedlarcroft/source/adapters/console/json_tree.h
@@ -6,9 +6,9 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Prints an object as an indented tree, one value a line; a list of
-/// plain values stays on one line.
-void PrintTree(const nlohmann::ordered_json& value, std::ostream& out);
+/// @brief Prints JSON as an indented tree with one value per line; an array of
+/// scalars is printed on one line.
+void PrintJsonTree(const nlohmann::ordered_json& value, std::ostream& out);
 
 }  // namespace medlarcroft::adapters
 
--- a/lib/libmedlarcroft/source/adapters/console/log_line.cc
+++ b/lib/libmedlarcroft/source/adapters/console/log_line.cc
@@ -2,7 +2,7 @@
 
 namespace medlarcroft::adapters {
 
-std::optional<nlohmann::json> ReadLogLine(std::string& text) {
+std::optional<nlohmann::json> ParseLogLine(std::string& text) {
   const std::size_t begin = text.find('{');
   if (begin == std::string::npos) {
     return std::nullopt;
@@ -15,7 +15,7 @@
   return object;
 }
 
-std::string TextField(const nlohmann::json& line, const char* name) {
+std::string StringFieldOf(const nlohmann::json& line, const char* name) {
   const auto field = line.find(name);
   return field != line.end() && field->is_string() ? field->get<std::string>()
                                                    : std::string();
--- a/lib/libmedlarcroft/source/adapters/console/log_line.h
+++ b/lib/libmedlarcroft/source/adapters/console/log_line.h
@@ -7,15 +7,15 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Reads the JSON object of a log's line. Text before it is passed over
-/// and taken off `text`.
-/// @return nullopt: the line has none.
-[[nodiscard]] std::optional<nlohmann::json> ReadLogLine(std::string& text);
+/// @brief Parses the JSON object of a log line. Text before it is skipped and
+/// removed from `text`.
+/// @return nullopt if the line has no valid JSON object.
+[[nodiscard]] std::optional<nlohmann::json> ParseLogLine(std::string& text);
 
-/// @return the text of that field; empty when it is missing or no text, since a
-/// log may hold anything.
-[[nodiscard]] std::string TextField(const nlohmann::json& line,
-                                    const char* name);
+/// @return the value of a string field; empty if it is missing or no string,
+/// since logs may contain arbitrary data.
+[[nodiscard]] std::string StringFieldOf(const nlohmann::json& line,
+                                        const char* name);
 
 }  // namespace medlarcroft::adapters
 
--- a/lib/libmedlarcroft/source/adapters/console/outcome_command.cc
+++ b/lib/libmedlarcroft/source/adapters/console/outcome_command.cc
@@ -14,11 +14,12 @@
 
 namespace {
 
-// "2026-10-07T12:36:24"
+// Length of "2026-10-07T12:36:24".
 constexpr std::size_t kSecondChars = 19;
 
-/// @return the count or time of that field; 0 when it is none.
-double NumberOf(const nlohmann::json& line, const char* name) {
+/// @return the value of a numeric field; 0 if it is negative, missing or no
+/// number.
+double NonNegativeNumberOf(const nlohmann::json& line, const char* name) {
   const auto field = line.find(name);
   const bool is_number = field != line.end() && field->is_number();
   return is_number ? std::max(0.0, field->get<double>()) : 0;
@@ -29,10 +30,10 @@
   return field != line.end() && field->is_boolean() && field->get<bool>();
 }
 
-/// @return how the request of that line ended; nullopt: the line tells of no
-/// end.
+/// @return how a request ended; nullopt if the line does not report the end of
+/// a request.
 std::optional<std::string> OutcomeOf(const nlohmann::json& line) {
-  const std::string event = TextField(line, "event");
+  const std::string event = StringFieldOf(line, "event");
   if (event == "request-answered") {
     return "answered";
   }
@@ -40,10 +41,10 @@
     return "late";
   }
   if (event == "request-refused") {
-    return "refused, " + TextField(line, "reason");
+    return "refused, " + StringFieldOf(line, "reason");
   }
   if (event == "request-failed") {
-    return "failed, " + TextField(line, "reason");
+    return "failed, " + StringFieldOf(line, "reason");
   }
   if (event == "request-cancelled") {
     return "cancelled";
@@ -52,59 +53,62 @@
 }
 
 bool IsSend(const nlohmann::json& line) {
-  const std::string event = TextField(line, "event");
+  const std::string event = StringFieldOf(line, "event");
   return event == "request-placed" || event == "request-sent-again";
 }
 
 }  // namespace
 
 void OutcomeSummary::Add(const nlohmann::json& line) {
-  const std::string domain = TextField(line, "failure_domain");
-  const std::string route = TextField(line, "route");
+  const std::string domain = StringFieldOf(line, "failure_domain");
+  const std::string route = StringFieldOf(line, "route");
   if (IsSend(line)) {
-    Sum& sum = sends_[{.domain = domain,
-                       .route = route,
-                       .region = TextField(line, "region"),
-                       .is_warm = FlagOf(line, "is_warm")}];
-    ++sum.count;
-    sum.milliseconds += NumberOf(line, "expected_wait_ms");
+    Total& total = sends_[{.domain = domain,
+                           .route = route,
+                           .region = StringFieldOf(line, "region"),
+                           .is_warm = FlagOf(line, "is_warm")}];
+    ++total.count;
+    total.milliseconds += NonNegativeNumberOf(line, "expected_wait_ms");
     return;
   }
   const auto outcome = OutcomeOf(line);
   if (!outcome) {
     return;
   }
-  Sum& sum = ends_[{.second = TextField(line, "time").substr(0, kSecondChars),
-                    .domain = domain,
-                    .route = route,
-                    .outcome = *outcome}];
-  ++sum.count;
-  sum.milliseconds += NumberOf(line, "since_arrival_ms");
-  left_out_ += static_cast<std::uint64_t>(NumberOf(line, "held_back"));
+  Total& total =
+      ends_[{.second = StringFieldOf(line, "time").substr(0, kSecondChars),
+             .domain = domain,
+             .route = route,
+             .outcome = *outcome}];
+  ++total.count;
+  total.milliseconds += NonNegativeNumberOf(line, "since_arrival_ms");
+  unlogged_requests_ +=
+      static_cast<std::uint64_t>(NonNegativeNumberOf(line, "held_back"));
 }
 
 void OutcomeSummary::Print(std::ostream& out) const {
-  const auto mean = [](const Sum& sum) {
-    return FormatMilliseconds(sum.milliseconds /
-                              static_cast<double>(sum.count));
+  const auto mean = [](const Total& total) {
+    return FormatMilliseconds(total.milliseconds /
+                              static_cast<double>(total.count));
   };
   TextTable ends(
       {"second", "domain", "route", "outcome", "requests", "mean time"});
-  for (const auto& [end, sum] : ends_) {
+  for (const auto& [end, total] : ends_) {
     ends.Add({end.second, end.domain, end.route, end.outcome,
-              std::to_string(sum.count), mean(sum)});
+              std::to_string(total.count), mean(total)});
   }
   ends.Print(out);
   out << '\n';
   TextTable sends(
       {"domain", "route", "sent to", "object there", "sends", "expected wait"});
-  for (const auto& [send, sum] : sends_) {
+  for (const auto& [send, total] : sends_) {
     sends.Add({send.domain, send.route, send.region,
-               send.is_warm ? "yes" : "no", std::to_string(sum.count),
-               mean(sum)});
+               send.is_warm ? "yes" : "no", std::to_string(total.count),
+               mean(total)});
   }
   sends.Print(out);
-  out << '\n' << left_out_ << " requests have no lines in these logs\n";
+  out << '\n'
+      << unlogged_requests_ << " requests have no lines in these logs\n";
 }
 
 ExitCode RunOutcomes(const CommandContext& context,
@@ -116,21 +120,21 @@
   for (const std::string& file : arguments) {
     std::ifstream log(file);
     if (!log) {
-      context.errors << file << ": cannot be read\n";
+      context.errors << file << ": cannot read file\n";
       return ExitCode::kBadUsage;
     }
     for (std::string text; std::getline(log, text);) {
-      if (const auto line = ReadLogLine(text)) {
+      if (const auto line = ParseLogLine(text)) {
         summary.Add(*line);
       }
     }
   }
   if (summary.IsEmpty()) {
-    context.errors << "no line tells how a request ended\n";
+    context.errors << "no request outcomes found\n";
     return ExitCode::kNotFound;
   }
   summary.Print(context.out);
-  return ExitCode::kDone;
+  return ExitCode::kSuccess;
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/console/outcome_command.h
+++ b/lib/libmedlarcroft/source/adapters/console/outcome_command.h
@@ -13,44 +13,45 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief How the logged requests of several hosts ended, and where they were
-/// sent.
+/// @brief Counts the outcomes and destinations of requests in the logs of
+/// several hosts.
 class OutcomeSummary {
  public:
-  /// @brief Counts one line; those that tell of no request change nothing.
+  /// @brief Adds one log line; lines without a request outcome or a send are
+  /// ignored.
   void Add(const nlohmann::json& line);
   [[nodiscard]] bool IsEmpty() const { return ends_.empty(); }
   void Print(std::ostream& out) const;
 
  private:
-  struct End {
-    std::string second;  ///< As the host's clock told it.
+  struct EndKey {
+    std::string second;  ///< By the clock of the logging host.
     std::string domain;
     std::string route;
     std::string outcome;
 
-    auto operator<=>(const End&) const = default;
+    auto operator<=>(const EndKey&) const = default;
   };
-  struct Send {
+  struct SendKey {
     std::string domain;
     std::string route;
-    std::string region;  ///< Of the target.
+    std::string region;  ///< Region of the target.
     bool is_warm = false;
 
-    auto operator<=>(const Send&) const = default;
+    auto operator<=>(const SendKey&) const = default;
   };
-  struct Sum {
+  struct Total {
     std::uint64_t count = 0;
     double milliseconds = 0;
   };
 
-  std::map<End, Sum> ends_;    ///< Time from arrival to end.
-  std::map<Send, Sum> sends_;  ///< Wait that was expected at the target.
-  std::uint64_t left_out_ = 0;
+  std::map<EndKey, Total> ends_;    ///< Sums of time from arrival to end.
+  std::map<SendKey, Total> sends_;  ///< Sums of expected wait at the target.
+  std::uint64_t unlogged_requests_ = 0;
 };
 
-/// @brief medlarctl outcomes FILE…: what became of requests, by second, failure
-/// domain and route, from several hosts' logs.
+/// @brief medlarctl outcomes FILE…: counts request outcomes by second, failure
+/// domain and route, from the logs of several hosts.
 [[nodiscard]] ExitCode RunOutcomes(const CommandContext& context,
                                    std::span<const std::string> arguments);
 
--- a/lib/libmedlarcroft/source/adapters/console/request_command.cc
+++ b/lib/libmedlarcroft/source/adapters/console/request_command.cc
@@ -17,9 +17,9 @@
     if (text.find(id) == std::string::npos) {
       continue;
     }
-    const auto object = ReadLogLine(text);
-    if (object && TextField(*object, "request") == id) {
-      lines.push_back({.time = TextField(*object, "time"), .text = text});
+    const auto object = ParseLogLine(text);
+    if (object && StringFieldOf(*object, "request") == id) {
+      lines.push_back({.time = StringFieldOf(*object, "time"), .text = text});
     }
   }
   return lines;
@@ -35,7 +35,7 @@
   for (const std::string& file : arguments.subspan(1)) {
     std::ifstream log(file);
     if (!log) {
-      context.errors << file << ": cannot be read\n";
+      context.errors << file << ": cannot read file\n";
       return ExitCode::kBadUsage;
     }
     auto found = FindRequestLines(log, id);
@@ -46,10 +46,10 @@
     context.out << line.text << '\n';
   }
   if (lines.empty()) {
-    context.errors << "no line names request " << id << '\n';
+    context.errors << "no log lines found for request " << id << '\n';
     return ExitCode::kNotFound;
   }
-  return ExitCode::kDone;
+  return ExitCode::kSuccess;
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/console/request_command.h
+++ b/lib/libmedlarcroft/source/adapters/console/request_command.h
@@ -10,20 +10,20 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief One line of a log that names a request.
+/// @brief One log line of a request.
 struct RequestLogLine {
-  std::string time;  ///< As the host's clock told it.
+  std::string time;  ///< By the clock of the logging host.
   std::string text;
 };
 
-/// @return the lines of `log` that name the request `id`. Text before a line's
-/// JSON object is passed over, and so are lines without one.
+/// @return the lines of `log` whose "request" field is `id`. Lines without a
+/// JSON object are skipped, and so is text before the object.
 [[nodiscard]] std::vector<RequestLogLine> FindRequestLines(
     std::istream& log,
     const std::string& id);
 
-/// @brief medlarctl request ID FILE…: one request's lines from several hosts'
-/// logs, in the order of their times.
+/// @brief medlarctl request ID FILE…: prints the log lines of one request from
+/// the logs of several hosts, sorted by time.
 [[nodiscard]] ExitCode RunRequest(const CommandContext& context,
                                   std::span<const std::string> arguments);
 
--- a/lib/libmedlarcroft/source/adapters/console/response_report.cc
+++ b/lib/libmedlarcroft/source/adapters/console/response_report.cc
@@ -10,12 +10,12 @@
 
 namespace {
 
-struct StatusMeaning {
+struct StatusExitCode {
   int status;
   ExitCode code;
 };
 
-constexpr StatusMeaning kMeanings[] = {
+constexpr StatusExitCode kStatusExitCodes[] = {
     {400, ExitCode::kInvalid},       {401, ExitCode::kNotAllowed},
     {403, ExitCode::kNotAllowed},    {404, ExitCode::kNotFound},
     {409, ExitCode::kConflict},      {412, ExitCode::kConflict},
@@ -23,21 +23,21 @@
     {428, ExitCode::kConflict},      {503, ExitCode::kUnavailable},
     {504, ExitCode::kOutcomeUnknown}};
 
-Result<JsonReply, ExitCode> GetJson(const CommandContext& context,
-                                    const std::string& path) {
-  const auto reply = context.client.Send("GET", path);
-  if (!IsOk(reply)) {
-    return ReportNoAnswer(context, ErrorOf(reply), {});
+Result<JsonResponse, ExitCode> GetJson(const CommandContext& context,
+                                       const std::string& path) {
+  const auto result = context.client.Send("GET", path);
+  if (!IsOk(result)) {
+    return ReportNoResponse(context, ErrorOf(result), {});
   }
-  const ClientResponse& answer = ValueOf(reply).answer;
-  if (ExitCodeOf(answer) != ExitCode::kDone) {
-    return ReportRefusal(context, answer);
+  const ClientResponse& response = ValueOf(result).response;
+  if (ExitCodeOf(response) != ExitCode::kSuccess) {
+    return ReportErrorResponse(context, response);
   }
-  JsonReply json{
-      .body = nlohmann::ordered_json::parse(answer.body, nullptr, false),
-      .headers = answer.headers};
+  JsonResponse json{
+      .body = nlohmann::ordered_json::parse(response.body, nullptr, false),
+      .headers = response.headers};
   if (!json.body.is_object()) {
-    context.errors << "the answer can't be understood\n";
+    context.errors << "cannot parse the response of steerd\n";
     return ExitCode::kFailed;
   }
   return json;
@@ -45,67 +45,72 @@
 
 }  // namespace
 
-ExitCode ExitCodeOf(const ClientResponse& answer) {
-  if (answer.headers.Find("Medlar-Outcome") == "unknown") {
+ExitCode ExitCodeOf(const ClientResponse& response) {
+  if (response.headers.Find("Medlar-Outcome") == "unknown") {
     return ExitCode::kOutcomeUnknown;
   }
-  if (answer.status >= 200 && answer.status < 300) {
-    return ExitCode::kDone;
+  if (response.status >= 200 && response.status < 300) {
+    return ExitCode::kSuccess;
   }
-  for (const StatusMeaning& meaning : kMeanings) {
-    if (meaning.status == answer.status) {
-      return meaning.code;
+  for (const StatusExitCode& entry : kStatusExitCodes) {
+    if (entry.status == response.status) {
+      return entry.code;
     }
   }
   return ExitCode::kFailed;
 }
 
-ExitCode ReportNoAnswer(const CommandContext& context,
-                        const NoSteerdAnswered& failure,
-                        std::string_view change_id) {
+ExitCode ReportNoResponse(const CommandContext& context,
+                          const NoSteerdResponse& failure,
+                          std::string_view change_id) {
   if (failure.is_proved_unsent || change_id.empty()) {
     context.errors << "no steerd answered\n";
     return ExitCode::kUnreachable;
   }
-  context.errors << "no steerd answered, but the change may have been made: "
-                    "repeat it with --change-id "
-                 << change_id << '\n';
+  context.errors
+      << "no steerd answered, but the change may have been accepted: "
+         "retry with --change-id "
+      << change_id << '\n';
   return ExitCode::kOutcomeUnknown;
 }
 
-ExitCode GetAndPrint(const CommandContext& context,
-                     const std::string& path,
-                     const std::function<void(const JsonReply& reply)>& print) {
-  const auto reply = GetJson(context, path);
-  if (!IsOk(reply)) {
-    return ErrorOf(reply);
+ExitCode GetAndPrint(
+    const CommandContext& context,
+    const std::string& path,
+    const std::function<void(const JsonResponse& response)>& print) {
+  const auto result = GetJson(context, path);
+  if (!IsOk(result)) {
+    return ErrorOf(result);
   }
   if (context.is_json) {
-    context.out << ValueOf(reply).body.dump(2) << '\n';
+    context.out << ValueOf(result).body.dump(2) << '\n';
   } else {
-    print(ValueOf(reply));
+    print(ValueOf(result));
   }
-  return ExitCode::kDone;
+  return ExitCode::kSuccess;
 }
 
-ExitCode ReportRefusal(const CommandContext& context,
-                       const ClientResponse& answer) {
-  auto body = nlohmann::ordered_json::parse(answer.body, nullptr, false);
+ExitCode ReportErrorResponse(const CommandContext& context,
+                             const ClientResponse& response) {
+  auto body = nlohmann::ordered_json::parse(response.body, nullptr, false);
   if (!body.is_object()) {
-    context.errors << "answer " << answer.status << '\n';
+    context.errors << "HTTP status " << response.status << '\n';
   } else if (context.is_json) {
     context.errors << body.dump(2) << '\n';
   } else {
-    body.erase("current");  // Long; `catalogue get` shows it.
-    PrintTree(body, context.errors);
+    body.erase("current");  // Too long; `catalogue get` prints it.
+    PrintJsonTree(body, context.errors);
   }
-  return ExitCodeOf(answer);
+  return ExitCodeOf(response);
 }
 
-ExitCode ExitCodeOfChange(const SteerdReply& reply) {
-  const ExitCode code = ExitCodeOf(reply.answer);
-  const bool is_proof = code == ExitCode::kDone || code == ExitCode::kConflict;
-  return reply.had_lost_answer && !is_proof ? ExitCode::kOutcomeUnknown : code;
+ExitCode ExitCodeOfChange(const SteerdResponse& response) {
+  const ExitCode code = ExitCodeOf(response.response);
+  const bool is_conclusive =
+      code == ExitCode::kSuccess || code == ExitCode::kConflict;
+  return response.has_unanswered_attempt && !is_conclusive
+             ? ExitCode::kOutcomeUnknown
+             : code;
 }
 
 void PrintFieldFaults(const catalogue::FieldFaults& faults, std::ostream& out) {
--- a/lib/libmedlarcroft/source/adapters/console/response_report.h
+++ b/lib/libmedlarcroft/source/adapters/console/response_report.h
@@ -11,38 +11,40 @@
 
 namespace medlarcroft::adapters {
 
-/// @return the exit code that an answer of the operators' interface stands for.
-[[nodiscard]] ExitCode ExitCodeOf(const ClientResponse& answer);
-
-/// @brief Says why no steerd answered.
-/// @param change_id set for a change: it may have been made.
-[[nodiscard]] ExitCode ReportNoAnswer(const CommandContext& context,
-                                      const NoSteerdAnswered& failure,
-                                      std::string_view change_id);
-
-/// @brief A JSON answer to a read.
-struct JsonReply {
+/// @return the exit code that corresponds to a response of the operator API.
+[[nodiscard]] ExitCode ExitCodeOf(const ClientResponse& response);
+
+/// @brief Prints that no steerd responded.
+/// @param change_id set when the request was a change, which may have been
+/// accepted.
+[[nodiscard]] ExitCode ReportNoResponse(const CommandContext& context,
+                                        const NoSteerdResponse& failure,
+                                        std::string_view change_id);
+
+/// @brief A parsed JSON response to a GET request.
+struct JsonResponse {
   nlohmann::ordered_json body;
   HttpHeaders headers;
 };
 
-/// @brief Reads from the first steerd that answers, and prints the answer:
-/// with --json as it is, else by `print`.
+/// @brief Sends a GET request to the first steerd that responds, and prints the
+/// response: unchanged with --json, otherwise with `print`.
 [[nodiscard]] ExitCode GetAndPrint(
     const CommandContext& context,
     const std::string& path,
-    const std::function<void(const JsonReply& reply)>& print);
+    const std::function<void(const JsonResponse& response)>& print);
 
-/// @brief Says what a refusal says, with its faults.
-[[nodiscard]] ExitCode ReportRefusal(const CommandContext& context,
-                                     const ClientResponse& answer);
+/// @brief Prints the body of an error response, including its list of faults.
+[[nodiscard]] ExitCode ReportErrorResponse(const CommandContext& context,
+                                           const ClientResponse& response);
 
-/// @return the exit code of a change. After a lost answer only an acceptance or
-/// a conflict is proof: the change id or the entry's version then rules out
-/// that the first request takes effect later; any other refusal leaves it open.
-[[nodiscard]] ExitCode ExitCodeOfChange(const SteerdReply& reply);
+/// @return the exit code of a change. If an earlier attempt got no response,
+/// only success or a conflict is conclusive: the change id or the entry's
+/// version then rules out that the earlier attempt takes effect later. After
+/// any other error the outcome is unknown.
+[[nodiscard]] ExitCode ExitCodeOfChange(const SteerdResponse& response);
 
-/// @brief Prints faults as a table.
+/// @brief Prints faults as a table with path, fault and allowed values.
 void PrintFieldFaults(const catalogue::FieldFaults& faults, std::ostream& out);
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/console/status_commands.cc
+++ b/lib/libmedlarcroft/source/adapters/console/status_commands.cc
@@ -28,20 +28,21 @@
                    "PLATFORM", "SERVES", "CANNOT"});
   for (const SteerdStatus& status : statuses) {
     const std::string ready =
-        status.is_ready ? "yes" : "no: " + JoinWords(status.not_ready_because);
+        status.is_ready ? "yes"
+                        : "no: " + JoinWithCommas(status.not_ready_because);
     const std::string platform =
         std::string(status.is_platform_reachable ? "up " : "down ") +
         FormatAge(status.platform_since_ms);
     table.Add({status.host, status.failure_domain, ready,
                std::to_string(status.revision),
                FormatAge(status.in_force_ms_ago), platform,
-               JoinWords(status.serves), JoinWords(status.cannot)});
+               JoinWithCommas(status.serves), JoinWithCommas(status.cannot)});
   }
   table.Print(out);
 }
 
 void PrintMembers(const SteerdStatus& status, std::ostream& out) {
-  out << "\nmembers as " << status.host << " sees them\n";
+  out << "\nmembers reported by " << status.host << "\n";
   TextTable table(
       {"HOST", "FAILURE DOMAIN", "STATE", "PHASE", "REVISION", "HEARD"});
   for (const MemberStatus& member : status.members) {
@@ -51,23 +52,24 @@
   table.Print(out);
 }
 
-Json BodyOf(const ClientResponse& answer) {
-  const Json body = Json::parse(answer.body, nullptr, false);
+Json BodyOf(const ClientResponse& response) {
+  const Json body = Json::parse(response.body, nullptr, false);
   return body.is_discarded() ? Json(nullptr) : body;
 }
 
-/// @return url → body of every steerd, null where none answered.
+/// @return the response body of each steerd by URL; null if it did not respond.
 Json CollectAll(const CommandContext& context, const std::string& path) {
   Json bodies = Json::object();
-  for (const SteerdAnswer& answer :
+  for (const SteerdResult& result :
        context.client.GetFromAll(path, context.client.ReadTimeout())) {
-    bodies[answer.url] =
-        IsOk(answer.result) ? BodyOf(ValueOf(answer.result)) : Json(nullptr);
+    bodies[result.url] = IsOk(result.response)
+                             ? BodyOf(ValueOf(result.response))
+                             : Json(nullptr);
   }
   return bodies;
 }
 
-bool HasAnswer(const Json& bodies) {
+bool HasResponse(const Json& bodies) {
   for (const Json& body : bodies) {
     if (body.is_object()) {
       return true;
@@ -86,13 +88,13 @@
     return ExitCode::kBadUsage;
   }
   const Json bodies = CollectAll(context, "/v1/status");
-  if (!HasAnswer(bodies)) {
+  if (!HasResponse(bodies)) {
     context.errors << "no steerd answered\n";
     return ExitCode::kUnreachable;
   }
   if (context.is_json) {
     context.out << bodies.dump(2) << '\n';
-    return ExitCode::kDone;
+    return ExitCode::kSuccess;
   }
 
   std::vector<SteerdStatus> statuses;
@@ -109,7 +111,7 @@
       PrintMembers(status, context.out);
     }
   }
-  return ExitCode::kDone;
+  return ExitCode::kSuccess;
 }
 
 ExitCode RunExplain(const CommandContext& context, Arguments arguments) {
@@ -131,8 +133,8 @@
               PercentEncode(value);
     }
   }
-  return GetAndPrint(context, path, [&context](const JsonReply& reply) {
-    PrintTree(reply.body, context.out);
+  return GetAndPrint(context, path, [&context](const JsonResponse& response) {
+    PrintJsonTree(response.body, context.out);
   });
 }
 
@@ -143,13 +145,13 @@
   constexpr std::array<const char*, 2> kPaths{"/v1/status", "/v1/catalogue"};
   Json report = {{"written_at_ms",
                   ToMilliseconds(context.clock.WallNow().time_since_epoch())}};
-  bool has_answer = false;
+  bool has_response = false;
   for (const char* path : kPaths) {
     report[path] = CollectAll(context, path);
-    has_answer |= HasAnswer(report[path]);
+    has_response |= HasResponse(report[path]);
   }
   context.out << report.dump(2) << '\n';
-  return has_answer ? ExitCode::kDone : ExitCode::kUnreachable;
+  return has_response ? ExitCode::kSuccess : ExitCode::kUnreachable;
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/console/status_commands.h
+++ b/lib/libmedlarcroft/source/adapters/console/status_commands.h
@@ -5,14 +5,15 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief One line for each host that any steerd knows, and what each steerd
-/// asked serves and can't.
+/// @brief Prints one line for each steerd that responds, with the functions
+/// that are available there, and with --members the hosts that each one knows.
 ExitCode RunStatus(const CommandContext& context, Arguments arguments);
 
-/// @brief Prints the inputs, rule and limit of a look-up as a tree.
+/// @brief Prints the inputs, rule and limit that decide a look-up, as a tree.
 ExitCode RunExplain(const CommandContext& context, Arguments arguments);
 
-/// @brief Everything that support asks for, as one JSON document.
+/// @brief Prints the status and catalogue of all steerds as one JSON document,
+/// for support requests.
 ExitCode RunReport(const CommandContext& context, Arguments arguments);
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/console/steerd_client.cc
+++ b/lib/libmedlarcroft/source/adapters/console/steerd_client.cc
@@ -7,20 +7,21 @@
 
 namespace {
 
-/// A catalogue entry may take 1 MB, a status of 880 hosts about 0.2 MB.
-constexpr std::size_t kMaxAnswerBytes = std::size_t{8} * 1024 * 1024;
+/// A catalogue entry can be 1 MB, a status response with 880 hosts about 0.2
+/// MB.
+constexpr std::size_t kMaxResponseBytes = std::size_t{8} * 1024 * 1024;
 
 }  // namespace
 
 SteerdClient::SteerdClient(Options options)
     : options_(std::move(options)), client_({.ca_file = options_.ca_file}) {}
 
-Result<SteerdReply, NoSteerdAnswered> SteerdClient::Send(
+Result<SteerdResponse, NoSteerdResponse> SteerdClient::Send(
     const std::string& method,
     const std::string& path,
     const HttpHeaders& headers,
     const std::string& body) {
-  NoSteerdAnswered failure;
+  NoSteerdResponse failure;
   for (std::size_t i = 0; i < options_.urls.size(); ++i) {
     const std::size_t index = (preferred_ + i) % options_.urls.size();
     ClientRequest request = MakeRequest(options_.urls[index], method, path);
@@ -31,15 +32,16 @@
     ClientResult result = client_.SendAndWait(std::move(request));
     if (IsOk(result)) {
       preferred_ = index;
-      return SteerdReply{.answer = TakeValue(std::move(result)),
-                         .had_lost_answer = !failure.is_proved_unsent};
+      return SteerdResponse{
+          .response = TakeValue(std::move(result)),
+          .has_unanswered_attempt = !failure.is_proved_unsent};
     }
     failure.is_proved_unsent &= ErrorOf(result).is_proved_unsent;
   }
   return failure;
 }
 
-std::vector<SteerdAnswer> SteerdClient::GetFromAll(const std::string& path,
+std::vector<SteerdResult> SteerdClient::GetFromAll(const std::string& path,
                                                    Duration timeout) {
   std::vector<std::promise<ClientResult>> promises(options_.urls.size());
   for (std::size_t i = 0; i < options_.urls.size(); ++i) {
@@ -51,13 +53,13 @@
                  });
   }
 
-  std::vector<SteerdAnswer> answers;
-  answers.reserve(promises.size());
+  std::vector<SteerdResult> results;
+  results.reserve(promises.size());
   for (std::size_t i = 0; i < promises.size(); ++i) {
-    answers.push_back(
-        {.url = options_.urls[i], .result = promises[i].get_future().get()});
+    results.push_back(
+        {.url = options_.urls[i], .response = promises[i].get_future().get()});
   }
-  return answers;
+  return results;
 }
 
 ClientRequest SteerdClient::MakeRequest(const std::string& url,
@@ -67,7 +69,7 @@
       .method = method,
       .url = url + path,
       .timeout = method == "GET" ? options_.read_timeout : options_.timeout,
-      .max_answer_bytes = kMaxAnswerBytes};
+      .max_answer_bytes = kMaxResponseBytes};
   if (!options_.token.empty()) {
     request.headers.Add("Authorization", "Bearer " + options_.token);
   }
--- a/lib/libmedlarcroft/source/adapters/console/steerd_client.h
+++ b/lib/libmedlarcroft/source/adapters/console/steerd_client.h
@@ -10,35 +10,34 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief No steerd gave an answer.
-struct NoSteerdAnswered {
-  /// False when a request may have arrived somewhere.
+/// @brief The error when no steerd responded.
+struct NoSteerdResponse {
+  /// False if a steerd may have received the request.
   bool is_proved_unsent = true;
 };
 
-/// @brief An answer, and what went before it.
-struct SteerdReply {
-  ClientResponse answer;
-  /// An earlier steerd may have got the request and not answered.
-  bool had_lost_answer = false;
+/// @brief A response, and whether earlier attempts are unresolved.
+struct SteerdResponse {
+  ClientResponse response;
+  /// An earlier steerd may have received the request without responding.
+  bool has_unanswered_attempt = false;
 };
 
-/// @brief One steerd's answer, or none, in the order of the URLs.
-struct SteerdAnswer {
+/// @brief The response of one steerd, or why there is none.
+struct SteerdResult {
   std::string url;
-  Result<ClientResponse, TransportError> result;
+  Result<ClientResponse, TransportError> response;
 };
 
-/// @brief Talks to the first steerd that answers.
+/// @brief HTTP client for a list of steerds, with failover to the next one.
 class SteerdClient {
  public:
   struct Options {
-    std::vector<std::string> urls;  ///< For example "http://127.0.0.1:17001".
-    std::string token;              ///< Empty: none is sent.
-    /// For changes: longer than the ten seconds that one may take at the
-    /// platform.
+    std::vector<std::string> urls;  ///< E.g. "http://127.0.0.1:17001".
+    std::string token;              ///< No token is sent if empty.
+    /// For changes; longer than the 10 s that the platform may take for one.
     Duration timeout = std::chrono::seconds(15);
-    /// For reads: a paused steerd must not keep an operator waiting.
+    /// For reads; short, so that a paused steerd does not block the operator.
     Duration read_timeout = std::chrono::seconds(3);
     std::string ca_file;
   };
@@ -47,20 +46,21 @@
 
   [[nodiscard]] Duration ReadTimeout() const { return options_.read_timeout; }
 
-  /// @brief Sends to one steerd after the other until one answers. A change
-  /// carries its change id, so that sending it to the next one after a lost
-  /// answer makes no second change. Later requests begin with the steerd that
-  /// answered last.
-  /// @param path with the query, percent-encoded.
-  [[nodiscard]] Result<SteerdReply, NoSteerdAnswered> Send(
+  /// @brief Tries one steerd after another until one responds. A change carries
+  /// its change id, so retrying it at the next steerd after a lost response
+  /// does not apply it twice. Later requests start with the steerd that
+  /// responded last.
+  /// @param path path and query, percent-encoded.
+  [[nodiscard]] Result<SteerdResponse, NoSteerdResponse> Send(
       const std::string& method,
       const std::string& path,
       const HttpHeaders& headers = {},
       const std::string& body = {});
 
-  /// @brief Asks every steerd at once, for reports about all of them.
-  /// @param timeout for each of them.
-  [[nodiscard]] std::vector<SteerdAnswer> GetFromAll(const std::string& path,
+  /// @brief Sends a GET request to all steerds in parallel.
+  /// @param timeout for each request.
+  /// @return the results in the order of the URLs.
+  [[nodiscard]] std::vector<SteerdResult> GetFromAll(const std::string& path,
                                                      Duration timeout);
 
  private:
@@ -69,7 +69,7 @@
                                           const std::string& path) const;
 
   const Options options_;
-  std::size_t preferred_ = 0;  ///< Index of the URL that answered last.
+  std::size_t preferred_ = 0;  ///< Index of the URL that responded last.
   HttpClient client_;
 };
 
--- a/lib/libmedlarcroft/source/adapters/console/steerd_status.cc
+++ b/lib/libmedlarcroft/source/adapters/console/steerd_status.cc
@@ -70,8 +70,9 @@
   return status;
 }
 
-/// The newest word about each host; a host's own word has age 0.
-std::map<std::string, MemberStatus> NewestWords(
+/// The newest known state of each host. A host's own status has age -1 and so
+/// wins over reports of other hosts.
+std::map<std::string, MemberStatus> NewestStates(
     const std::vector<SteerdStatus>& statuses) {
   std::map<std::string, MemberStatus> newest;
   const auto add = [&newest](const MemberStatus& member) {
@@ -107,9 +108,9 @@
     const std::vector<SteerdStatus>& statuses,
     std::uint64_t revision) {
   std::map<std::string, DomainProgress> progress;
-  for (const auto& [host, member] : NewestWords(statuses)) {
+  for (const auto& [host, member] : NewestStates(statuses)) {
     if (member.state == kDead) {
-      continue;  // Gone; its successor starts with the newest revision.
+      continue;  // Stopped; its successor starts with the newest revision.
     }
     DomainProgress& domain = progress[member.failure_domain];
     const bool is_alive = member.state == kAlive || member.state == kLeaving;
@@ -131,7 +132,7 @@
          });
 }
 
-std::optional<std::uint64_t> OutstandingOf(
+std::optional<std::uint64_t> OutstandingRequestsOf(
     const std::vector<SteerdStatus>& statuses,
     std::string_view subject,
     std::string_view name) {
--- a/lib/libmedlarcroft/source/adapters/console/steerd_status.h
+++ b/lib/libmedlarcroft/source/adapters/console/steerd_status.h
@@ -10,7 +10,7 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief One host as a steerd sees it.
+/// @brief The state of one host as reported by a steerd.
 struct MemberStatus {
   std::string host;
   std::string failure_domain;
@@ -20,16 +20,16 @@
   std::int64_t age_ms = 0;
 };
 
-/// @brief What a host still works on of something that is drained; given by a
-/// steerd that knows it.
+/// @brief Requests that a host still has in flight on a drained subject;
+/// reported only by a steerd that knows them.
 struct DrainStatus {
   std::string subject;
   std::string name;
   std::uint64_t outstanding = 0;
 };
 
-/// @brief What `GET /v1/status` of one steerd says. Members that it leaves out
-/// keep their defaults, so that an older steerd can be asked too.
+/// @brief Parsed response of `GET /v1/status`. Missing fields keep their
+/// defaults, for compatibility with older versions of steerd.
 struct SteerdStatus {
   std::string host;
   std::string failure_domain;
@@ -47,30 +47,30 @@
   std::vector<std::string> cannot;
 };
 
-/// @return nullopt when `body` is no status.
+/// @return nullopt if `body` is not a valid status document.
 [[nodiscard]] std::optional<SteerdStatus> ParseSteerdStatus(
     std::string_view body);
 
-/// @brief How far a revision has come in one failure domain.
+/// @brief Rollout state of a revision in one failure domain.
 struct DomainProgress {
   std::uint64_t hosts_in_force = 0;
-  std::vector<std::string> behind;        ///< Alive, but at an older revision.
+  std::vector<std::string> behind;        ///< Alive with an older revision.
   std::vector<std::string> out_of_reach;  ///< Not known to be alive.
 };
 
-/// @brief How far a revision has come, by failure domain. Hosts that were
-/// asked speak for themselves; of the others the newest word counts.
+/// @brief Computes the rollout state of a revision by failure domain. For hosts
+/// that responded their own status counts, for others the newest report.
 [[nodiscard]] std::map<std::string, DomainProgress> MeasureProgress(
     const std::vector<SteerdStatus>& statuses,
     std::uint64_t revision);
 
-/// @return whether no host that is alive is behind.
+/// @return whether no live host has an older revision.
 [[nodiscard]] bool IsInForce(
     const std::map<std::string, DomainProgress>& progress);
 
-/// @return requests in flight on what is drained, as far as hosts report them;
-/// nullopt when none does.
-[[nodiscard]] std::optional<std::uint64_t> OutstandingOf(
+/// @return the sum of requests in flight on a drained subject, as far as hosts
+/// report it; nullopt if no host does.
+[[nodiscard]] std::optional<std::uint64_t> OutstandingRequestsOf(
     const std::vector<SteerdStatus>& statuses,
     std::string_view subject,
     std::string_view name);
--- a/lib/libmedlarcroft/source/adapters/console/text_table.cc
+++ b/lib/libmedlarcroft/source/adapters/console/text_table.cc
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr std::size_t kGap = 2;
+constexpr std::size_t kColumnGap = 2;
 
-std::string WithUnit(double number, const char* unit) {
+std::string FormatWithUnit(double number, const char* unit) {
   std::array<char, 32> text{};
   std::snprintf(text.data(), text.size(), "%.3g %s", number, unit);
   return text.data();
@@ -41,14 +41,14 @@
     std::string line;
     for (std::size_t i = 0; i < row.size(); ++i) {
       line += row[i];
-      line.append(widths[i] - row[i].size() + kGap, ' ');
+      line.append(widths[i] - row[i].size() + kColumnGap, ' ');
     }
     line.erase(line.find_last_not_of(' ') + 1);
     out << line << '\n';
   }
 }
 
-std::string JoinWords(const std::vector<std::string>& words) {
+std::string JoinWithCommas(const std::vector<std::string>& words) {
   std::string joined;
   for (const std::string& word : words) {
     joined += (joined.empty() ? "" : ", ") + word;
@@ -62,16 +62,16 @@
   constexpr double kHour = 60 * kMinute;
   constexpr double kDay = 24 * kHour;
   if (milliseconds >= kDay) {
-    return WithUnit(milliseconds / kDay, "d");
+    return FormatWithUnit(milliseconds / kDay, "d");
   }
   if (milliseconds >= kHour) {
-    return WithUnit(milliseconds / kHour, "h");
+    return FormatWithUnit(milliseconds / kHour, "h");
   }
   if (milliseconds >= kMinute) {
-    return WithUnit(milliseconds / kMinute, "min");
+    return FormatWithUnit(milliseconds / kMinute, "min");
   }
-  return milliseconds >= kSecond ? WithUnit(milliseconds / kSecond, "s")
-                                 : WithUnit(milliseconds, "ms");
+  return milliseconds >= kSecond ? FormatWithUnit(milliseconds / kSecond, "s")
+                                 : FormatWithUnit(milliseconds, "ms");
 }
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/adapters/console/text_table.h
+++ b/lib/libmedlarcroft/source/adapters/console/text_table.h
@@ -7,12 +7,12 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Rows in aligned columns, for people.
+/// @brief Formats rows as text with aligned columns.
 class TextTable {
  public:
   explicit TextTable(std::vector<std::string> header);
 
-  /// @param row as many cells as the header has.
+  /// @param row cells; missing ones are left empty.
   void Add(std::vector<std::string> row);
   void Print(std::ostream& out) const;
 
@@ -20,10 +20,10 @@
   std::vector<std::vector<std::string>> rows_;
 };
 
-/// @return the words with ", " between them, or "-" when there are none.
-[[nodiscard]] std::string JoinWords(const std::vector<std::string>& words);
+/// @return the words joined by ", ", or "-" if there are none.
+[[nodiscard]] std::string JoinWithCommas(const std::vector<std::string>& words);
 
-/// @return `milliseconds` in a unit that suits it, for example "1.5 s".
+/// @return a duration with a suitable unit and three digits, e.g. "1.5 s".
 [[nodiscard]] std::string FormatMilliseconds(double milliseconds);
 
 }  // namespace medlarcroft::adapters
--- a/lib/libmedlarcroft/source/core/duration_text.cc
+++ b/lib/libmedlarcroft/source/core/duration_text.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Larger numbers would overflow a Duration.
+// Avoids an overflow of Duration.
 constexpr double kLongestSeconds = 1e7;
 
 }  // namespace
--- a/lib/libmedlarcroft/source/process/stop_sequence.cc
+++ b/lib/libmedlarcroft/source/process/stop_sequence.cc
@@ -6,20 +6,20 @@
   if (phase_ == StopPhase::kServing) {
     Enter(StopPhase::kAnnouncing, now);
   }
-  is_hastened_ = count > 1;
+  is_immediate_ = count > 1;
 }
 
 void StopSequence::Advance(std::size_t in_flight, MonotonicTime now) {
   if (phase_ == StopPhase::kAnnouncing &&
-      (is_hastened_ || now - entered_at_ >= options_.announce_time)) {
+      (is_immediate_ || now - entered_at_ >= options_.announce_time)) {
     Enter(StopPhase::kFinishing, now);
   }
   if (phase_ != StopPhase::kFinishing) {
     return;
   }
   const bool is_limit_reached = now - entered_at_ >= options_.finish_limit;
-  if (in_flight == 0 || is_hastened_ || is_limit_reached) {
-    cut_ = in_flight;
+  if (in_flight == 0 || is_immediate_ || is_limit_reached) {
+    aborted_count_ = in_flight;
     Enter(StopPhase::kStopped, now);
   }
 }
--- a/lib/libmedlarcroft/source/telemetry/gauge_group.cc
+++ b/lib/libmedlarcroft/source/telemetry/gauge_group.cc
@@ -6,20 +6,20 @@
 
 void GaugeGroup::Set(std::span<const GaugeValue> values) {
   const std::lock_guard lock(mutex_);
-  std::vector<Gauge*> now;
-  now.reserve(values.size());
-  for (const GaugeValue& each : values) {
-    Gauge& gauge = metrics_.GaugeOf(metric_, each.labels);
-    gauge.Set(each.value);
-    now.push_back(&gauge);
+  std::vector<Gauge*> current;
+  current.reserve(values.size());
+  for (const GaugeValue& value : values) {
+    Gauge& gauge = metrics_.GaugeOf(metric_, value.labels);
+    gauge.Set(value.value);
+    current.push_back(&gauge);
   }
-  std::ranges::sort(now);
-  for (Gauge* const before : told_) {
-    if (!std::ranges::binary_search(now, before)) {
-      before->Set(0);
+  std::ranges::sort(current);
+  for (Gauge* const previous : active_) {
+    if (!std::ranges::binary_search(current, previous)) {
+      previous->Set(0);
     }
   }
-  told_ = std::move(now);
+  active_ = std::move(current);
 }
 
 }  // namespace medlarcroft::telemetry
--- a/lib/libmedlarcroft/source/telemetry/latency_histogram.cc
+++ b/lib/libmedlarcroft/source/telemetry/latency_histogram.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// From 10 µs to 100 s.
+/// 10 µs to 100 s.
 constexpr unsigned kDecades = 7;
 
 }  // namespace
@@ -18,8 +18,8 @@
                       ToSeconds(kLongest))) {}
 
 void LatencyHistogram::Record(Duration duration) {
-  // The logarithm of 0 has no bucket; whatever is shorter than the first
-  // bucket's bound counts there.
+  // A duration of 0 has no logarithm; shorter durations count in the first
+  // bucket.
   histogram_(ToSeconds(std::max(duration, kShortest)));
   sum_.fetch_add(duration.count(), std::memory_order_relaxed);
 }
--- a/lib/libmedlarcroft/source/telemetry/metrics.cc
+++ b/lib/libmedlarcroft/source/telemetry/metrics.cc
@@ -11,7 +11,7 @@
 
 using GaugeSource = std::function<double()>;
 
-/// The index is the kind of a family.
+/// The index determines the metric type of a family; see KindOf.
 using Instrument = std::variant<std::unique_ptr<Counter>,
                                 std::unique_ptr<Gauge>,
                                 std::unique_ptr<LatencyHistogram>,
@@ -34,7 +34,7 @@
   }
 }
 
-/// @param extra one more label, already formatted; may be empty.
+/// @param extra an additional, already formatted label; may be empty.
 std::string FormatLabels(const Labels& labels, std::string_view extra) {
   std::string text;
   for (const Label& label : labels) {
@@ -50,7 +50,7 @@
   return text.empty() ? text : "{" + text + "}";
 }
 
-/// @brief Writes one series.
+/// @brief Writes the sample lines of one series.
 struct SeriesWriter {
   const std::string& name;
   const Labels& labels;
@@ -101,8 +101,8 @@
   std::string help;
   std::map<Labels, Instrument> series;
 
-  /// @return the instrument of these labels; a label set too many gets the
-  /// overflow series.
+  /// @return the instrument with these labels, created if it does not exist;
+  /// the overflow series once kMaxSeries is reached.
   template <typename Kind>
   Kind& Get(Labels labels) {
     if (series.size() >= kMaxSeries && !series.contains(labels)) {
--- a/lib/libmedlarcroft/source/telemetry/request_log_sampler.cc
+++ b/lib/libmedlarcroft/source/telemetry/request_log_sampler.cc
@@ -13,15 +13,16 @@
 
 struct OutcomeRule {
   std::string_view name;
-  /// Logged for their end until so many of the second's are taken.
-  std::uint32_t taken_until = 0;
+  /// Requests with this outcome are sampled until so many have been sampled in
+  /// the current second.
+  std::uint32_t max_sampled = 0;
 };
 
 constexpr std::array<OutcomeRule, 4> kRules = {{
     {"served", 0},
-    {"late", RequestLogSampler::kAtEnd / 4},
-    {"failed", RequestLogSampler::kAtEnd / 2},
-    {"order-failed", RequestLogSampler::kAtEnd},
+    {"late", RequestLogSampler::kMaxAtEndPerSecond / 4},
+    {"failed", RequestLogSampler::kMaxAtEndPerSecond / 2},
+    {"order-failed", RequestLogSampler::kMaxAtEndPerSecond},
 }};
 
 const OutcomeRule& RuleOf(RequestOutcome outcome) {
@@ -34,40 +35,43 @@
   return RuleOf(outcome).name;
 }
 
-// The share of requests follows the demand of the second before, so that those
-// logged lie all over a second; where demand jumps, the count bounds them.
+// The sampled fraction follows from the number of requests in the previous
+// second, so that the samples spread over the whole second; when the rate
+// jumps, the count limits them.
 void RequestLogSampler::Advance(MonotonicTime now) {
-  if (now - began_ < kWindow) {
+  if (now - window_start_ < kWindow) {
     return;
   }
-  const bool is_next = now - began_ < 2 * kWindow;
-  const std::uint32_t before = is_next ? arrived_ : 0;
-  chosen_below_ =
-      before <= kById ? UINT64_MAX : UINT64_MAX / before * std::uint64_t{kById};
-  began_ = now;
-  arrived_ = 0;
-  chosen_by_id_ = 0;
-  chosen_at_end_ = 0;
+  const bool is_next = now - window_start_ < 2 * kWindow;
+  const std::uint32_t previous_count = is_next ? request_count_ : 0;
+  max_sampled_hash_ =
+      previous_count <= kMaxByIdPerSecond
+          ? UINT64_MAX
+          : UINT64_MAX / previous_count * std::uint64_t{kMaxByIdPerSecond};
+  window_start_ = now;
+  request_count_ = 0;
+  sampled_by_id_ = 0;
+  sampled_at_end_ = 0;
 }
 
 bool RequestLogSampler::SampleById(std::string_view id, MonotonicTime now) {
   Advance(now);
-  ++arrived_;
-  if (chosen_by_id_ >= kById ||
-      XXH3_64bits(id.data(), id.size()) > chosen_below_) {
+  ++request_count_;
+  if (sampled_by_id_ >= kMaxByIdPerSecond ||
+      XXH3_64bits(id.data(), id.size()) > max_sampled_hash_) {
     return false;
   }
-  ++chosen_by_id_;
+  ++sampled_by_id_;
   return true;
 }
 
 bool RequestLogSampler::SampleAtEnd(RequestOutcome outcome, MonotonicTime now) {
   Advance(now);
-  if (chosen_at_end_ >= RuleOf(outcome).taken_until) {
-    ++left_out_;
+  if (sampled_at_end_ >= RuleOf(outcome).max_sampled) {
+    ++unsampled_count_;
     return false;
   }
-  ++chosen_at_end_;
+  ++sampled_at_end_;
   return true;
 }
 
--- a/lib/libmedlarcroft/source/telemetry/tracer.cc
+++ b/lib/libmedlarcroft/source/telemetry/tracer.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Bounds what one span holds; more attributes are dropped.
+/// Limits the memory of a span; further attributes are dropped.
 constexpr std::size_t kMaxAttributes = 32;
 
 void FillRandom(ports::RandomSource& random, std::span<std::uint8_t> bytes) {
@@ -19,19 +19,21 @@
     bytes[i] = static_cast<std::uint8_t>(bits);
     bits >>= 8U;
   }
-  // An id of zeros only is invalid.
+  // An id of all zeros is invalid.
   bytes.back() |= 1U;
 }
 
 }  // namespace
 
-ActiveSpan::ActiveSpan(const Tracer& tracer, Span span, MonotonicTime began)
-    : tracer_(&tracer), span_(std::move(span)), began_(began) {}
+ActiveSpan::ActiveSpan(const Tracer& tracer,
+                       Span span,
+                       MonotonicTime started_at)
+    : tracer_(&tracer), span_(std::move(span)), started_at_(started_at) {}
 
 ActiveSpan::ActiveSpan(ActiveSpan&& other) noexcept
     : tracer_(std::exchange(other.tracer_, nullptr)),
       span_(std::move(other.span_)),
-      began_(other.began_) {}
+      started_at_(other.started_at_) {}
 
 ActiveSpan::~ActiveSpan() {
   End();
@@ -49,7 +51,7 @@
   if (tracer == nullptr || !IsSampled()) {
     return;
   }
-  span_.duration = tracer->clock_.Now() - began_;
+  span_.duration = tracer->clock_.Now() - started_at_;
   tracer->exporter_.Export(span_);
 }
 
--- a/programs/entryd/main.cc
+++ b/programs/entryd/main.cc
@@ -1,4 +1,4 @@
-// medlar-entryd: takes callers' requests and runs them on targets.
+// medlar-entryd: accepts requests of callers and sends them to targets.
 #include "adapters/entry/entry_node.h"
 #include "adapters/process/daemon_main.h"
 #include "adapters/process/entryd_settings.h"
--- a/programs/medlarctl/global_options.cc
+++ b/programs/medlarctl/global_options.cc
@@ -19,8 +19,8 @@
 constexpr const char* kExitCodes =
     "Exit codes: 0 done, 1 failed, 2 bad usage, 3 invalid entry or file,\n"
     "  4 conflict, 5 not allowed, 6 not found, 7 no steerd answered,\n"
-    "  8 platform unavailable (nothing was done), 9 outcome unknown (repeat\n"
-    "  with the change id), 10 waited in vain.\n";
+    "  8 platform unavailable (nothing was done), 9 outcome unknown (retry\n"
+    "  with the change id), 10 not complete (yet).\n";
 
 options::options_description Describe(GlobalOptions& global,
                                       std::string& token_file) {
@@ -30,12 +30,12 @@
       options::value(&global.steerd_urls)
           ->composing()
           ->default_value({kDefaultUrl}, kDefaultUrl),
-      "URL of a steerd; may be given again, the next is tried when one does "
-      "not answer");
+      "URL of a steerd; may be repeated, the next one is tried if one does "
+      "not respond");
   add("token-file", options::value(&token_file),
-      "file with the operator's token; without it MEDLARCTL_TOKEN is used");
+      "file with the operator's token; default: MEDLARCTL_TOKEN");
   add("ca-file", options::value(&global.ca_file),
-      "trust anchors for https, PEM");
+      "trusted CA certificates for https, PEM");
   add("json", options::bool_switch(&global.is_json),
       "print JSON instead of tables");
   add("version", "print the version");
@@ -45,14 +45,14 @@
 
 void PrintHelp(const options::options_description& description,
                std::ostream& out) {
-  out << "medlarctl: the operators' console of medlarcroft\n\n"
+  out << "medlarctl: command-line tool for operators of medlarcroft\n\n"
          "medlarctl [options] command [arguments]\n\n"
       << description << "\nCommands:\n";
   adapters::PrintCommands(out);
   out << '\n' << kExitCodes;
 }
 
-/// @return false after saying why the token can't be had.
+/// @return false after printing why the token cannot be read.
 bool ReadToken(const std::string& file,
                std::string& token,
                std::ostream& errors) {
@@ -63,13 +63,14 @@
   }
   std::ifstream stream(file);
   if (!std::getline(stream, token)) {
-    errors << file << ": no token in its first line\n";
+    errors << file << ": the first line has no token\n";
     return false;
   }
   return true;
 }
 
-/// The options before the command are ours; what follows is the command's.
+/// Options before the command are global; the rest belongs to the command.
+/// @return the index of the command in `arguments`.
 std::size_t FindCommand(const std::vector<std::string>& arguments) {
   for (std::size_t i = 0; i < arguments.size(); ++i) {
     const std::string& word = arguments[i];
@@ -110,10 +111,10 @@
 
   if (values.contains("help") || words.empty()) {
     PrintHelp(description, out);
-    global.exit = ExitCode::kDone;
+    global.exit = ExitCode::kSuccess;
   } else if (values.contains("version")) {
     out << "medlarctl " << adapters::kVersion << '\n';
-    global.exit = ExitCode::kDone;
+    global.exit = ExitCode::kSuccess;
   } else if (!ReadToken(token_file, global.token, errors)) {
     global.exit = ExitCode::kBadUsage;
   }
--- a/programs/medlarctl/global_options.h
+++ b/programs/medlarctl/global_options.h
@@ -11,14 +11,14 @@
 
 namespace medlarcroft::medlarctl {
 
-/// @brief What stands before the command, and the command's own words.
+/// @brief Options before the command, and the command with its arguments.
 struct GlobalOptions {
   std::vector<std::string> steerd_urls;
   std::string token;
   std::string ca_file;
   bool is_json = false;
   std::vector<std::string> words;
-  /// Set when nothing is left to do: help, version or a usage error.
+  /// Set if the program is to exit at once: help, version or a usage error.
   std::optional<adapters::ExitCode> exit;
 };
 
--- a/programs/medlarctl/main.cc
+++ b/programs/medlarctl/main.cc
@@ -1,4 +1,4 @@
-// medlarctl: the operators' console.
+// medlarctl: command-line tool for operators.
 
 #include <array>
 #include <cstdio>
@@ -18,7 +18,7 @@
 using medlarcroft::adapters::SteerdClient;
 using medlarcroft::adapters::SystemClock;
 
-/// 128 random bits, so that no two operators choose the same.
+/// @return 128 random bits, so that ids of different operators do not collide.
 std::string MakeChangeId() {
   std::random_device device;
   std::array<char, 33> text{};
--- a/programs/steerd/main.cc
+++ b/programs/steerd/main.cc
@@ -1,4 +1,4 @@
-// medlar-steerd: answers look-ups and keeps what all hosts must agree on.
+// medlar-steerd: answers look-ups and keeps the state that all hosts share.
 #include "adapters/process/daemon_main.h"
 #include "adapters/process/steerd_settings.h"
 #include "adapters/steer/steer_node.h"
--- a/tests/unit/adapters/console/console_test.cc
+++ b/tests/unit/adapters/console/console_test.cc
@@ -55,7 +55,7 @@
   }
 
   std::string WriteFile(std::string_view text) {
-    // Each case runs in a process of its own, several at a time.
+    // Test cases run in parallel processes, so the name holds the process id.
     std::string path = testing::TempDir() + "medlarctl-test-" +
                        std::to_string(getpid()) + "-" +
                        std::to_string(++files_) + ".json";
@@ -98,27 +98,27 @@
           {"cannot", json::array()}};
 }
 
-TEST_F(ConsoleTest, WhatWasReadIsEditedAndPutBack) {
+TEST_F(ConsoleTest, UpdatesAnEntryThatWasRead) {
   ASSERT_EQ(Run({"catalogue", "put", "d.a", WriteFile(kDomain), "--create"}),
-            ExitCode::kDone);
-  ASSERT_EQ(Run({"catalogue", "get", "d.a"}), ExitCode::kDone);
+            ExitCode::kSuccess);
+  ASSERT_EQ(Run({"catalogue", "get", "d.a"}), ExitCode::kSuccess);
   json entry = json::parse(out_.str());
   entry["seats"] = 5;
 
   EXPECT_EQ(Run({"catalogue", "put", "d.a", WriteFile(entry.dump())}),
-            ExitCode::kDone);
+            ExitCode::kSuccess);
   EXPECT_EQ(out_.str(), "d.a: accepted as revision 2, version 2\n");
-  // The same file again stands for version 1, which is gone.
+  // The same file again expects version 1, which has been replaced.
   EXPECT_EQ(Run({"catalogue", "put", "d.a", WriteFile(entry.dump())}),
             ExitCode::kConflict);
-  EXPECT_EQ(Run({"catalogue", "history", "d.a"}), ExitCode::kDone);
+  EXPECT_EQ(Run({"catalogue", "history", "d.a"}), ExitCode::kSuccess);
   EXPECT_NE(out_.str().find("console-2"), std::string::npos);
   EXPECT_EQ(Run({"catalogue", "delete", "d.a", "--if-version", "2"}),
-            ExitCode::kDone);
+            ExitCode::kSuccess);
   EXPECT_EQ(Run({"catalogue", "get", "d.a"}), ExitCode::kNotFound);
 }
 
-struct Ending {
+struct ExitCodeCase {
   std::string name;
   std::vector<std::string> words;
   std::string token;
@@ -126,18 +126,18 @@
   ExitCode code;
 };
 
-void PrintTo(const Ending& ending, std::ostream* out) {
-  *out << ending.name;
+void PrintTo(const ExitCodeCase& exit_code_case, std::ostream* out) {
+  *out << exit_code_case.name;
 }
 
-class Endings : public ConsoleTest,
-                public testing::WithParamInterface<Ending> {};
+class ExitCodes : public ConsoleTest,
+                  public testing::WithParamInterface<ExitCodeCase> {};
 
-TEST_P(Endings, HaveTheirExitCode) {
+TEST_P(ExitCodes, MatchTheOutcome) {
   const std::string good = WriteFile(kDomain);
   const std::string bad = WriteFile(R"({"kind":"link"})");
   ASSERT_EQ(Run({"catalogue", "put", "d.a", good, "--create"}),
-            ExitCode::kDone);
+            ExitCode::kSuccess);
   std::vector<std::string> words = GetParam().words;
   for (std::string& word : words) {
     word = word == "GOOD" ? good : word == "BAD" ? bad : word;
@@ -146,12 +146,12 @@
   steerd_.platform.table.SetDown(GetParam().is_platform_down);
 
   EXPECT_EQ(Run(words), GetParam().code) << errors_.str();
-  if (GetParam().code != ExitCode::kDone) {
+  if (GetParam().code != ExitCode::kSuccess) {
     EXPECT_FALSE(errors_.str().empty());
   }
 }
 
-std::vector<Ending> EndingTable() {
+std::vector<ExitCodeCase> ExitCodeCases() {
   return {
       {"Conflict",
        {"catalogue", "put", "d.a", "GOOD", "--if-version", "7"},
@@ -203,24 +203,28 @@
        "secret",
        false,
        ExitCode::kBadUsage},
-      {"Nothing", {}, "secret", false, ExitCode::kBadUsage},
-      {"CheckGood", {"catalogue", "check", "GOOD"}, "", false, ExitCode::kDone},
+      {"NoCommand", {}, "secret", false, ExitCode::kBadUsage},
+      {"CheckGood",
+       {"catalogue", "check", "GOOD"},
+       "",
+       false,
+       ExitCode::kSuccess},
       {"CheckBad",
        {"catalogue", "check", "GOOD", "BAD"},
        "",
        false,
        ExitCode::kInvalid},
-      {"DrainOfNothing",
+      {"DrainUnknownTarget",
        {"drain", "target", "t9"},
        "secret",
        false,
        ExitCode::kInvalid},
-      {"DrainOfWhat",
+      {"DrainUnknownSubject",
        {"drain", "rack", "r1"},
        "secret",
        false,
        ExitCode::kBadUsage},
-      {"ExplainWhat",
+      {"ExplainWithoutBrand",
        {"explain", "--service", "s"},
        "secret",
        false,
@@ -229,116 +233,116 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Table,
-                         Endings,
-                         testing::ValuesIn(EndingTable()),
+                         ExitCodes,
+                         testing::ValuesIn(ExitCodeCases()),
                          [](const auto& tested) { return tested.param.name; });
 
-TEST_F(ConsoleTest, TheNextSteerdIsTriedWhenOneDoesNotAnswer) {
+TEST_F(ConsoleTest, TriesTheNextSteerdIfOneDoesNotRespond) {
   urls_.insert(urls_.begin(), "http://127.0.0.1:1");
-  EXPECT_EQ(Run({"catalogue", "list"}), ExitCode::kDone);
+  EXPECT_EQ(Run({"catalogue", "list"}), ExitCode::kSuccess);
 
   urls_ = {"http://127.0.0.1:1"};
   EXPECT_EQ(Run({"catalogue", "put", "d.a", WriteFile(kDomain), "--create"}),
             ExitCode::kUnreachable);
 }
 
-// The first steerd takes the change and goes silent; the second can't reach the
-// platform and refuses with "not run". That is true of the second request only:
-// the first may still be made, so the operator must hear "unknown".
-TEST_F(ConsoleTest, ARefusalAfterALostAnswerIsNoProof) {
-  FakeSteerd silent;
-  silent.is_silent = true;
-  const auto silent_server = Serve(silent);
-  urls_.insert(urls_.begin(), UrlOf(*silent_server));
+// The first steerd receives the change and does not respond; the second cannot
+// reach the platform and responds "not run". That holds for the second request
+// only: the first may still take effect, so the outcome must be "unknown".
+TEST_F(ConsoleTest, ErrorAfterALostResponseLeavesOutcomeUnknown) {
+  FakeSteerd unresponsive;
+  unresponsive.is_unresponsive = true;
+  const auto unresponsive_server = Serve(unresponsive);
+  urls_.insert(urls_.begin(), UrlOf(*unresponsive_server));
   steerd_.platform.table.SetDown(true);
 
   EXPECT_EQ(Run({"catalogue", "put", "d.a", WriteFile(kDomain), "--create"}),
             ExitCode::kOutcomeUnknown);
   EXPECT_NE(errors_.str().find("--change-id console-1"), std::string::npos);
 
-  // With the platform back, the same id settles it.
+  // Once the platform is available, a retry with the same id succeeds once.
   steerd_.platform.table.SetDown(false);
   EXPECT_EQ(Run({"catalogue", "put", "d.a", WriteFile(kDomain), "--create",
                  "--change-id", "console-1"}),
-            ExitCode::kDone);
+            ExitCode::kSuccess);
   EXPECT_EQ(steerd_.Revision(), 1U);
 }
 
-// The first steerd is paused: it takes requests and answers none. The command
-// reads and then changes; only the read may wait for it.
-TEST_F(ConsoleTest, ASilentSteerdIsWaitedForOnce) {
-  FakeSteerd silent;
-  silent.is_silent = true;
-  const auto silent_server = Serve(silent);
-  urls_.insert(urls_.begin(), UrlOf(*silent_server));
+// The first steerd is paused: it accepts requests but does not respond. The
+// command reads and then writes; only the read may wait for the timeout.
+TEST_F(ConsoleTest, WaitsOnceForAnUnresponsiveSteerd) {
+  FakeSteerd unresponsive;
+  unresponsive.is_unresponsive = true;
+  const auto unresponsive_server = Serve(unresponsive);
+  urls_.insert(urls_.begin(), UrlOf(*unresponsive_server));
 
-  EXPECT_EQ(Run({"drain", "host", "b-1"}), ExitCode::kDone);
-  EXPECT_EQ(silent_server->Counters().requests, 1U);
+  EXPECT_EQ(Run({"drain", "host", "b-1"}), ExitCode::kSuccess);
+  EXPECT_EQ(unresponsive_server->Counters().requests, 1U);
 }
 
-TEST_F(ConsoleTest, WaitsUntilInForceEverywhereInReach) {
+TEST_F(ConsoleTest, WaitsUntilInForceOnAllReachableHosts) {
   int polls = 0;
   steerd_.make_status = [&polls] { return Status(1, ++polls > 3 ? 1 : 0); };
 
   EXPECT_EQ(Run({"catalogue", "put", "d.a", WriteFile(kDomain), "--create",
                  "--wait"}),
-            ExitCode::kDone);
+            ExitCode::kSuccess);
   EXPECT_EQ(polls, 4);
   EXPECT_NE(out_.str().find("750 ms"), std::string::npos) << out_.str();
   EXPECT_NE(out_.str().find("c-1"), std::string::npos);
 }
 
-TEST_F(ConsoleTest, AWaitEndsWithNotYet) {
+TEST_F(ConsoleTest, ExpiredWaitReturnsIncomplete) {
   steerd_.make_status = [] { return Status(1, 0); };
 
   EXPECT_EQ(Run({"catalogue", "put", "d.a", WriteFile(kDomain), "--create",
                  "--wait", "--timeout", "5"}),
-            ExitCode::kNotYet);
-  EXPECT_EQ(Run({"catalogue", "status"}), ExitCode::kNotYet);
+            ExitCode::kIncomplete);
+  EXPECT_EQ(Run({"catalogue", "status"}), ExitCode::kIncomplete);
   EXPECT_NE(out_.str().find("b-1"), std::string::npos);
 }
 
-TEST_F(ConsoleTest, DrainsAndTakesBack) {
+TEST_F(ConsoleTest, DrainsAndUndoesADrain) {
   EXPECT_EQ(Run({"drain", "host", "b-1", "--reason", "new disk"}),
-            ExitCode::kDone);
-  EXPECT_EQ(Run({"catalogue", "get", "drain.host.b-1"}), ExitCode::kDone);
+            ExitCode::kSuccess);
+  EXPECT_EQ(Run({"catalogue", "get", "drain.host.b-1"}), ExitCode::kSuccess);
   EXPECT_EQ(json::parse(out_.str())["reason"], "new disk");
-  EXPECT_EQ(Run({"drain", "host", "b-1"}), ExitCode::kDone);
+  EXPECT_EQ(Run({"drain", "host", "b-1"}), ExitCode::kSuccess);
   EXPECT_EQ(out_.str(), "b-1 is drained already\n");
 
-  EXPECT_EQ(Run({"drain", "host", "b-1", "--undo"}), ExitCode::kDone);
-  EXPECT_EQ(Run({"drain", "host", "b-1", "--undo"}), ExitCode::kDone);
+  EXPECT_EQ(Run({"drain", "host", "b-1", "--undo"}), ExitCode::kSuccess);
+  EXPECT_EQ(Run({"drain", "host", "b-1", "--undo"}), ExitCode::kSuccess);
   EXPECT_EQ(out_.str(), "b-1 is not drained\n");
   EXPECT_EQ(steerd_.Revision(), 2U);
 }
 
-// A host is drained and watched. The drain is in force at once, but the host
-// still works; the watch must not end before it is gone for the others: dead in
-// its own domain, out of reach in another.
-TEST_F(ConsoleTest, WatchesAHostUntilItIsGone) {
-  for (const std::string gone_state : {"dead", "unknown"}) {
+// The drain is in force at once, but the host still works. --watch must not end
+// before other hosts report it as "dead" (same failure domain) or "unknown"
+// (another failure domain).
+TEST_F(ConsoleTest, WatchesAHostUntilItIsUnreachable) {
+  for (const std::string unreachable_state : {"dead", "unknown"}) {
     int waits = 0;
-    steerd_.make_status = [&waits, &gone_state] {
+    steerd_.make_status = [&waits, &unreachable_state] {
       json status = Status(1, 1);
-      status["members"][0]["state"] = waits < 5 ? "leaving" : gone_state;
+      status["members"][0]["state"] = waits < 5 ? "leaving" : unreachable_state;
       return status;
     };
     on_sleep_ = [&waits] { ++waits; };
 
-    EXPECT_EQ(Run({"drain", "host", "b-1", "--watch"}), ExitCode::kDone);
-    EXPECT_EQ(waits, 5) << gone_state;
+    EXPECT_EQ(Run({"drain", "host", "b-1", "--watch"}), ExitCode::kSuccess);
+    EXPECT_EQ(waits, 5) << unreachable_state;
   }
 }
 
-TEST_F(ConsoleTest, AWatchedHostThatGoesOnRunningIsNamed) {
+TEST_F(ConsoleTest, ReportsAWatchedHostThatKeepsRunning) {
   steerd_.make_status = [] { return Status(1, 1); };
 
   EXPECT_EQ(Run({"drain", "host", "b-1", "--watch", "--timeout", "3"}),
-            ExitCode::kNotYet);
+            ExitCode::kIncomplete);
   EXPECT_NE(out_.str().find("stop its daemons"), std::string::npos);
 }
 
-TEST_F(ConsoleTest, WatchesWorkInFlightWhereItIsReported) {
+TEST_F(ConsoleTest, WatchesRequestsInFlightIfReported) {
   int outstanding = 3;
   steerd_.make_status = [&outstanding] {
     json status = Status(1, 1);
@@ -348,27 +352,27 @@
   };
   on_sleep_ = [&outstanding] { --outstanding; };
 
-  EXPECT_EQ(Run({"drain", "host", "b-1", "--watch"}), ExitCode::kDone);
+  EXPECT_EQ(Run({"drain", "host", "b-1", "--watch"}), ExitCode::kSuccess);
   EXPECT_EQ(outstanding, 0);
 
   outstanding = 1;
   on_sleep_ = nullptr;
   EXPECT_EQ(Run({"drain", "host", "b-1", "--watch", "--timeout", "3"}),
-            ExitCode::kNotYet);
+            ExitCode::kIncomplete);
 }
 
-TEST_F(ConsoleTest, StatusExplainAndReportPrint) {
+TEST_F(ConsoleTest, PrintsStatusExplainAndReport) {
   steerd_.make_status = [] { return Status(4, 4); };
   urls_.push_back("http://127.0.0.1:1");
 
-  EXPECT_EQ(Run({"status", "--members"}), ExitCode::kDone);
+  EXPECT_EQ(Run({"status", "--members"}), ExitCode::kSuccess);
   EXPECT_NE(out_.str().find("up 1.5 min"), std::string::npos) << out_.str();
   EXPECT_NE(out_.str().find("b-1"), std::string::npos);
   EXPECT_EQ(errors_.str(), "http://127.0.0.1:1: no answer\n");
   EXPECT_EQ(Run({"explain", "--service", "s", "--brand", "b"}),
-            ExitCode::kDone);
+            ExitCode::kSuccess);
   EXPECT_EQ(out_.str(), "rule: nearest\nhosts: h1, h2\n");
-  EXPECT_EQ(Run({"report"}), ExitCode::kDone);
+  EXPECT_EQ(Run({"report"}), ExitCode::kSuccess);
   EXPECT_EQ(json::parse(out_.str())["/v1/status"].size(), 2U);
 }
 
--- a/tests/unit/adapters/console/fake_steerd.h
+++ b/tests/unit/adapters/console/fake_steerd.h
@@ -15,15 +15,15 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief A steerd's operator side over a platform in memory.
+/// @brief The operator API of a steerd, backed by an in-memory platform.
 class FakeSteerd final : public HttpHandler {
  public:
   std::optional<HttpResponse> Handle(
       HttpRequest request,
       const std::shared_ptr<Responder>& responder) override {
     const std::lock_guard lock(mutex_);
-    if (is_silent) {
-      held_.push_back(responder);
+    if (is_unresponsive) {
+      pending_responders_.push_back(responder);
       return std::nullopt;
     }
     if (request.path == "/v1/status") {
@@ -44,7 +44,7 @@
   }
 
   fakes::CataloguePlatform platform;
-  bool is_silent = false;
+  bool is_unresponsive = false;
   int status_requests = 0;
   std::function<nlohmann::json()> make_status = [] {
     return nlohmann::json::object();
@@ -52,7 +52,7 @@
 
  private:
   std::mutex mutex_;
-  std::vector<std::shared_ptr<Responder>> held_;
+  std::vector<std::shared_ptr<Responder>> pending_responders_;
   catalogue::CatalogueStore store_ = platform.MakeStore();
   catalogue::CatalogueReplica replica_{{}, platform.clock};
   catalogue::OperatorApi api_{{.store = store_,
--- a/tests/unit/adapters/console/outcome_command_test.cc
+++ b/tests/unit/adapters/console/outcome_command_test.cc
@@ -31,7 +31,7 @@
   return out.str();
 }
 
-/// @return the cells of the first row that holds `word`.
+/// @return the cells of the first row that contains `word`.
 std::vector<std::string> RowWith(const std::string& text,
                                  const std::string& word) {
   std::istringstream lines(text);
@@ -45,7 +45,7 @@
   return {};
 }
 
-TEST(OutcomeSummaryTest, AddsUpWhatBecameOfRequestsInASecond) {
+TEST(OutcomeSummaryTest, SumsRequestOutcomesPerSecond) {
   const std::string text = Print({kEnd, kSend, kLaterEnd});
 
   EXPECT_EQ(
@@ -58,8 +58,9 @@
   EXPECT_NE(text.find("7 requests have no lines"), std::string::npos);
 }
 
-// Logs hold lines of other programs and torn ones; none may end the command.
-TEST(OutcomeSummaryTest, OtherLinesChangeNothing) {
+// Logs may contain lines of other programs and truncated lines; the command
+// must ignore them.
+TEST(OutcomeSummaryTest, IgnoresOtherLines) {
   OutcomeSummary summary;
   for (const char* const line :
        {R"({"event":"target-changed"})", R"({"event":7})", "{}",
--- a/tests/unit/adapters/console/request_command_test.cc
+++ b/tests/unit/adapters/console/request_command_test.cc
@@ -7,7 +7,7 @@
 namespace medlarcroft::adapters {
 namespace {
 
-TEST(RequestCommandTest, FindsTheLinesThatNameTheRequestAndNoOthers) {
+TEST(RequestCommandTest, FindsOnlyTheLinesOfTheRequest) {
   std::istringstream log(
       R"(edge-1 {"time":"t2","event":"request-placed","request":"abc"})"
       "\n"
--- a/tests/unit/adapters/console/text_table_test.cc
+++ b/tests/unit/adapters/console/text_table_test.cc
@@ -19,11 +19,11 @@
   EXPECT_EQ(out.str(), "A          LONG\nwide cell  x\ny\n");
 }
 
-TEST(JsonTreeTest, IndentsWhatIsNested) {
+TEST(JsonTreeTest, IndentsNestedValues) {
   std::ostringstream out;
-  PrintTree(nlohmann::ordered_json::parse(
-                R"({"a":{"b":1,"c":[{"d":true},{"d":"x"}]},"e":[]})"),
-            out);
+  PrintJsonTree(nlohmann::ordered_json::parse(
+                    R"({"a":{"b":1,"c":[{"d":true},{"d":"x"}]},"e":[]})"),
+                out);
 
   EXPECT_EQ(out.str(),
             "a:\n  b: 1\n  c:\n    -\n      d: true\n    -\n      d: x\n"
--- a/tests/unit/core/duration_text_test.cc
+++ b/tests/unit/core/duration_text_test.cc
@@ -12,7 +12,7 @@
 
 class DurationTextTable : public testing::TestWithParam<DurationCase> {};
 
-TEST_P(DurationTextTable, ReadsANumberWithItsUnit) {
+TEST_P(DurationTextTable, ParsesANumberWithItsUnit) {
   EXPECT_EQ(ParseDuration(GetParam().text), GetParam().duration);
 }
 
@@ -33,7 +33,7 @@
                     DurationCase{"nans", std::nullopt},
                     DurationCase{"1e300s", std::nullopt}));
 
-TEST(DurationTextTest, WhatIsWrittenReadsTheSame) {
+TEST(DurationTextTest, ParsesAFormattedDuration) {
   EXPECT_EQ(ParseDuration(FormatDuration(milliseconds(1234))),
             Duration(milliseconds(1234)));
 }
--- a/tests/unit/dist/deploy_template_test.cc
+++ b/tests/unit/dist/deploy_template_test.cc
@@ -11,9 +11,9 @@
 namespace medlarcroft::adapters {
 namespace {
 
-// The platform fills in the template; with any value of the right form in each
-// place the result must be settings without a fault.
-TEST(DeployTemplateTest, FillsInToGoodSettings) {
+// The platform substitutes the placeholders of the template. With any
+// well-formed values the result must be valid settings.
+TEST(DeployTemplateTest, RendersToValidSettings) {
   std::ifstream file(std::string(MEDLARCROFT_SOURCE_DIR) +
                      "/deploy/node.yaml.in");
   std::stringstream text;
@@ -33,8 +33,8 @@
       {R"(\{\{limits\.link_mbps\}\})", "10.5"},
       {R"(\{\{bounds\.(budget_ratio|max_shift)\}\})", "0.2"},
       {R"(\{\{bounds\.\w+\}\})", "5"}};
-  for (const auto& [place, value] : values) {
-    settings = std::regex_replace(settings, std::regex(place), value);
+  for (const auto& [placeholder, value] : values) {
+    settings = std::regex_replace(settings, std::regex(placeholder), value);
   }
   ASSERT_EQ(settings.find("{{"), std::string::npos) << settings;
 
--- a/tests/unit/dist/deployments_test.cc
+++ b/tests/unit/dist/deployments_test.cc
@@ -16,18 +16,18 @@
 namespace medlarcroft {
 namespace {
 
-/// What the brief says of one service.
+/// Required size of one service.
 struct ServiceSize {
   std::string service;
   std::size_t targets;
   unsigned slots;
 };
 
-/// What the brief says of one user.
+/// Required size of one deployment.
 struct DeploymentSize {
   std::string name;
   std::size_t entry_hosts;
-  std::vector<std::string> places;
+  std::vector<std::string> failure_domains;
   std::vector<ServiceSize> services;
   unsigned connections;
   unsigned near_latency_us;
@@ -59,19 +59,19 @@
   std::map<std::string, std::vector<nlohmann::json>> entries_;
 };
 
-TEST_P(Deployments, HaveThePlacesAndEntryHosts) {
-  std::vector<std::string> places;
+TEST_P(Deployments, HaveTheRequiredFailureDomainsAndEntryHosts) {
+  std::vector<std::string> failure_domains;
   std::size_t hosts = 0;
   for (const YAML::Node& domain : deployment_["failure_domains"]) {
-    places.push_back(domain["name"].as<std::string>());
+    failure_domains.push_back(domain["name"].as<std::string>());
     hosts += domain["entry_hosts"].size();
   }
-  EXPECT_EQ(places, GetParam().places);
+  EXPECT_EQ(failure_domains, GetParam().failure_domains);
   EXPECT_EQ(hosts, GetParam().entry_hosts);
-  EXPECT_EQ(entries_["failure-domain"].size(), places.size());
+  EXPECT_EQ(entries_["failure-domain"].size(), failure_domains.size());
 }
 
-TEST_P(Deployments, HaveEachServicesTargetsAndSlots) {
+TEST_P(Deployments, HaveTheRequiredTargetsAndSlots) {
   for (const ServiceSize& expected : GetParam().services) {
     SCOPED_TRACE(expected.service);
     std::set<std::string> domains;
@@ -88,11 +88,11 @@
       }
     }
     EXPECT_EQ(targets, expected.targets);
-    EXPECT_EQ(domains.size(), GetParam().places.size());
+    EXPECT_EQ(domains.size(), GetParam().failure_domains.size());
   }
 }
 
-TEST_P(Deployments, HaveALinkWithItsLatencyForEachPairOfPlaces) {
+TEST_P(Deployments, HaveALinkWithItsLatencyForEachPairOfFailureDomains) {
   std::map<std::string, std::string> regions;
   for (const auto& domain : entries_["failure-domain"]) {
     regions[domain["failure_domain"]] = domain["region"];
@@ -106,7 +106,7 @@
   }
 }
 
-TEST_P(Deployments, StartTheTargetsThatTheCatalogueNames) {
+TEST_P(Deployments, StartTheTargetsInTheCatalogue) {
   std::map<std::string, std::string> started;
   for (const YAML::Node& target : deployment_["targets"]) {
     started[target["name"].as<std::string>()] =
@@ -124,7 +124,7 @@
   EXPECT_EQ(addresses.size(), declared.size());
 }
 
-TEST_P(Deployments, AreAcceptedByTheCatalogueInTheirOrder) {
+TEST_P(Deployments, AreValidCatalogueEntriesInTheirOrder) {
   std::map<EntryName, catalogue::Entry> accepted;
   std::uint64_t revision = 0;
   for (const std::string& document : documents_) {
--- a/tests/unit/process/stop_sequence_test.cc
+++ b/tests/unit/process/stop_sequence_test.cc
@@ -11,10 +11,10 @@
 constexpr StopSequence::Options kOptions{.announce_time = seconds(6),
                                          .finish_limit = seconds(60)};
 
-// A host is stopped while callers hold look-up answers that name it. They must
-// meet an open port until those answers have run out, and a request that is in
-// flight then must end before the process does.
-TEST(StopSequence, ServesUntilAnswersRanOutAndLetsWorkEnd) {
+// A host shuts down while callers cache look-up answers that name it. Its port
+// must stay open until those answers have expired, and requests that are in
+// flight then must end before the process exits.
+TEST(StopSequence, ServesUntilLookupAnswersExpireAndRequestsEnd) {
   StopSequence sequence(kOptions);
   sequence.Advance(0, kStart);
   EXPECT_EQ(sequence.Phase(), StopPhase::kServing);
@@ -30,7 +30,7 @@
   EXPECT_EQ(sequence.Cut(), 0U);
 }
 
-TEST(StopSequence, LimitEndsAStuckRequestAndSaysSo) {
+TEST(StopSequence, LimitAbortsAndCountsStuckRequests) {
   StopSequence sequence(kOptions);
   sequence.OnSignal(1, kStart);
   sequence.Advance(1, kStart + seconds(6));
@@ -41,7 +41,7 @@
   EXPECT_EQ(sequence.Cut(), 1U);
 }
 
-TEST(StopSequence, SecondSignalHastensAndCountsWhatItCuts) {
+TEST(StopSequence, SecondSignalStopsAtOnceAndCountsAbortedRequests) {
   StopSequence sequence(kOptions);
   sequence.OnSignal(1, kStart);
   sequence.OnSignal(2, kStart + seconds(1));
--- a/tests/unit/telemetry/gauge_group_test.cc
+++ b/tests/unit/telemetry/gauge_group_test.cc
@@ -9,10 +9,9 @@
 
 constexpr MetricDescription kRate = {"medlar_rate", "A rate."};
 
-// What a reader of the metrics sees: a shift ends, and its series falls to 0.
-// First two series are told, then one of them only. Were the other left alone,
-// it would show for ever a shift that is long over.
-TEST(GaugeGroup, SeriesThatIsNoLongerToldFallsToZero) {
+// Two series are set, then only one of them. If the other kept its value, the
+// metrics would report a shift that has ended for ever.
+TEST(GaugeGroup, SeriesMissingFromAnUpdateIsSetToZero) {
   MetricsRegistry metrics;
   GaugeGroup group(metrics, kRate);
   const Labels one = {ServiceName("one")};
@@ -31,7 +30,7 @@
   EXPECT_EQ(metrics.GaugeOf(kRate, one).Value(), 3);
 }
 
-TEST(Counter, TakesOverHigherCountsOnly) {
+TEST(Counter, RaiseToIgnoresLowerCounts) {
   Counter counter;
   counter.RaiseTo(7);
   EXPECT_EQ(counter.Value(), 7U);
--- a/tests/unit/telemetry/metrics_test.cc
+++ b/tests/unit/telemetry/metrics_test.cc
@@ -26,7 +26,7 @@
 
 class Quantiles : public testing::TestWithParam<QuantileCase> {};
 
-TEST_P(Quantiles, AreTooHighByOneBucketAtMost) {
+TEST_P(Quantiles, AreOverestimatedByAtMostOneBucket) {
   constexpr unsigned kPerDecade = 5;
   LatencyHistogram histogram(kPerDecade);
   for (const Duration duration : GetParam().recorded) {
@@ -59,7 +59,7 @@
   EXPECT_EQ(LatencyHistogram().Quantile(0.5), std::nullopt);
 }
 
-TEST(MetricsTest, ThreadsLoseNoCount) {
+TEST(MetricsTest, ConcurrentUpdatesAreNotLost) {
   MetricsRegistry registry;
   Counter& counter = registry.CounterOf(kRequests);
   LatencyHistogram& histogram = registry.HistogramOf(kLatency);
@@ -80,7 +80,7 @@
   EXPECT_EQ(histogram.Count(), 40'000U);
 }
 
-TEST(MetricsTest, SameLabelsAreTheSameSeries) {
+TEST(MetricsTest, SameLabelsShareOneSeries) {
   MetricsRegistry registry;
   Counter& first = registry.CounterOf(kRequests, {ServiceName("a")});
   Counter& again = registry.CounterOf(kRequests, {ServiceName("a")});
@@ -113,9 +113,9 @@
   }
 }
 
-// Brands and targets come and go for months. Without a bound each would leave
-// a series behind and the process would grow until it is killed.
-TEST(MetricsTest, LabelSetsBeyondTheBoundShareOneSeries) {
+// Brands and targets come and go for months. Without a limit each would leave a
+// series behind, and memory would grow until the process is killed.
+TEST(MetricsTest, LabelSetsBeyondTheLimitShareOneSeries) {
   MetricsRegistry registry;
   for (std::size_t i = 0; i < MetricsRegistry::kMaxSeries + 10; ++i) {
     registry.CounterOf(kRequests, {BrandName(std::to_string(i))}).Add();
--- a/tests/unit/telemetry/trace_test.cc
+++ b/tests/unit/telemetry/trace_test.cc
@@ -16,7 +16,7 @@
 constexpr std::string_view kHeader =
     "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01";
 
-TEST(TraceparentTest, FormatsWhatItParsed) {
+TEST(TraceparentTest, FormatsAParsedHeader) {
   const auto result = ParseTraceparent(kHeader);
   ASSERT_TRUE(IsOk(result));
   EXPECT_TRUE(ValueOf(result).is_sampled);
@@ -36,13 +36,13 @@
 
 class BadTraceparents : public testing::TestWithParam<BadHeader> {};
 
-TEST_P(BadTraceparents, AreRefusedWithTheirReason) {
+TEST_P(BadTraceparents, AreRejectedWithTheirReason) {
   const auto result = ParseTraceparent(GetParam().header);
   ASSERT_FALSE(IsOk(result));
   EXPECT_EQ(ErrorOf(result), GetParam().error);
 }
 
-std::string Changed(std::size_t position, std::string_view text) {
+std::string WithReplacement(std::size_t position, std::string_view text) {
   std::string header(kHeader);
   header.replace(position, text.size(), text);
   return header;
@@ -51,25 +51,29 @@
 INSTANTIATE_TEST_SUITE_P(
     Table,
     BadTraceparents,
-    testing::Values(
-        BadHeader{"Empty", "", TraceparentError::kBadLength},
-        BadHeader{"Short", std::string(kHeader.substr(0, 54)),
-                  TraceparentError::kBadLength},
-        BadHeader{"Long", std::string(kHeader) + "-x",
-                  TraceparentError::kBadLength},
-        BadHeader{"VersionFf", Changed(0, "ff"), TraceparentError::kBadVersion},
-        BadHeader{"VersionText", Changed(0, "zz"),
-                  TraceparentError::kBadVersion},
-        BadHeader{"Separator", Changed(35, "x"),
-                  TraceparentError::kBadSeparator},
-        BadHeader{"LaterSeparator", Changed(0, "01") + "x",
-                  TraceparentError::kBadSeparator},
-        BadHeader{"UpperCase", Changed(3, "4BF9"), TraceparentError::kBadDigit},
-        BadHeader{"Flags", Changed(53, "0g"), TraceparentError::kBadDigit},
-        BadHeader{"ZeroTrace", Changed(3, std::string(32, '0')),
-                  TraceparentError::kZeroId},
-        BadHeader{"ZeroSpan", Changed(36, std::string(16, '0')),
-                  TraceparentError::kZeroId}),
+    testing::Values(BadHeader{"Empty", "", TraceparentError::kBadLength},
+                    BadHeader{"Short", std::string(kHeader.substr(0, 54)),
+                              TraceparentError::kBadLength},
+                    BadHeader{"Long", std::string(kHeader) + "-x",
+                              TraceparentError::kBadLength},
+                    BadHeader{"VersionFf", WithReplacement(0, "ff"),
+                              TraceparentError::kBadVersion},
+                    BadHeader{"VersionText", WithReplacement(0, "zz"),
+                              TraceparentError::kBadVersion},
+                    BadHeader{"Separator", WithReplacement(35, "x"),
+                              TraceparentError::kBadSeparator},
+                    BadHeader{"LaterSeparator", WithReplacement(0, "01") + "x",
+                              TraceparentError::kBadSeparator},
+                    BadHeader{"UpperCase", WithReplacement(3, "4BF9"),
+                              TraceparentError::kBadDigit},
+                    BadHeader{"Flags", WithReplacement(53, "0g"),
+                              TraceparentError::kBadDigit},
+                    BadHeader{"ZeroTrace",
+                              WithReplacement(3, std::string(32, '0')),
+                              TraceparentError::kZeroId},
+                    BadHeader{"ZeroSpan",
+                              WithReplacement(36, std::string(16, '0')),
+                              TraceparentError::kZeroId}),
     [](const auto& info) { return info.param.name; });
 
 class CollectingExporter final : public SpanExporter {
@@ -104,9 +108,9 @@
   EXPECT_EQ(exporter_.spans[0].attributes.size(), 1U);
 }
 
-// A hop that decided for itself would leave traces with holes: each hop keeps
-// the decision of the first, whatever its own sampling is.
-TEST_F(TracerTest, CallersDecisionGoesBeforeTheSampling) {
+// If each service decided by itself, traces would be incomplete: all keep the
+// decision of the first one, whatever their own sampling fraction is.
+TEST_F(TracerTest, SamplingDecisionOfTheCallerTakesPrecedence) {
   Tracer always(clock_, random_, exporter_, 1.0);
   Tracer never(clock_, random_, exporter_, 0.0);
   TraceContext caller = ValueOf(ParseTraceparent(kHeader));
@@ -119,7 +123,7 @@
   EXPECT_EQ(exporter_.spans.size(), 1U);
 }
 
-TEST_F(TracerTest, SamplesItsShare) {
+TEST_F(TracerTest, SamplesTheConfiguredFraction) {
   Tracer tracer(clock_, random_, exporter_, 0.25);
   for (int i = 0; i < 4000; ++i) {
     tracer.Start("a", SpanKind::kServer, std::nullopt).End();
