--- a/tests/fakes/catalogue_platform.h
+++ b/tests/fakes/catalogue_platform.h
@@ -14,13 +14,14 @@
 
 namespace medlarcroft::fakes {
 
-/// @brief A platform in memory and one host's store on it.
+/// @brief An in-memory platform on which hosts' catalogue stores can be
+/// created.
 struct CataloguePlatform {
   FakeTableStore table;
   FakeObjectStore objects;
   ManualClock clock;
   SeededRandom random{20261202};
-  std::function<void()> on_sleep;  ///< Runs once, at the next back-off.
+  std::function<void()> on_sleep;  ///< Called once, at the next back-off.
 
   catalogue::CatalogueStore MakeStore(
       catalogue::CatalogueStore::Options options = {}) {
@@ -49,7 +50,7 @@
       .seats = seats};
 }
 
-/// @brief A change of the failure domain of that name by its owner.
+/// @brief A change of the failure domain `name` by its owner.
 inline catalogue::ChangeRequest DomainChange(const std::string& change_id,
                                              const std::string& name,
                                              std::uint64_t expected_version,
--- a/tests/fakes/fake_object_store.h
+++ b/tests/fakes/fake_object_store.h
@@ -11,7 +11,7 @@
 
 namespace medlarcroft::fakes {
 
-/// @brief Objects in memory; a test may damage or lose them.
+/// @brief An in-memory object store; a test can corrupt or remove its objects.
 class FakeObjectStore final : public ports::ObjectStore {
  public:
   void SetDown(bool is_down) { is_down_ = is_down; }
--- a/tests/fakes/fake_store_server.h
+++ b/tests/fakes/fake_store_server.h
@@ -15,8 +15,9 @@
 
 namespace medlarcroft::fakes {
 
-/// @brief The platform's store, one table, on the event loop of a test: rows,
-/// conditions and feed as its pages tell, with the faults that a test sets.
+/// @brief An HTTP server with the platform's store, of one table, on a test's
+/// event loop: rows, conditions and the feed as the platform documents them,
+/// with faults that a test can set.
 class FakeStoreServer final : public adapters::HttpRequestHandler {
  public:
   explicit FakeStoreServer(adapters::EventLoop& loop) : loop_(loop) {
@@ -26,7 +27,7 @@
 
   [[nodiscard]] const std::string& Address() const { return address_; }
 
-  /// Ends all connections, and resets new ones.
+  /// Closes all connections and resets new ones.
   void Stop() { listener_.reset(); }
   void Resume() { Listen(address_); }
 
@@ -34,26 +35,27 @@
     ++version;
     rows_[key] = {value, version};
     removed_.erase(key);
-    WakeFeeds();
+    AnswerWaitingFeeds();
   }
   void Remove(const std::string& key) {
     ++version;
     rows_.erase(key);
     removed_[key] = version;
-    WakeFeeds();
+    AnswerWaitingFeeds();
   }
-  /// The history up to now is gone: feeds that ask from before get 410.
+  /// Discards the history up to now: feeds that start before it get status 410.
   void Compact() { oldest_ = version + 1; }
 
-  // Faults.
-  std::optional<int> forced_status;    ///< Status of every answer.
-  bool is_unresponsive = false;        ///< Calls get no answer.
-  bool drops_write_responses = false;  ///< Writes are done and not answered.
-  /// Calls are taken up so much later; one that waits no longer is not told.
+  // Faults:
+  std::optional<int> forced_status;    ///< Status of every response.
+  bool is_unresponsive = false;        ///< Calls get no response.
+  bool drops_write_responses = false;  ///< Writes succeed without a response.
+  /// Delay before a call is processed; a caller that has stopped waiting gets
+  /// no response.
   Duration processing_delay{0};
-  /// Writes are done so much later, and not answered.
+  /// Delay before a write takes effect; it gets no response.
   Duration write_delay{0};
-  std::uint64_t reported_version_lag = 0;  ///< Lists tell an older version.
+  std::uint64_t reported_version_lag = 0;  ///< Lists report an older version.
   std::size_t rows_per_page = 500;
 
   std::uint64_t version = 0;
@@ -66,7 +68,7 @@
         request.raw_target.substr(0, request.raw_target.find('?'));
     ++calls[path];
     if (is_unresponsive) {
-      hanging_.push_back(exchange);
+      unanswered_.push_back(exchange);
       return;
     }
     if (forced_status) {
@@ -75,11 +77,11 @@
     }
     if (processing_delay > Duration(0)) {
       loop_.After(processing_delay, [this, path, request, exchange] {
-        TakeUp(path, request, exchange);
+        Process(path, request, exchange);
       });
       return;
     }
-    TakeUp(path, request, exchange);
+    Process(path, request, exchange);
   }
 
  private:
@@ -92,15 +94,15 @@
     listener_ = TakeValue(adapters::HttpListener::Open(loop_, address, *this));
   }
 
-  void TakeUp(const std::string& path,
-              const adapters::HttpRequest& request,
-              const std::shared_ptr<adapters::HttpExchange>& exchange) {
+  void Process(const std::string& path,
+               const adapters::HttpRequest& request,
+               const std::shared_ptr<adapters::HttpExchange>& exchange) {
     if (path.ends_with("rows-get")) {
       List(request.raw_target, *exchange);
     } else if (path.ends_with("rows-feed")) {
       Feed(request.raw_target, exchange);
     } else if (write_delay > Duration(0)) {
-      hanging_.push_back(exchange);
+      unanswered_.push_back(exchange);
       loop_.After(write_delay,
                   [this, request, exchange] { Write(request.body, exchange); });
     } else {
@@ -129,8 +131,8 @@
   }
 
   void List(const std::string& target, adapters::HttpExchange& exchange) {
-    // Keys of these tests have no characters that need escaping but the last,
-    // which stands for "after this key".
+    // Keys in these tests need no escaping except the last character, which
+    // stands for "after this key".
     std::string from(platform::FindParameter(target, "from"));
     const bool is_after = from.ends_with("%00");
     if (is_after) {
@@ -164,10 +166,10 @@
       Respond(*exchange, ChangesAfter(after));
       return;
     }
-    feeds_.push_back({exchange, after});
+    waiting_feeds_.push_back({exchange, after});
     const Duration wait =
         std::chrono::milliseconds(NumberOf(target, "wait_ms"));
-    // Only the first answer counts, if a change came before.
+    // Only the first response counts, in case a change came before.
     loop_.After(wait, [this, exchange, after] {
       if (after + 1 < oldest_) {
         exchange->Respond({.status = 410});
@@ -197,16 +199,17 @@
     return {{"rows", rows}, {"schema_version", version}};
   }
 
-  void WakeFeeds() {
+  void AnswerWaitingFeeds() {
     if (is_unresponsive) {
       return;
     }
-    for (const Waiting& waiting : std::exchange(feeds_, {})) {
+    for (const Waiting& waiting : std::exchange(waiting_feeds_, {})) {
       Respond(*waiting.exchange, ChangesAfter(waiting.after));
     }
   }
 
-  /// The rows of a transaction's conditions as they are.
+  /// @return the response body with the current rows of the transaction's
+  /// conditions.
   std::string ConditionRows(const nlohmann::json& transaction) {
     nlohmann::json rows = nlohmann::json::array();
     for (const nlohmann::json& condition : transaction.at("precondition")) {
@@ -237,7 +240,7 @@
       Remove(row.at("key"));
     }
     if (drops_write_responses || write_delay > Duration(0)) {
-      hanging_.push_back(exchange);
+      unanswered_.push_back(exchange);
       return;
     }
     Respond(*exchange, {{"schema_version", version}});
@@ -249,8 +252,8 @@
   std::map<std::string, std::pair<std::string, std::uint64_t>> rows_;
   std::map<std::string, std::uint64_t> removed_;
   std::uint64_t oldest_ = 0;
-  std::vector<Waiting> feeds_;
-  std::vector<std::shared_ptr<adapters::HttpExchange>> hanging_;
+  std::vector<Waiting> waiting_feeds_;
+  std::vector<std::shared_ptr<adapters::HttpExchange>> unanswered_;
 };
 
 }  // namespace medlarcroft::fakes
--- a/tests/fakes/fake_table_store.h
+++ b/tests/fakes/fake_table_store.h
@@ -16,34 +16,35 @@
 
 namespace medlarcroft::fakes {
 
-/// @brief What becomes of the next commit.
+/// @brief The fault of a commit.
 enum class CommitFault {
   kNone,
-  kResponseLost,  ///< Takes effect, but the answer is `kOutcomeUnknown`.
-  kRequestLost,   ///< Takes no effect; the answer is `kOutcomeUnknown`.
-  kDelayed,  ///< `kOutcomeUnknown`; takes effect at `DeliverDelayedCommits`.
+  kResponseLost,  ///< Takes effect; returns `kOutcomeUnknown`.
+  kRequestLost,   ///< Takes no effect; returns `kOutcomeUnknown`.
+  kDelayed,       ///< Returns `kOutcomeUnknown`; takes effect at
+                  ///< `DeliverDelayedCommits`.
 };
 
-/// @brief A transactional table in memory, with the platform's ways to fail.
+/// @brief An in-memory transactional table with the failures of the platform.
 class FakeTableStore final : public ports::TableStore {
  public:
   using ReadResult = Result<ports::Row, ports::StoreFailure>;
   using ScanResult = Result<std::vector<ports::Row>, ports::StoreFailure>;
   using CommitResult = Result<ports::TransactionOutcome, ports::StoreFailure>;
 
-  /// @brief While down, every call is refused without effect.
+  /// @brief While down, every call fails without effect.
   void SetDown(bool is_down) { is_down_ = is_down; }
 
-  /// @brief While reads fail, commits still work; `kOutcomeUnknown`.
-  void SetReadsFailing(bool are_lost) { are_reads_lost_ = are_lost; }
+  /// @brief While reads fail with `kOutcomeUnknown`, commits still work.
+  void SetReadsFailing(bool are_failing) { are_reads_failing_ = are_failing; }
 
-  /// @brief Every call moves `clock` by `latency` before it is answered.
+  /// @brief Every call advances `clock` by `latency` before it returns.
   void SetLatency(ManualClock* clock, Duration latency) {
     slow_clock_ = clock;
     latency_ = latency;
   }
 
-  /// @brief Reads and scans show the table as it is now until `UnfreezeReads`.
+  /// @brief Reads and scans return the current content until `UnfreezeReads`.
   void FreezeReads() { frozen_ = rows_; }
   void UnfreezeReads() { frozen_.reset(); }
 
@@ -52,16 +53,16 @@
     faults_ = std::move(faults);
   }
 
-  /// @brief Lets commits of kind `kDelayed` reach the table now.
+  /// @brief Applies the commits with fault `kDelayed` to the table now.
   void DeliverDelayedCommits() {
     for (const ports::Transaction& transaction :
-         std::exchange(late_, std::vector<ports::Transaction>())) {
+         std::exchange(delayed_, std::vector<ports::Transaction>())) {
       Apply(transaction);
     }
   }
 
-  /// @brief Called before each commit takes effect: a place for a test to let a
-  /// rival act first.
+  /// @brief Sets a hook that runs once, before the next commit takes effect, so
+  /// that a test can let a concurrent writer act first.
   void SetBeforeCommit(std::function<void()> hook) {
     before_commit_ = std::move(hook);
   }
@@ -115,7 +116,7 @@
     }
     const CommitFault fault = NextFault();
     if (fault == CommitFault::kDelayed) {
-      late_.push_back(transaction);
+      delayed_.push_back(transaction);
     }
     if (fault == CommitFault::kDelayed || fault == CommitFault::kRequestLost) {
       return ports::StoreFailure::kOutcomeUnknown;
@@ -138,8 +139,9 @@
     if (is_down_) {
       return ports::StoreFailure::kUnavailable;
     }
-    return are_reads_lost_ ? std::optional(ports::StoreFailure::kOutcomeUnknown)
-                           : std::nullopt;
+    return are_reads_failing_
+               ? std::optional(ports::StoreFailure::kOutcomeUnknown)
+               : std::nullopt;
   }
 
   CommitFault NextFault() {
@@ -186,14 +188,14 @@
   std::map<std::string, ports::Row, std::less<>> rows_;
   std::optional<std::map<std::string, ports::Row, std::less<>>> frozen_;
   std::vector<CommitFault> faults_;
-  std::vector<ports::Transaction> late_;
+  std::vector<ports::Transaction> delayed_;
   std::function<void()> before_commit_;
   ManualClock* slow_clock_ = nullptr;
   Duration latency_{};
   std::size_t reads_ = 0;
   std::size_t commits_ = 0;
   bool is_down_ = false;
-  bool are_reads_lost_ = false;
+  bool are_reads_failing_ = false;
 };
 
 }  // namespace medlarcroft::fakes
--- a/tests/fakes/manual_clock.h
+++ b/tests/fakes/manual_clock.h
@@ -5,8 +5,8 @@
 
 namespace medlarcroft::fakes {
 
-/// @brief A clock that a test moves. It starts at one hour, so that "before
-/// now" can be expressed.
+/// @brief A clock that a test advances. It starts at one hour, so that earlier
+/// times can be expressed.
 class ManualClock final : public ports::Clock {
  public:
   [[nodiscard]] MonotonicTime Now() const override { return now_; }
--- a/tests/fakes/scripted_server.h
+++ b/tests/fakes/scripted_server.h
@@ -15,8 +15,8 @@
 
 namespace medlarcroft::fakes {
 
-/// @brief One accepted connection, for a script that says exactly which bytes
-/// go out when. It closes at the end of its life.
+/// @brief One accepted connection, for a script that controls exactly which
+/// bytes are sent when. The destructor closes it.
 class ScriptedConnection {
  public:
   explicit ScriptedConnection(int descriptor) : descriptor_(descriptor) {}
@@ -24,7 +24,8 @@
   ScriptedConnection(const ScriptedConnection&) = delete;
   ScriptedConnection& operator=(const ScriptedConnection&) = delete;
 
-  /// @return what came up to and with `end`; less when the other end closed.
+  /// @return the received bytes up to and including `end`, or fewer if the peer
+  /// closed the connection.
   std::string ReadUntil(std::string_view end) {
     std::array<char, 4096> buffer;
     while (received_.find(end) == std::string::npos) {
@@ -41,7 +42,8 @@
     return text;
   }
   std::string ReadHead() { return ReadUntil("\r\n\r\n"); }
-  /// @return whether the other end closes.
+  /// @brief Waits until the peer closes the connection.
+  /// @return always true.
   bool WaitForClose() {
     ReadUntil("never sent");
     return true;
@@ -65,11 +67,11 @@
   std::string received_;
 };
 
-/// @brief A server on loopback that runs a script for each connection, one
-/// after the other.
+/// @brief A server on the loopback interface that runs a script for each
+/// connection, sequentially.
 class ScriptedServer {
  public:
-  /// @param script gets the connection and its number from 1.
+  /// @param script is called with the connection and its number, starting at 1.
   using Script = std::function<void(ScriptedConnection&, int number)>;
 
   explicit ScriptedServer(Script script) : script_(std::move(script)) {
--- a/tests/fakes/seeded_random.h
+++ b/tests/fakes/seeded_random.h
@@ -7,7 +7,7 @@
 
 namespace medlarcroft::fakes {
 
-/// @brief The same numbers for the same seed, on every machine.
+/// @brief Returns the same numbers for the same seed on every platform.
 class SeededRandom final : public ports::RandomSource {
  public:
   explicit SeededRandom(std::uint64_t seed) : engine_(seed) {}
--- a/tests/fakes/virtual_time.h
+++ b/tests/fakes/virtual_time.h
@@ -12,8 +12,8 @@
 
 namespace medlarcroft::fakes {
 
-/// @brief Tasks in virtual time. A paused host's tasks wait until it goes on;
-/// a dead one's are dropped.
+/// @brief Runs tasks in virtual time. Tasks of a paused host are deferred until
+/// it resumes; tasks of a killed host are dropped.
 class VirtualTime {
  public:
   static constexpr int kNoHost = -1;
@@ -24,11 +24,11 @@
     events_.push({.at = at,
                   .number = ++last_number_,
                   .host = host,
-                  .life = LifeOf(host),
+                  .incarnation = IncarnationOf(host),
                   .task = std::move(task)});
   }
   void Pause(int host, MonotonicTime until) { paused_until_[host] = until; }
-  void Kill(int host) { ++lives_[host]; }
+  void Kill(int host) { ++incarnations_[host]; }
   [[nodiscard]] bool IsPaused(int host) const {
     const auto found = paused_until_.find(host);
     return found != paused_until_.end() && now_ < found->second;
@@ -39,7 +39,7 @@
       Event event = events_.top();
       events_.pop();
       now_ = std::max(now_, event.at);
-      if (event.life != LifeOf(event.host)) {
+      if (event.incarnation != IncarnationOf(event.host)) {
         continue;
       }
       if (IsPaused(event.host)) {
@@ -57,7 +57,7 @@
     MonotonicTime at;
     std::uint64_t number = 0;
     int host = kNoHost;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     std::function<void()> task;
 
     bool operator<(const Event& other) const {
@@ -65,19 +65,19 @@
     }
   };
 
-  [[nodiscard]] std::uint64_t LifeOf(int host) const {
-    const auto found = lives_.find(host);
-    return found == lives_.end() ? 0 : found->second;
+  [[nodiscard]] std::uint64_t IncarnationOf(int host) const {
+    const auto found = incarnations_.find(host);
+    return found == incarnations_.end() ? 0 : found->second;
   }
 
   MonotonicTime now_{std::chrono::hours(1)};
   std::uint64_t last_number_ = 0;
   std::priority_queue<Event> events_;
   std::map<int, MonotonicTime> paused_until_;
-  std::map<int, std::uint64_t> lives_;
+  std::map<int, std::uint64_t> incarnations_;
 };
 
-/// @brief One host's timers.
+/// @brief The timers of one host.
 class HostTimers final : public ports::Timers {
  public:
   HostTimers(VirtualTime& time, int host) : time_(time), host_(host) {}
--- a/tests/fuzz/block_map_fuzzer.cc
+++ b/tests/fuzz/block_map_fuzzer.cc
@@ -1,5 +1,5 @@
-// The client block map comes from the object store: a damaged one is refused
-// with a type, and nothing is allocated that its size does not bear out.
+// The client block map comes from the object store: a corrupt one is rejected
+// with a typed error, and no more memory is allocated than its size justifies.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
@@ -8,7 +8,7 @@
 #include "medlarcroft/membership/heartbeat.h"
 #include "medlarcroft/steering/block_map_codec.h"
 
-// NOLINTNEXTLINE(readability-identifier-naming): the library's name for it.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
--- a/tests/fuzz/corpus_main.cc
+++ b/tests/fuzz/corpus_main.cc
@@ -1,5 +1,5 @@
-// Runs a fuzz target over the files of a folder, so that its corpus is checked
-// by every build; scripts/fuzz searches for new inputs.
+// Runs a fuzz target over the files of a folder, so that every build checks its
+// corpus; scripts/fuzz searches for new inputs.
 #include <cstdint>
 #include <cstdio>
 #include <filesystem>
@@ -7,7 +7,7 @@
 #include <iterator>
 #include <vector>
 
-// NOLINTNEXTLINE(readability-identifier-naming): the library's name for it.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size);
 
--- a/tests/fuzz/entry_codec_fuzzer.cc
+++ b/tests/fuzz/entry_codec_fuzzer.cc
@@ -13,7 +13,7 @@
 using medlarcroft::catalogue::ParseEntry;
 using medlarcroft::catalogue::UnknownFields;
 
-/// Whatever is accepted must be accepted again, unchanged, after formatting.
+/// Every accepted document must be accepted again, unchanged, after formatting.
 void CheckRoundTrip(std::string_view document, UnknownFields policy) {
   const auto entry = ParseEntry(document, policy);
   if (!IsOk(entry)) {
--- a/tests/fuzz/key_fuzzer.cc
+++ b/tests/fuzz/key_fuzzer.cc
@@ -1,5 +1,5 @@
-// Keys and forward claims come from callers' headers: whatever is read must
-// give the same text again, and nothing may crash.
+// Keys and forward claims come from callers' headers: every value that parses
+// must format and parse again, and nothing may crash.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -8,7 +8,7 @@
 #include "medlarcroft/forwarding/forward_proof.h"
 #include "medlarcroft/idempotency/key.h"
 
-// NOLINTNEXTLINE(readability-identifier-naming): the library's name for it.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size) {
   namespace idempotency = medlarcroft::idempotency;
--- a/tests/fuzz/load_answer_fuzzer.cc
+++ b/tests/fuzz/load_answer_fuzzer.cc
@@ -1,5 +1,5 @@
-// The load tool reads what a system under test answers, which may be broken:
-// whatever comes, it gives a verdict and never a crash.
+// The load tool parses responses of a system under test, which may be
+// malformed: any input gives a verdict and never crashes.
 #include <cstddef>
 #include <cstdint>
 #include <string>
@@ -11,7 +11,7 @@
 #include "medlarcroft/load_generator/lookup_cache.h"
 #include "medlarcroft/load_generator/response_check.h"
 
-// NOLINTNEXTLINE(readability-identifier-naming): the library's name for it.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size) {
   namespace load = medlarcroft::load_generator;
--- a/tests/fuzz/peer_message_fuzzer.cc
+++ b/tests/fuzz/peer_message_fuzzer.cc
@@ -1,5 +1,5 @@
-// Bytes from a peer: frames of any length and content must be refused or read,
-// never more than is bounded, and what was read must convert.
+// Messages from a peer: frames of any length and content must be rejected or
+// parsed within the size limits, and every parsed message must convert.
 #include <thrift/transport/TBufferTransports.h>
 
 #include <cstddef>
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-// NOLINTNEXTLINE(readability-identifier-naming): the library's name for it.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size) {
   namespace adapters = medlarcroft::adapters;
--- a/tests/fuzz/request_fuzzer.cc
+++ b/tests/fuzz/request_fuzzer.cc
@@ -1,5 +1,5 @@
 // A caller's request: the first line is the request target, each further line a
-// header field. Whatever it is, it is parsed or refused with a type.
+// header field. Any input is parsed or rejected with a typed error.
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 #include "adapters/entry/request_parser.h"
 
-// NOLINTNEXTLINE(readability-identifier-naming): the library's name for it.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size) {
   std::string_view text(reinterpret_cast<const char*>(data), size);
--- a/tests/fuzz/settings_fuzzer.cc
+++ b/tests/fuzz/settings_fuzzer.cc
@@ -1,5 +1,5 @@
-// Settings files come from people and their tools: whatever the bytes, reading
-// them gives settings or faults that name a place, and never a crash.
+// Settings files are written by people and tools: any input gives settings or
+// errors that name a location, and never crashes.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -31,7 +31,7 @@
 }  // namespace
 }  // namespace medlarcroft::adapters
 
-// NOLINTNEXTLINE(readability-identifier-naming): the library's name for it.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size) {
   namespace adapters = medlarcroft::adapters;
--- a/tests/fuzz/traceparent_fuzzer.cc
+++ b/tests/fuzz/traceparent_fuzzer.cc
@@ -1,5 +1,5 @@
-// Every caller may send any bytes as `traceparent`: what is taken must read the
-// same again when it is sent on.
+// Callers may send any bytes as `traceparent`: every accepted value must parse
+// to the same context after formatting.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -7,7 +7,7 @@
 
 #include "medlarcroft/telemetry/trace.h"
 
-// NOLINTNEXTLINE(readability-identifier-naming): the library's name for it.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size) {
   namespace telemetry = medlarcroft::telemetry;
--- a/tests/property/at_most_once_property_test.cc
+++ b/tests/property/at_most_once_property_test.cc
@@ -20,26 +20,26 @@
 using fakes::CommitFault;
 
 enum class Event {
-  kAttempt,  ///< A caller sends a key to a host, first or again.
+  kAttempt,  ///< A caller sends a request with a key, or repeats it.
   kDispatch,
-  kRefuse,  ///< Admission refuses an attempt before the ledger sees it.
-  kGiveUp,  ///< The deadline passes before the dispatch.
+  kRefuse,  ///< Admission control refuses an attempt before the ledger gets it.
+  kAbandon,  ///< The deadline passes before the dispatch.
   kComplete,
-  kLoseTarget,  ///< The target's answer never comes.
+  kLoseTarget,  ///< The target's response never arrives.
   kTakeOver,
   kFence,
   kRestart,
-  kLoseAnswer,
+  kLoseResponse,
   kLoseRequest,
   kDelayWrite,
-  kDeliverLate,
+  kDeliverDelayedCommits,
   kPlatformDown,
   kPlatformUp,
-  kTimePasses,
-  kClockBack,
-  kClockForward,
+  kAdvanceTime,
+  kSetClockBack,
+  kSetClockForward,
 };
-constexpr int kEvents = 18;
+constexpr int kEventCount = 18;
 
 struct Command {
   Event event;
@@ -52,7 +52,7 @@
              << command.key;
 }
 
-/// A host's clock whose wall time can be set.
+/// A host's clock whose wall time can be shifted.
 class SettableClock final : public ports::Clock {
  public:
   [[nodiscard]] MonotonicTime Now() const override { return clock_.Now(); }
@@ -74,16 +74,17 @@
   std::unique_ptr<KeyAuthority> authority;
   std::unique_ptr<Ledger> ledger;
   std::unique_ptr<DurableClaims> claims;
-  std::set<std::size_t> begun, dispatched;  ///< Indexes of keys.
+  std::set<std::size_t> begun, dispatched;  ///< Indexes into `keys_`.
 };
 
-/// Three hosts, a platform, and callers that send 8 keys anywhere, any time.
-class KeyModel {
+/// Three hosts, a platform store, and callers that send any of 8 keys to any
+/// host at any time.
+class IdempotencyModel {
  public:
   static constexpr std::uint32_t kHosts = 3;
   static constexpr std::uint32_t kKeys = 8;
 
-  explicit KeyModel(std::uint64_t seed) : random_(seed) {
+  explicit IdempotencyModel(std::uint64_t seed) : random_(seed) {
     for (std::uint32_t i = 0; i < kHosts; ++i) {
       hosts_[i].name = HostName("h" + std::to_string(i));
       Restart(hosts_[i]);
@@ -103,9 +104,9 @@
       case Event::kDispatch:
         return Dispatch(host, command.key);
       case Event::kRefuse:
-        return Say(command.key, host.ledger->OutcomeIfRefused(key));
-      case Event::kGiveUp:
-        return GiveUp(host, command.key);
+        return CheckOutcome(command.key, host.ledger->OutcomeIfRefused(key));
+      case Event::kAbandon:
+        return Abandon(host, command.key);
       case Event::kComplete:
         if (host.dispatched.erase(command.key) > 0) {
           (void)host.ledger->Complete(key, std::make_shared<Answer>());
@@ -126,7 +127,7 @@
         return;
       case Event::kRestart:
         return Restart(host);
-      case Event::kLoseAnswer:
+      case Event::kLoseResponse:
         return store_.FailNextCommits({CommitFault::kResponseLost});
       case Event::kLoseRequest:
         return store_.FailNextCommits(
@@ -134,26 +135,26 @@
       case Event::kDelayWrite:
         return store_.FailNextCommits(
             {CommitFault::kDelayed, CommitFault::kDelayed});
-      case Event::kDeliverLate:
+      case Event::kDeliverDelayedCommits:
         return store_.DeliverDelayedCommits();
       case Event::kPlatformDown:
         return store_.SetDown(true);
       case Event::kPlatformUp:
         return store_.SetDown(false);
-      case Event::kTimePasses:
+      case Event::kAdvanceTime:
         for (Host& each : hosts_) {
           each.clock.Advance(std::chrono::minutes(2));
         }
         return;
-      case Event::kClockBack:
+      case Event::kSetClockBack:
         return host.clock.Set(-std::chrono::minutes(20));
-      case Event::kClockForward:
+      case Event::kSetClockForward:
         return host.clock.Set(std::chrono::minutes(5));
     }
   }
 
   [[nodiscard]] std::uint64_t Runs() const { return total_runs_; }
-  [[nodiscard]] std::uint64_t NotRuns() const { return not_runs_; }
+  [[nodiscard]] std::uint64_t NotRunReports() const { return not_run_reports_; }
 
  private:
   void Restart(Host& host) {
@@ -178,7 +179,7 @@
     if (std::holds_alternative<DispatchRequest>(result)) {
       host.begun.insert(index);
     } else if (const auto* refused = std::get_if<Refused>(&result)) {
-      Say(index, refused->outcome);
+      CheckOutcome(index, refused->outcome);
     }
   }
 
@@ -201,12 +202,12 @@
     }
   }
 
-  void GiveUp(Host& host, std::size_t index) {
+  void Abandon(Host& host, std::size_t index) {
     if (host.begun.erase(index) == 0) {
       return;
     }
     (void)host.ledger->MarkNotRun(keys_[index]);
-    Say(index, host.ledger->OutcomeIfRefused(keys_[index]));
+    CheckOutcome(index, host.ledger->OutcomeIfRefused(keys_[index]));
   }
 
   void TakeOver(Host& host, std::size_t index) {
@@ -235,49 +236,51 @@
   void Run(Host& host, std::size_t index) {
     ++total_runs_;
     host.dispatched.insert(index);
-    RC_ASSERT(ran_.insert(index).second);
-    RC_ASSERT(!fenced_.contains(index));
+    RC_ASSERT(executed_keys_.insert(index).second);
+    RC_ASSERT(!fenced_keys_.contains(index));
   }
 
-  void Say(std::size_t index, Outcome outcome) {
+  void CheckOutcome(std::size_t index, Outcome outcome) {
     if (outcome == Outcome::kNotRun) {
-      ++not_runs_;
-      RC_ASSERT(!ran_.contains(index));
+      ++not_run_reports_;
+      RC_ASSERT(!executed_keys_.contains(index));
     }
-    RC_ASSERT(outcome != Outcome::kRan || ran_.contains(index));
+    RC_ASSERT(outcome != Outcome::kRan || executed_keys_.contains(index));
   }
 
   void Fence(std::size_t index) {
-    fenced_.insert(index);
-    Say(index, Outcome::kNotRun);
+    fenced_keys_.insert(index);
+    CheckOutcome(index, Outcome::kNotRun);
   }
 
   fakes::SeededRandom random_;
   fakes::FakeTableStore store_;
   std::array<Host, kHosts> hosts_;
   std::vector<Key> keys_;
-  std::set<std::size_t> ran_, fenced_;
+  std::set<std::size_t> executed_keys_, fenced_keys_;
   std::uint64_t total_runs_ = 0;
-  std::uint64_t not_runs_ = 0;
+  std::uint64_t not_run_reports_ = 0;
 };
 
-// What the caller sees: a booking made twice, or "not run" for one that was
-// made. How: copies of its request come to one host or several, together or
-// late; a host restarts or its wall clock is set; a claim's write lands but its
-// answer is lost, or it lands much later; another host takes over. All of these
-// in any order: a key runs once at most, and "not run" is said of no key that
-// ran, nor does a fenced key run afterwards.
-TEST(AtMostOnceProperty, AKeyRunsOnceAndNotRunIsTrue) {
+// Guards against a booking that is made twice, and against "not run" for one
+// that was made. Causes: copies of a request reach one host or several, at the
+// same time or later; a host restarts or its wall clock is changed; a claim's
+// write succeeds but its response is lost, or it takes effect much later;
+// another host takes over. In any order of these events, a key runs at most
+// once, "not run" is never reported for a key that ran, and a fenced key never
+// runs afterwards.
+TEST(AtMostOnceProperty, KeyRunsAtMostOnceAndNotRunIsTrue) {
   std::uint64_t runs = 0;
-  std::uint64_t not_runs = 0;
+  std::uint64_t not_run_reports = 0;
   const bool holds = rc::check([&](std::uint64_t seed) {
     const auto any_event = rc::gen::map(
-        rc::gen::weightedOneOf<int>(
-            {{3, rc::gen::inRange(0, 4)}, {2, rc::gen::inRange(0, kEvents)}}),
+        rc::gen::weightedOneOf<int>({{3, rc::gen::inRange(0, 4)},
+                                     {2, rc::gen::inRange(0, kEventCount)}}),
         [](int number) { return static_cast<Event>(number); });
     const auto any_command = rc::gen::map(
-        rc::gen::tuple(any_event, rc::gen::inRange(0U, KeyModel::kHosts),
-                       rc::gen::inRange(0U, KeyModel::kKeys)),
+        rc::gen::tuple(any_event,
+                       rc::gen::inRange(0U, IdempotencyModel::kHosts),
+                       rc::gen::inRange(0U, IdempotencyModel::kKeys)),
         [](const std::tuple<Event, std::uint32_t, std::uint32_t>& drawn) {
           return Command{.event = std::get<0>(drawn),
                          .host = std::get<1>(drawn),
@@ -285,17 +288,18 @@
         });
     const auto commands =
         *rc::gen::container<std::vector<Command>>(200, any_command);
-    KeyModel model(seed);
+    IdempotencyModel model(seed);
     for (const Command& command : commands) {
       model.Apply(command);
     }
     runs += model.Runs();
-    not_runs += model.NotRuns();
+    not_run_reports += model.NotRunReports();
   });
   EXPECT_TRUE(holds);
   EXPECT_GT(runs, 100U);
-  EXPECT_GT(not_runs, 100U);
-  std::cout << "runs " << runs << ", not-run said " << not_runs << "\n";
+  EXPECT_GT(not_run_reports, 100U);
+  std::cout << "runs " << runs << ", not-run reports " << not_run_reports
+            << "\n";
 }
 
 }  // namespace
--- a/tests/property/catalogue_property_test.cc
+++ b/tests/property/catalogue_property_test.cc
@@ -10,10 +10,10 @@
 #include "medlarcroft/catalogue/catalogue_replica.h"
 #include "medlarcroft/catalogue/catalogue_store.h"
 
-// Operators change three entries through two hosts' stores, commits lose their
-// requests and answers or come late, the platform goes down and its reads lag;
-// three replicas take deltas from the platform and from each other in any order
-// and as often as it pleases the generator.
+// Operators change three entries through the stores of two hosts. Commits lose
+// their requests or responses or are delayed, the platform is unavailable at
+// times, and its reads return stale data. Three replicas apply deltas from the
+// platform and from each other in any order, repeatedly.
 
 namespace medlarcroft::catalogue {
 namespace {
@@ -23,7 +23,7 @@
 constexpr std::size_t kStores = 2;
 constexpr std::size_t kReplicas = 3;
 
-/// The checks look at the table itself, so no model of it is kept.
+/// Empty: the checks read the table itself.
 struct Model {};
 
 struct System {
@@ -46,15 +46,16 @@
   fakes::CataloguePlatform platform;
   std::vector<std::unique_ptr<CatalogueStore>> stores;
   std::vector<std::unique_ptr<CatalogueReplica>> replicas;
-  /// Old deltas that may be delivered again.
-  std::vector<Delta> in_flight;
-  std::map<std::uint64_t, std::map<std::string, std::string>> at_revision;
+  /// Earlier deltas, which may be delivered again.
+  std::vector<Delta> past_deltas;
+  std::map<std::uint64_t, std::map<std::string, std::string>>
+      documents_by_revision;
   std::uint32_t changes = 0;
 };
 
 std::map<std::string, std::string> DocumentsOf(const CatalogueReplica& replica,
                                                std::uint64_t& revision) {
-  // A peer that asks for what an empty host lacks sees documents as stored.
+  // A delta for an empty host contains the documents as stored.
   CatalogueState state;
   const Delta delta = replica.ChangesSince(0, 1'000'000);
   if (delta.is_snapshot) {
@@ -73,12 +74,13 @@
 
 using Command = rc::state::Command<Model, System>;
 
-/// An operator's change, with faults on its way.
-struct AskForChange : Command {
+/// Submits an operator's change while commits fail.
+struct SubmitChange : Command {
   std::size_t store = *rc::gen::inRange<std::size_t>(0, kStores);
   std::string entry = *rc::gen::element<std::string>("a", "b", "c");
   std::uint64_t expected = *rc::gen::inRange<std::uint64_t>(0, 6);
-  bool has_looked = *rc::gen::weightedElement<bool>({{3, true}, {1, false}});
+  bool has_read_version =
+      *rc::gen::weightedElement<bool>({{3, true}, {1, false}});
   bool is_deletion = *rc::gen::weightedElement<bool>({{4, false}, {1, true}});
   std::vector<CommitFault> faults =
       *rc::gen::container<std::vector<CommitFault>>(
@@ -91,7 +93,7 @@
   void run(const Model&, System& system) const override {
     const std::string id = "c" + std::to_string(++system.changes);
     const std::uint64_t version =
-        has_looked ? CurrentVersion(system) : expected;
+        has_read_version ? CurrentVersion(system) : expected;
     system.platform.table.FailNextCommits(faults);
     const ChangeRequest request =
         is_deletion
@@ -107,7 +109,7 @@
     return IsOk(reading) ? ValueOf(reading).version : expected;
   }
 
-  /// Looked at through the fake itself, whatever its readers see.
+  /// Checks the rows of the fake itself, regardless of frozen reads.
   static void Check(System& system,
                     const std::string& id,
                     const ChangeResult& result) {
@@ -120,7 +122,8 @@
     if (std::holds_alternative<ChangeOutcomeUnknown>(ErrorOf(result))) {
       return;
     }
-    // Told "not made": it must not be there, nor appear when late commits land.
+    // After a reported failure the change must not be in the table, not even
+    // once delayed commits take effect.
     system.platform.table.DeliverDelayedCommits();
     RC_ASSERT(!system.platform.table.Rows().contains(ChangeIdKey(id)));
   }
@@ -130,13 +133,13 @@
   }
 };
 
-/// The platform's weather.
-struct ChangeWeather : Command {
-  int weather = *rc::gen::inRange(0, 12);
+/// Changes the availability of the platform or the freshness of its reads.
+struct ChangePlatformState : Command {
+  int platform_state = *rc::gen::inRange(0, 12);
 
   void run(const Model&, System& system) const override {
     auto& table = system.platform.table;
-    switch (weather) {
+    switch (platform_state) {
       case 0:
         table.SetDown(true);
         break;
@@ -152,25 +155,30 @@
     }
   }
 
-  void show(std::ostream& out) const override { out << "weather " << weather; }
+  void show(std::ostream& out) const override {
+    out << "platform state " << platform_state;
+  }
 };
 
-/// A replica takes a delta from the platform, a peer, or an old answer.
-struct Spread : Command {
+/// Applies a delta from the platform, a peer, or an earlier response to a
+/// replica.
+struct ReplicateDelta : Command {
   std::size_t to = *rc::gen::inRange<std::size_t>(0, kReplicas);
-  /// A replica, an old answer (kReplicas) or the platform (beyond).
+  /// Index of a replica; kReplicas means an earlier delta, and higher values
+  /// mean the platform.
   std::size_t from = *rc::gen::inRange<std::size_t>(0, kReplicas + 5);
-  /// Asks from up to so many revisions before or after the one held.
-  std::uint64_t behind = *rc::gen::inRange<std::uint64_t>(0, 9);
-  std::uint64_t ahead =
+  /// Number of revisions before (here) or after (below) the held one from which
+  /// changes are requested.
+  std::uint64_t revisions_behind = *rc::gen::inRange<std::uint64_t>(0, 9);
+  std::uint64_t revisions_ahead =
       *rc::gen::weightedElement<std::uint64_t>({{6, 0}, {1, 1}, {1, 2}});
-  std::size_t pick = *rc::gen::inRange<std::size_t>(0, 1000);
+  std::size_t selector = *rc::gen::inRange<std::size_t>(0, 1000);
 
   void run(const Model&, System& system) const override {
     CatalogueReplica& replica = *system.replicas[to];
     const std::uint64_t before = replica.Revision();
     const Delta delta = MakeDelta(system, before);
-    system.in_flight.push_back(delta);
+    system.past_deltas.push_back(delta);
     (void)replica.Apply(delta, RevisionSource::kPeer);
 
     RC_ASSERT(replica.Revision() >= before);
@@ -179,7 +187,8 @@
     CheckPeerCanFollow(replica);
   }
 
-  /// Whoever is behind this replica gets to its revision from it alone.
+  /// A peer with an older revision can reach the revision of this replica
+  /// through its deltas alone.
   static void CheckPeerCanFollow(const CatalogueReplica& replica) {
     for (std::uint64_t held = 0; held < replica.Revision();) {
       const Delta delta = replica.ChangesSince(held, 2);
@@ -189,22 +198,23 @@
     }
     for (std::uint64_t held = 0; held < replica.Revision(); ++held) {
       const Delta delta = replica.ChangesSince(held, 2);
-      const bool joins_on =
+      const bool is_contiguous =
           delta.is_snapshot || delta.changes.at(0).revision == held + 1;
-      RC_ASSERT(joins_on);
+      RC_ASSERT(is_contiguous);
     }
   }
 
   Delta MakeDelta(System& system, std::uint64_t revision) const {
-    const std::uint64_t asked = revision + ahead - std::min(revision, behind);
+    const std::uint64_t asked =
+        revision + revisions_ahead - std::min(revision, revisions_behind);
     if (from < kReplicas) {
       return system.replicas[from]->ChangesSince(asked, 3);
     }
-    if (from == kReplicas && !system.in_flight.empty()) {
-      return system.in_flight[pick % system.in_flight.size()];
+    if (from == kReplicas && !system.past_deltas.empty()) {
+      return system.past_deltas[selector % system.past_deltas.size()];
     }
     CatalogueReader reader(system.platform.table, system.platform.objects);
-    if (pick % 4 == 0) {
+    if (selector % 4 == 0) {
       const auto snapshot = reader.ReadSnapshot();
       return IsOk(snapshot) ? ValueOf(snapshot).value_or(Delta()) : Delta();
     }
@@ -218,12 +228,13 @@
     const auto documents = DocumentsOf(replica, revision);
     RC_ASSERT(revision == replica.Revision());
     const auto [known, is_new] =
-        system.at_revision.emplace(revision, documents);
+        system.documents_by_revision.emplace(revision, documents);
     RC_ASSERT(known->second == documents);
   }
 
   void show(std::ostream& out) const override {
-    out << "spread " << from << " to " << to << " from " << behind << " back";
+    out << "replicate " << from << " to " << to << " from " << revisions_behind
+        << " revisions back";
   }
 };
 
@@ -240,13 +251,14 @@
   return changes;
 }
 
-TEST(CatalogueProperty, NothingAcceptedIsLostAndReplicasAgree) {
+TEST(CatalogueProperty, AcceptedChangesPersistAndReplicasConverge) {
   EXPECT_TRUE(rc::check([] {
     System system;
     rc::state::check(
         Model(), system,
-        rc::state::gen::execOneOfWithArgs<AskForChange, Spread, Spread, Spread,
-                                          ChangeWeather>());
+        rc::state::gen::execOneOfWithArgs<SubmitChange, ReplicateDelta,
+                                          ReplicateDelta, ReplicateDelta,
+                                          ChangePlatformState>());
 
     system.platform.table.SetDown(false);
     system.platform.table.UnfreezeReads();
@@ -255,7 +267,8 @@
     const std::uint64_t last = changes.empty() ? 0 : changes.rbegin()->first;
     RC_ASSERT(last == changes.size());
 
-    // Every replica arrives at the state that the change rows add up to.
+    // Every replica must reach the state that results from applying all change
+    // rows.
     CatalogueState expected;
     for (const auto& [revision, change] : changes) {
       RC_ASSERT(expected.Apply(change) == ApplyResult::kApplied);
--- a/tests/property/decision_scheduler_test.cc
+++ b/tests/property/decision_scheduler_test.cc
@@ -1,6 +1,7 @@
-// Random calls in random order on a RequestScheduler, with the promises checked
-// after each: no target above this host's share or its lease, one run of a
-// non-idempotent request, "not run" only when it did not, an answer for all.
+// Makes random calls in random order on a RequestScheduler and checks its
+// guarantees after each: no target exceeds this host's share or is used after
+// its lease, a non-idempotent request runs at most once, "not run" is reported
+// only when it did not run, and every request gets an answer.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -20,16 +21,17 @@
 
 constexpr std::size_t kTargets = 4;
 
-/// What the test knows of one request that has no final answer yet.
-struct Tracked {
+/// The attempts and possible runs of one request that has no final answer yet.
+struct TrackedRequest {
   std::set<AttemptId> running;
   int possible_runs = 0;
 };
 
-/// Makes the calls and keeps its own account of them.
-class Player {
+/// Calls the scheduler and keeps an independent record of requests and
+/// attempts.
+class SchedulerHarness {
  public:
-  Player(bool is_idempotent, std::uint64_t seed)
+  SchedulerHarness(bool is_idempotent, std::uint64_t seed)
       : is_idempotent_(is_idempotent), random_(seed), scheduler_({}, random_) {}
 
   void Configure() {
@@ -76,7 +78,7 @@
     }
   }
 
-  void EndOne() {
+  void EndRandomAttempt() {
     if (attempts_.empty())
       return;
     const auto chosen = std::next(attempts_.begin(),
@@ -84,10 +86,11 @@
     const AttemptId id = chosen->first;
     const auto [target, deadline] = chosen->second;
     const auto outcome = static_cast<AttemptOutcome>(*rc::gen::inRange(0, 10));
-    attempts_of_[target].erase(id);
-    // A target that may not have heard the end works on to the deadline.
+    attempts_by_target_[target].erase(id);
+    // A target that may not have received the cancellation may work until the
+    // deadline.
     if (RulesFor(outcome).release == SlotRelease::kAfterDeadline) {
-      working_on_[target].push_back(deadline);
+      possibly_running_until_[target].push_back(deadline);
     }
     attempts_.erase(chosen);
 
@@ -97,15 +100,15 @@
       RC_ASSERT(std::holds_alternative<AwaitOtherAttempt>(step));
       return;
     }
-    Tracked& request = tracked->second;
+    TrackedRequest& request = tracked->second;
     request.running.erase(id);
     if (RulesFor(outcome).run_state != RunState::kNotRun) {
       ++request.possible_runs;
     }
-    Take(id.ticket, step);
+    ApplyNextStep(id.ticket, step);
   }
 
-  void CancelOne() {
+  void CancelOldestRequest() {
     if (requests_.empty())
       return;
     const RequestTicket ticket = requests_.begin()->first;
@@ -126,14 +129,14 @@
       const auto& expiry = std::get<Expiry>(action);
       const auto tracked = requests_.find(expiry.ticket);
       RC_ASSERT(tracked != requests_.end());
-      ExpectHonest(tracked->second, expiry.refusal);
+      CheckReportedRunState(tracked->second, expiry.refusal);
       requests_.erase(tracked);
     }
     RC_ASSERT(scheduler_.NextWake().value_or(MonotonicTime::max()) >
               clock_.Now());
   }
 
-  /// Time passes and no timer runs, as when the process was stopped.
+  /// Advances the clock without running timers, as when the process is stopped.
   void Pause() { clock_.Advance(milliseconds(*rc::gen::inRange(0, 100))); }
 
   void MarkLeaving() {
@@ -142,8 +145,9 @@
     limits_[name].share = 0;
   }
 
-  /// Lets time pass without ending anything: whatever still waits is given up.
-  void ExpectNobodyIsForgotten() {
+  /// Advances past every time limit without ending any attempt: every request
+  /// that is still queued must expire.
+  void ExpectNoRequestIsForgotten() {
     clock_.Advance(std::chrono::seconds(1));
     Advance();
     for (const auto& [ticket, request] : requests_) {
@@ -160,29 +164,30 @@
   void OnDispatch(const Dispatch& dispatch) {
     const Limit& limit = limits_.at(dispatch.target);
     RC_ASSERT(clock_.Now() < limit.lease);
-    std::vector<MonotonicTime>& working_on = working_on_[dispatch.target];
-    std::erase_if(working_on, [&](MonotonicTime deadline) {
+    std::vector<MonotonicTime>& possibly_running_until =
+        possibly_running_until_[dispatch.target];
+    std::erase_if(possibly_running_until, [&](MonotonicTime deadline) {
       return deadline <= clock_.Now();
     });
-    std::set<AttemptId>& attempts = attempts_of_[dispatch.target];
+    std::set<AttemptId>& attempts = attempts_by_target_[dispatch.target];
     attempts.insert(dispatch.attempt);
-    RC_ASSERT(attempts.size() + working_on.size() <= limit.share);
+    RC_ASSERT(attempts.size() + possibly_running_until.size() <= limit.share);
     attempts_.emplace(dispatch.attempt,
                       std::pair(dispatch.target, dispatch.deadline));
 
-    Tracked& request = requests_[dispatch.attempt.ticket];
+    TrackedRequest& request = requests_[dispatch.attempt.ticket];
     RC_ASSERT(is_idempotent_ || request.running.empty());
     RC_ASSERT(is_idempotent_ || request.possible_runs == 0);
     request.running.insert(dispatch.attempt);
   }
 
-  void Take(RequestTicket ticket, const NextStep& step) {
-    Tracked& request = requests_.at(ticket);
+  void ApplyNextStep(RequestTicket ticket, const NextStep& step) {
+    TrackedRequest& request = requests_.at(ticket);
     if (const auto* dispatch = std::get_if<Dispatch>(&step)) {
       OnDispatch(*dispatch);
     } else if (const auto* refusal = std::get_if<Refusal>(&step)) {
       RC_ASSERT(request.running.empty());
-      ExpectHonest(request, *refusal);
+      CheckReportedRunState(request, *refusal);
       requests_.erase(ticket);
     } else if (const auto* finished = std::get_if<Finished>(&step)) {
       const std::set<AttemptId> to_cancel(finished->to_cancel.begin(),
@@ -192,7 +197,8 @@
     }
   }
 
-  void ExpectHonest(const Tracked& request, const Refusal& refusal) {
+  void CheckReportedRunState(const TrackedRequest& request,
+                             const Refusal& refusal) {
     RC_ASSERT(refusal.run_state != RunState::kNotRun ||
               request.possible_runs == 0);
     const bool is_in_doubt = refusal.run_state != RunState::kNotRun;
@@ -205,49 +211,50 @@
   fakes::SeededRandom random_;
   RequestScheduler scheduler_;
   std::map<TargetName, Limit> limits_;
-  std::map<TargetName, std::set<AttemptId>> attempts_of_;
-  /// Deadlines of attempts that ended here but may still run there.
-  std::map<TargetName, std::vector<MonotonicTime>> working_on_;
+  std::map<TargetName, std::set<AttemptId>> attempts_by_target_;
+  /// Deadlines of attempts that have ended on this host but may still be
+  /// running on the target.
+  std::map<TargetName, std::vector<MonotonicTime>> possibly_running_until_;
   std::map<AttemptId, std::pair<TargetName, MonotonicTime>> attempts_;
-  std::map<RequestTicket, Tracked> requests_;
+  std::map<RequestTicket, TrackedRequest> requests_;
 };
 
-void Play(bool is_idempotent) {
-  Player player(is_idempotent, *rc::gen::arbitrary<std::uint64_t>());
-  player.Configure();
+void RunRandomCalls(bool is_idempotent) {
+  SchedulerHarness harness(is_idempotent, *rc::gen::arbitrary<std::uint64_t>());
+  harness.Configure();
   const int calls = *rc::gen::inRange(0, 120);
   for (int i = 0; i < calls; ++i) {
     switch (*rc::gen::weightedElement<int>(
         {{8, 0}, {8, 1}, {1, 2}, {6, 3}, {1, 4}, {2, 5}})) {
       case 0:
-        player.Submit();
+        harness.Submit();
         break;
       case 1:
-        player.EndOne();
+        harness.EndRandomAttempt();
         break;
       case 2:
-        player.CancelOne();
+        harness.CancelOldestRequest();
         break;
       case 3:
-        player.Advance();
+        harness.Advance();
         break;
       case 4:
-        player.Pause();
+        harness.Pause();
         break;
       default:
-        player.MarkLeaving();
+        harness.MarkLeaving();
         break;
     }
   }
-  player.ExpectNobodyIsForgotten();
+  harness.ExpectNoRequestIsForgotten();
 }
 
-TEST(DecisionProperty, KeepsThePromisesForNonIdempotentRequests) {
-  EXPECT_TRUE(rc::check([] { Play(/*is_idempotent=*/false); }));
+TEST(DecisionProperty, KeepsGuaranteesForNonIdempotentRequests) {
+  EXPECT_TRUE(rc::check([] { RunRandomCalls(/*is_idempotent=*/false); }));
 }
 
-TEST(DecisionProperty, KeepsThePromisesForIdempotentRequests) {
-  EXPECT_TRUE(rc::check([] { Play(/*is_idempotent=*/true); }));
+TEST(DecisionProperty, KeepsGuaranteesForIdempotentRequests) {
+  EXPECT_TRUE(rc::check([] { RunRandomCalls(/*is_idempotent=*/true); }));
 }
 
 TEST(DecisionProperty, BackloggedBrandsAreServedByWeight) {
--- a/tests/property/decision_target_table_test.cc
+++ b/tests/property/decision_target_table_test.cc
@@ -1,7 +1,8 @@
-// Random snapshots and calls on a TargetTable of three services that share
-// targets. After each call the lists that choosing relies on must be what a
-// walk over all targets gives: a target missing there is lost to its service,
-// one too many is sent work that it has no slot for.
+// Applies random snapshots and calls to a TargetTable of three services that
+// share targets. After each call the lists used for choosing a target must
+// equal what a scan of all targets gives: a target that is missing there is
+// lost to its service, and a target that is wrongly listed is sent work that it
+// has no slot for.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -22,12 +23,12 @@
 constexpr std::array kServiceTimes{milliseconds(10), milliseconds(20),
                                    milliseconds(500)};
 
-struct Taken {
+struct TakenSlot {
   TargetIndex target = 0;
   ServiceIndex service = 0;
 };
 
-class TablePlayer {
+class TableHarness {
  public:
   void Configure() {
     std::vector<std::vector<TargetConfig>> configs(kServices);
@@ -51,7 +52,7 @@
     table_.Configure(services, milliseconds(300), now_);
   }
 
-  void Take() {
+  void TakeSlot() {
     const auto service = *rc::gen::inRange<ServiceIndex>(0, kServices);
     const auto available = table_.Available(service);
     if (available.empty())
@@ -59,15 +60,15 @@
     const TargetIndex target =
         available[*rc::gen::inRange<std::size_t>(0, available.size())];
     if (table_.TryTake(target, service, now_)) {
-      taken_.push_back({.target = target, .service = service});
+      taken_slots_.push_back({.target = target, .service = service});
     }
   }
 
-  void GiveBack() {
-    if (taken_.empty())
+  void ReleaseSlot() {
+    if (taken_slots_.empty())
       return;
-    const Taken taken = taken_.back();
-    taken_.pop_back();
+    const TakenSlot taken = taken_slots_.back();
+    taken_slots_.pop_back();
     if (*rc::gen::arbitrary<bool>()) {
       table_.Release(taken.target, taken.service, now_);
     } else {
@@ -75,16 +76,16 @@
     }
   }
 
-  void Fail() {
-    if (taken_.empty())
+  void FailTarget() {
+    if (taken_slots_.empty())
       return;
-    const TargetIndex target = taken_.front().target;
+    const TargetIndex target = taken_slots_.front().target;
     for (int i = 0; i < 5; ++i)
       table_.At(target).health.OnFailure();
     table_.EjectIfOutlier(target, now_);
   }
 
-  void Leave() {
+  void MarkTargetLeaving() {
     const auto target =
         table_.Find(TargetName("t" + std::to_string(*rc::gen::inRange(0, 6))));
     if (target)
@@ -127,21 +128,23 @@
 
   MonotonicTime now_{std::chrono::hours(1)};
   TargetTable table_;
-  std::vector<Taken> taken_;
+  std::vector<TakenSlot> taken_slots_;
 };
 
 TEST(TargetTableProperty, ListsMatchTargetsAfterAnyCalls) {
   EXPECT_TRUE(rc::check([] {
     static constexpr std::array kCalls{
-        &TablePlayer::Configure, &TablePlayer::Take,     &TablePlayer::Take,
-        &TablePlayer::Take,      &TablePlayer::GiveBack, &TablePlayer::GiveBack,
-        &TablePlayer::Fail,      &TablePlayer::Leave,    &TablePlayer::Advance};
-    TablePlayer player;
-    player.Configure();
+        &TableHarness::Configure,   &TableHarness::TakeSlot,
+        &TableHarness::TakeSlot,    &TableHarness::TakeSlot,
+        &TableHarness::ReleaseSlot, &TableHarness::ReleaseSlot,
+        &TableHarness::FailTarget,  &TableHarness::MarkTargetLeaving,
+        &TableHarness::Advance};
+    TableHarness harness;
+    harness.Configure();
     const int calls = *rc::gen::inRange(0, 150);
     for (int i = 0; i < calls; ++i) {
-      (player.*kCalls[*rc::gen::inRange<std::size_t>(0, kCalls.size())])();
-      player.ExpectListsMatchTargets();
+      (harness.*kCalls[*rc::gen::inRange<std::size_t>(0, kCalls.size())])();
+      harness.ExpectListsMatchTargets();
     }
   }));
 }
--- a/tests/property/domain_model.h
+++ b/tests/property/domain_model.h
@@ -19,11 +19,12 @@
 
 namespace medlarcroft::testing {
 
-/// @brief The hosts of one failure domain around one target, with everything
-/// that may go wrong between them: messages lost, late, doubled and out of
-/// order; processes paused and restarted; a host list that shows anything; a
-/// platform that is down or loses answers; catalogue revisions learned at
-/// different times. Within the domain there is no partition.
+/// @brief The hosts of one failure domain that share one target, with all
+/// faults between them: messages that are lost, delayed, duplicated or
+/// reordered; processes that are paused or restarted; a host list with
+/// arbitrary content; a platform that is unavailable or loses responses;
+/// catalogue revisions that hosts learn at different times. The domain itself
+/// is never partitioned.
 class DomainModel {
  public:
   static constexpr std::uint32_t kLimit = 3;
@@ -31,7 +32,8 @@
   static constexpr const char* kLimitName = "target/reserva-1/slots";
 
   struct Counts {
-    std::uint64_t dispatches = 0, on_loans = 0, takeovers = 0, doubts = 0;
+    std::uint64_t dispatches = 0, dispatches_on_loans = 0, takeovers = 0,
+                  doubtful_steps = 0;
   };
 
   explicit DomainModel(std::uint64_t seed) : random_(seed) {
@@ -46,7 +48,7 @@
     host.is_paused = false;
     ++host.incarnation;
     host.uses.clear();
-    host.mailbox.clear();
+    host.inbox.clear();
     host.answers.clear();
     host.holder = std::make_unique<capacity::SeatHolder>(
         capacity::SeatHolderOptions{
@@ -73,9 +75,11 @@
     hosts_[i]->is_listed = is_listed;
   }
   fakes::FakeTableStore& Store() { return store_; }
-  /// A new split; the hosts learn of it one after the other.
-  void Declare(std::uint32_t seats) { seats_of_revision_.push_back(seats); }
-  void Learn(std::uint32_t i) {
+  /// Publishes a new number of seats; hosts learn of it one by one.
+  void DeclareSplit(std::uint32_t seats) {
+    seats_of_revision_.push_back(seats);
+  }
+  void LearnRevision(std::uint32_t i) {
     hosts_[i]->revision = seats_of_revision_.size();
   }
   void HandOver(std::uint32_t from, std::uint32_t to) {
@@ -92,7 +96,7 @@
     }
   }
 
-  /// One step of all hosts, and of time.
+  /// Runs one step of all hosts and advances time.
   void Tick(Duration step) {
     for (std::uint32_t i = 0; i < kHosts; ++i) {
       if (!hosts_[i]->is_paused) {
@@ -101,14 +105,14 @@
     }
     now_ += step;
     for (const auto& host : hosts_) {
-      // Clocks run at rates that differ within the allowance.
+      // Clock rates differ within the allowed drift.
       host->clock.Advance(step + (step / 2000) * host->index);
     }
     std::erase_if(running_, [this](Duration end) { return end <= now_; });
   }
 
   [[nodiscard]] std::size_t Running() const { return running_.size(); }
-  [[nodiscard]] const Counts& Seen() const { return counts_; }
+  [[nodiscard]] const Counts& Totals() const { return counts_; }
 
  private:
   struct Host {
@@ -126,19 +130,20 @@
     std::unique_ptr<capacity::ShareAllocator> book;
     capacity::SplitTransition transition{capacity::LeaseRules{}};
     std::vector<std::pair<capacity::AcquiredUnit, Duration>> uses;
-    std::vector<std::pair<Duration, std::function<void()>>> mailbox;
+    std::vector<std::pair<Duration, std::function<void()>>> inbox;
     std::map<std::uint32_t, capacity::PeerEvidence> answers;
     std::map<std::uint32_t, MonotonicTime> failed_since;
   };
 
-  /// Lost one time in eight, doubled one time in eight, up to 6 s late.
+  /// Delivers a message: one in eight is lost, one in eight is duplicated, and
+  /// delays reach 6 s.
   void Send(std::uint32_t to, const std::function<void()>& message) {
-    const std::uint64_t fate = random_.NextBelow(8);
-    for (int copy = fate == 1 ? 2 : 1; copy > 0 && fate != 0; --copy) {
+    const std::uint64_t delivery = random_.NextBelow(8);
+    for (int copy = delivery == 1 ? 2 : 1; copy > 0 && delivery != 0; --copy) {
       const Duration delay = std::chrono::milliseconds(
           random_.NextBelow(4) == 0 ? random_.NextBelow(6000)
                                     : random_.NextBelow(50));
-      hosts_[to]->mailbox.emplace_back(now_ + delay, message);
+      hosts_[to]->inbox.emplace_back(now_ + delay, message);
     }
   }
 
@@ -146,29 +151,30 @@
     Host& host = *hosts_[i];
     Release(host);
     if (IsBusy(host)) {
-      Dispatch(host);  // Before anything tells it that it was paused.
+      Dispatch(host);  // Before it can notice that it was paused.
     }
     host.holder->RecordHeartbeat();
-    ReadMail(host);
+    DeliverMessages(host);
     Probe(host);
     Control(host);
-    Lending(i);
-    // Demand moves about: who has the seats is not always who needs them.
+    ExchangeLoans(i);
+    // Demand moves between hosts: the host that holds the seats is not always
+    // the one that needs them.
     for (int tries = 0; tries < 3 && IsBusy(host); ++tries) {
       Dispatch(host);
     }
   }
 
-  /// Three of four hosts, each for some seconds.
+  /// Three of four hosts are busy, changing every few seconds.
   [[nodiscard]] bool IsBusy(const Host& host) const {
     const auto phase =
         static_cast<std::uint32_t>(now_ / std::chrono::seconds(9));
     return (phase * 7 + host.index) % kHosts != 0;
   }
 
-  void ReadMail(Host& host) {
+  void DeliverMessages(Host& host) {
     std::vector<std::function<void()>> due;
-    std::erase_if(host.mailbox, [&](const auto& mail) {
+    std::erase_if(host.inbox, [&](const auto& mail) {
       if (mail.first > now_) {
         return false;
       }
@@ -209,7 +215,8 @@
     const std::uint32_t seats = seats_of_revision_[host.revision - 1];
     host.holder->Step(seats, host.revision, evidence);
     const auto standing = host.holder->State();
-    counts_.doubts += standing == capacity::SeatState::kUnconfirmed ? 1 : 0;
+    counts_.doubtful_steps +=
+        standing == capacity::SeatState::kUnconfirmed ? 1 : 0;
     const auto seat = host.holder->Seat();
     const auto unanimous = host.holder->UnanimousRevision();
     const std::uint32_t amount =
@@ -225,14 +232,15 @@
     host.book->SetOwnValidUntil(host.holder->ValidUntil());
   }
 
-  void Lending(std::uint32_t i) {
+  void ExchangeLoans(std::uint32_t i) {
     Host& host = *hosts_[i];
     const auto lender = static_cast<std::uint32_t>(random_.NextBelow(kHosts));
     if (lender != i && host.book->State(kLimitName).Free() == 0) {
-      SendAsk(i, host.book->Borrow(kLimitName, 1, hosts_[lender]->name));
+      SendBorrowRequest(i,
+                        host.book->Borrow(kLimitName, 1, hosts_[lender]->name));
     }
     for (const capacity::OutgoingShareRequest& ask : host.book->Renewals()) {
-      SendAsk(i, ask);
+      SendBorrowRequest(i, ask);
     }
     for (const capacity::OutgoingShareRequest& ask : host.book->Returns()) {
       const std::uint32_t to = IndexOf(ask.lender);
@@ -241,7 +249,8 @@
     }
   }
 
-  void SendAsk(std::uint32_t from, const capacity::OutgoingShareRequest& ask) {
+  void SendBorrowRequest(std::uint32_t from,
+                         const capacity::OutgoingShareRequest& ask) {
     const std::uint32_t to = IndexOf(ask.lender);
     const std::uint64_t incarnation = hosts_[from]->incarnation;
     Send(to, [this, from, to, ask, incarnation] {
@@ -270,8 +279,8 @@
       return;
     }
     ++counts_.dispatches;
-    counts_.on_loans += use->loan == 0 ? 0 : 1;
-    // Half of the work runs until the deadline ends it.
+    counts_.dispatches_on_loans += use->loan == 0 ? 0 : 1;
+    // Half of the work runs until its deadline.
     const Duration work = random_.NextBelow(2) == 0
                               ? rules_.max_work
                               : std::chrono::milliseconds(700);
@@ -288,7 +297,7 @@
   fakes::FakeTableStore store_;
   std::vector<std::unique_ptr<Host>> hosts_;
   std::vector<std::uint32_t> seats_of_revision_{3};
-  std::vector<Duration> running_;  ///< When each work at the target ends.
+  std::vector<Duration> running_;  ///< End time of each running request.
   Duration now_{};
   Counts counts_;
 };
--- a/tests/property/hung_store_property_test.cc
+++ b/tests/property/hung_store_property_test.cc
@@ -7,19 +7,19 @@
 namespace medlarcroft::replication {
 namespace {
 
-void TreatAll(const Region& region,
-              ModelNetwork& network,
-              Treatment treatment) {
+void SetAccessForAll(const Region& region,
+                     ModelNetwork& network,
+                     StoreAccess access) {
   for (int host = 0; host < region.Size(); ++host) {
-    network.Treat(host, treatment);
+    network.SetAccess(host, access);
   }
 }
 
 class HungStore : public testing::TestWithParam<ScheduleOptions> {};
 
-// What callers see is told in the test below. Here the store hangs several
-// times, for all hosts and at times for one, beside all the other faults.
-TEST_P(HungStore, HostsInTouchKnowWhatItAcknowledgesAfterwards) {
+// The store hangs several times, for all hosts and at times for one, in
+// addition to all the other faults. The next test describes the symptom.
+TEST_P(HungStore, ConnectedHostsReceiveAcknowledgedChanges) {
   constexpr std::uint64_t kSchedules = 1000;
   for (std::uint64_t seed = 1; seed <= kSchedules && Holds(seed, GetParam());
        ++seed) {
@@ -31,33 +31,33 @@
     HungStore,
     testing::Values(ScheduleOptions{.hosts = 2, .has_hangs = true},
                     ScheduleOptions{.hosts = 4,
-                                    .known_within = seconds(2),
-                                    .in_touch_after = seconds(3),
+                                    .propagation_limit = seconds(2),
+                                    .recovery_time = seconds(3),
                                     .has_hangs = true},
                     ScheduleOptions{.hosts = 7, .has_hangs = true},
                     ScheduleOptions{.hosts = 12,
-                                    .known_within = seconds(2),
-                                    .in_touch_after = seconds(3),
+                                    .propagation_limit = seconds(2),
+                                    .recovery_time = seconds(3),
                                     .has_hangs = true},
-                    // One domain of a region of hundreds.
+                    // One failure domain of a region with hundreds of hosts.
                     ScheduleOptions{.hosts = 33,
-                                    .known_within = seconds(4),
-                                    .in_touch_after = seconds(5),
+                                    .propagation_limit = seconds(4),
+                                    .recovery_time = seconds(5),
                                     .has_hangs = true}),
     [](const auto& info) {
-      return "of_" + std::to_string(info.param.hosts) + "_in_touch_after_" +
-             std::to_string(info.param.in_touch_after / seconds(1)) + "_s";
+      return "of_" + std::to_string(info.param.hosts) + "_recovery_time_" +
+             std::to_string(info.param.recovery_time / seconds(1)) + "_s";
     });
 
-// An operator adds a route and the change is accepted; seconds later one host
-// still denies it, or serves another as before, while others are in step.
-// The store hangs for a moment and a host asks it just then; it goes on and
-// accepts changes, but never answers what reached it while it hung. The host
-// waited for the hold and its margin, 6 s, longer than it had: 4 s.
-// Evidence: `store-lost` with `timed-out` 6 s after the last answer, and all
-// versions together right after it; hosts whose call the store already held
-// heard each version within 0.1 s.
-TEST(HungStoreTest, AHostHearsOfChangesThoughItsCallIsNeverAnswered) {
+// An operator adds a route and the change is accepted, but seconds later one
+// host still refuses it, or serves another route as before, while other hosts
+// are up to date. Cause: the store hangs briefly while a host sends its call;
+// afterwards it accepts changes but never answers calls that arrived while it
+// hung. The host waited 6 s, the hold time plus its margin, which is longer
+// than its limit of 4 s. Evidence: `store-lost` with `timed-out` 6 s after the
+// last response, and all versions at once right after it; hosts whose call the
+// store already held received each version within 0.1 s.
+TEST(HungStoreTest, HostReceivesChangesAfterAnUnansweredCall) {
   VirtualTime time;
   ModelStore store;
   ModelNetwork network(time, store, 1);
@@ -66,9 +66,9 @@
   time.RunUntil(start + seconds(1));
   store.Put("configuration");
   network.OnCommit();
-  TreatAll(region, network, Treatment::kHung);
+  SetAccessForAll(region, network, StoreAccess::kHung);
   time.RunUntil(start + milliseconds(1900));
-  TreatAll(region, network, Treatment::kServed);
+  SetAccessForAll(region, network, StoreAccess::kNormal);
   time.RunUntil(start + milliseconds(2200));
   store.Put("configuration");
   network.OnCommit();
@@ -80,12 +80,12 @@
   }
 }
 
-// Targets that start get more than they bear: a host joins, and those that did
-// not hear of it spend as much as before. They asked for the list of hosts as
-// the store hung, and that call is never answered; without a change of the list
-// nothing else makes them ask.
-TEST(HungStoreTest, AHostThatJoinsIsCountedThoughTheCallIsNeverAnswered) {
-  constexpr Duration kCountedWithin = seconds(11);
+// Targets that start get more load than they can handle: a host joins, and
+// hosts that have not learned of it keep sending as much as before. They
+// requested the host list while the store hung, and that call is never
+// answered; unless the list changes, nothing else triggers another request.
+TEST(HungStoreTest, JoiningHostIsCountedAfterAnUnansweredCall) {
+  constexpr Duration kPropagationLimit = seconds(11);
   VirtualTime time;
   ModelStore store;
   ModelNetwork network(time, store, 1);
@@ -94,12 +94,12 @@
   store.Put("host");
   network.OnCommit();
   time.RunUntil(time.Now() + milliseconds(500));
-  TreatAll(region, network, Treatment::kHung);
+  SetAccessForAll(region, network, StoreAccess::kHung);
   time.RunUntil(time.Now() + seconds(1));
-  TreatAll(region, network, Treatment::kServed);
+  SetAccessForAll(region, network, StoreAccess::kNormal);
   store.Put("joined");
   network.OnCommit();
-  time.RunUntil(time.Now() + kCountedWithin);
+  time.RunUntil(time.Now() + kPropagationLimit);
 
   for (int host = 0; host < region.Size(); ++host) {
     EXPECT_EQ(region.FollowerOf(host).Mirror().Version(), store.Newest())
@@ -107,16 +107,16 @@
   }
 }
 
-// A caller asks for a route that was added a moment ago and is told that there
-// is none, for good: callers do not repeat that. The store hangs, so the host
-// has not heard of the route; from the time on at which an answer is due it
-// must not take its own news for whole. In calm times it does, or every
-// mistyped path would be repeated.
-class NewsOverdue : public testing::TestWithParam<int> {};
+// A caller requests a route that was just added and gets a final "no such
+// route" response, which callers do not retry. The store hangs, so the host has
+// not received the route; from the time at which a response is overdue it must
+// not treat its data as complete. In normal operation it must, or every
+// mistyped path would be retried.
+class OverdueDetection : public testing::TestWithParam<int> {};
 
-TEST_P(NewsOverdue, OnlyWhileAnAnswerIsDue) {
-  constexpr Duration kCalm = seconds(30);
-  constexpr Duration kDueWithin = seconds(3);
+TEST_P(OverdueDetection, ReportsOverdueOnlyWhileAnAnswerIsMissing) {
+  constexpr Duration kNormalPhase = seconds(30);
+  constexpr Duration kDetectionLimit = seconds(3);
   VirtualTime time;
   ModelStore store;
   ModelNetwork network(time, store, 1);
@@ -124,21 +124,21 @@
       time, network, GetParam(),
       FollowTimingFor(static_cast<std::size_t>(GetParam()), seconds(4)), 2);
   time.RunUntil(time.Now() + seconds(1));
-  for (Duration passed{0}; passed < kCalm; passed += milliseconds(50)) {
+  for (Duration passed{0}; passed < kNormalPhase; passed += milliseconds(50)) {
     time.RunUntil(time.Now() + milliseconds(50));
     for (int host = 0; host < region.Size(); ++host) {
       ASSERT_FALSE(region.FollowerOf(host).IsOverdue()) << "host " << host;
     }
   }
-  TreatAll(region, network, Treatment::kHung);
-  time.RunUntil(time.Now() + kDueWithin);
+  SetAccessForAll(region, network, StoreAccess::kHung);
+  time.RunUntil(time.Now() + kDetectionLimit);
   for (int host = 0; host < region.Size(); ++host) {
     EXPECT_TRUE(region.FollowerOf(host).IsOverdue()) << "host " << host;
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(Hosts,
-                         NewsOverdue,
+                         OverdueDetection,
                          testing::Values(2, 5, 7, 12),
                          [](const auto& info) {
                            return "of_" + std::to_string(info.param);
--- a/tests/property/json_line_property_test.cc
+++ b/tests/property/json_line_property_test.cc
@@ -10,9 +10,9 @@
 namespace medlarcroft::adapters {
 namespace {
 
-// A line that can't be read hides why a request failed. Whatever a caller sent
-// and is logged, the line is one object that reads back as what was written,
-// and bytes that are no UTF-8 neither break it nor end it.
+// A log line that cannot be parsed hides why a request failed. Whatever input
+// of a caller is logged, the line is one JSON object that parses to what was
+// written; bytes that are not valid UTF-8 neither corrupt nor end it.
 RC_GTEST_PROP(JsonLineProperty,
               ReadsBackAsWritten,
               (const std::string& text,
--- a/tests/property/model_store.h
+++ b/tests/property/model_store.h
@@ -16,8 +16,8 @@
 #include "medlarcroft/replication/table_server.h"
 
 /// @file
-/// @brief A store with history, and a network on which calls are late, lost or
-/// refused, in virtual time.
+/// @brief A model of a store with history, and of a network that delays,
+/// drops or refuses calls, in virtual time.
 
 namespace medlarcroft::replication {
 
@@ -25,30 +25,31 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// @brief How the store treats a host.
-enum class Treatment {
-  kServed,
+/// @brief How calls between a host and the store behave.
+enum class StoreAccess {
+  kNormal,
   kRefused,
-  kSilent,  ///< Nothing gets through, either way.
-  /// Connections stay up and calls are taken, but never answered; those held
-  /// from before are answered afterwards.
+  kPartitioned,  ///< No message passes in either direction.
+  /// Connections stay open and calls are accepted, but never answered; calls
+  /// that the store held before are answered afterwards.
   kHung
 };
 
-/// @brief The store's one table with its whole history, which a test can have
-/// it forget. Each row's value is the version that wrote it.
+/// @brief The store's only table with its whole history, which a test can
+/// compact. The value of each row is the version that wrote it.
 class ModelStore {
  public:
   void Put(const std::string& key) { Change(key, false); }
   void Remove(const std::string& key) { Change(key, true); }
-  void Forget() { oldest_ = newest_; }
+  void CompactHistory() { oldest_ = newest_; }
 
   [[nodiscard]] std::uint64_t Newest() const { return newest_; }
-  [[nodiscard]] bool IsForgotten(std::uint64_t version) const {
+  [[nodiscard]] bool IsCompacted(std::uint64_t version) const {
     return version < oldest_;
   }
 
-  /// @return the row's last change up to `version`; 0 as its version: none.
+  /// @return the row's last change up to `version`; its version is 0 if there
+  /// is none.
   [[nodiscard]] Row LastChange(const std::string& key,
                                std::uint64_t version) const {
     const auto found = history_.find(key);
@@ -113,23 +114,24 @@
   std::map<std::string, std::vector<Row>> history_;
 };
 
-/// @brief Carries calls between hosts and the store, late or not at all.
+/// @brief Transmits calls between hosts and the store; delays or drops them.
 class ModelNetwork {
  public:
   ModelNetwork(VirtualTime& time, ModelStore& store, std::uint64_t seed)
       : time_(time), store_(store), random_(seed) {}
 
-  void Treat(int host, Treatment treatment) {
-    treatments_[host] = treatment;
-    AnswerHeld();
+  void SetAccess(int host, StoreAccess access) {
+    access_by_host_[host] = access;
+    AnswerHeldCalls();
   }
-  [[nodiscard]] Treatment TreatmentOf(int host) const {
-    const auto found = treatments_.find(host);
-    return found == treatments_.end() ? Treatment::kServed : found->second;
+  [[nodiscard]] StoreAccess AccessOf(int host) const {
+    const auto found = access_by_host_.find(host);
+    return found == access_by_host_.end() ? StoreAccess::kNormal
+                                          : found->second;
   }
 
   void List(int host, const std::string& first_key, RowsCallback callback) {
-    const auto call = Begin(host, kListTimeout, std::move(callback));
+    const auto call = StartCall(host, kListTimeout, std::move(callback));
     Deliver(host, call, [this, host, first_key, call] {
       Answer(host, call, store_.List(first_key, kPageRows));
     });
@@ -140,9 +142,9 @@
               Duration wait,
               RowsCallback callback) {
     const auto call =
-        Begin(host, wait + kStoreAnswerMargin, std::move(callback));
+        StartCall(host, wait + kStoreAnswerMargin, std::move(callback));
     Deliver(host, call, [this, host, version, wait, call] {
-      if (store_.IsForgotten(version)) {
+      if (store_.IsCompacted(version)) {
         Answer(host, call, RowFailure::kHistoryUnavailable);
         return;
       }
@@ -153,35 +155,35 @@
       const MonotonicTime until = time_.Now() + wait;
       held_.push_back(
           {.host = host, .version = version, .until = until, .call = call});
-      time_.At(VirtualTime::kNoHost, until, [this] { AnswerHeld(); });
+      time_.At(VirtualTime::kNoHost, until, [this] { AnswerHeldCalls(); });
     });
   }
 
-  /// @brief Answers the calls that the store holds.
-  void OnCommit() { AnswerHeld(); }
-
-  /// @brief Brings a question from one host to another one's teller.
-  void AskHost(int from,
-               int to,
-               const RowsRequest& question,
-               const std::function<void(const RowsRequest&, RowsCallback)>& ask,
-               RowsCallback callback) {
-    const auto call = Begin(from, question.wait + question.answer_margin,
-                            std::move(callback));
-    time_.At(
-        to, time_.Now() + kBetweenHosts, [this, from, question, ask, call] {
-          ask(question,
-              [this, from, call](const Result<RowBatch, RowFailure>& rows) {
-                time_.At(from, time_.Now() + kBetweenHosts,
-                         [call, rows] { End(*call, rows); });
-              });
-        });
+  /// @brief Answers the calls held by the store that the commit satisfies.
+  void OnCommit() { AnswerHeldCalls(); }
+
+  /// @brief Sends a request from one host to another host's table server.
+  void QueryPeer(
+      int from,
+      int to,
+      const RowsRequest& question,
+      const std::function<void(const RowsRequest&, RowsCallback)>& ask,
+      RowsCallback callback) {
+    const auto call = StartCall(from, question.wait + question.answer_margin,
+                                std::move(callback));
+    time_.At(to, time_.Now() + kPeerLatency, [this, from, question, ask, call] {
+      ask(question,
+          [this, from, call](const Result<RowBatch, RowFailure>& rows) {
+            time_.At(from, time_.Now() + kPeerLatency,
+                     [call, rows] { FinishCall(*call, rows); });
+          });
+    });
   }
 
  private:
   struct Call {
     RowsCallback callback;
-    bool has_ended = false;  ///< For whoever called.
+    bool has_ended = false;  ///< From the point of view of the caller.
   };
   struct Held {
     int host = 0;
@@ -191,47 +193,50 @@
   };
 
   static constexpr Duration kListTimeout = milliseconds(1500);
-  static constexpr Duration kBetweenHosts = milliseconds(1);
+  static constexpr Duration kPeerLatency = milliseconds(1);
   static constexpr std::size_t kPageRows = 5;
-  // Two probes of a second without an answer, see adapters/event/tcp_stream.
-  static constexpr Duration kProbedFor = seconds(3);
+  // Two probes, one second apart, without a response; see
+  // adapters/event/tcp_stream.
+  static constexpr Duration kProbeTimeout = seconds(3);
 
-  static void End(Call& call, const Result<RowBatch, RowFailure>& result) {
+  static void FinishCall(Call& call,
+                         const Result<RowBatch, RowFailure>& result) {
     if (!call.has_ended) {
       call.has_ended = true;
       call.callback(result);
     }
   }
 
-  std::shared_ptr<Call> Begin(int host,
-                              Duration timeout,
-                              RowsCallback callback) {
+  std::shared_ptr<Call> StartCall(int host,
+                                  Duration timeout,
+                                  RowsCallback callback) {
     auto call = std::make_shared<Call>();
     call->callback = std::move(callback);
     time_.At(host, time_.Now() + timeout,
-             [call] { End(*call, RowFailure::kUnreachable); });
+             [call] { FinishCall(*call, RowFailure::kUnreachable); });
     return call;
   }
 
   void Deliver(int host,
                const std::shared_ptr<Call>& call,
                std::function<void()> serve) {
-    Carry(host, call, time_.Now() + kProbedFor,
-          [this, host, call, serve = std::move(serve)] {
-            if (TreatmentOf(host) == Treatment::kRefused) {
-              Answer(host, call, RowFailure::kRefused);
-            } else if (TreatmentOf(host) != Treatment::kHung) {
-              serve();
-            }
-          });
+    Transmit(host, call, time_.Now() + kProbeTimeout,
+             [this, host, call, serve = std::move(serve)] {
+               if (AccessOf(host) == StoreAccess::kRefused) {
+                 Answer(host, call, RowFailure::kRefused);
+               } else if (AccessOf(host) != StoreAccess::kHung) {
+                 serve();
+               }
+             });
   }
 
-  /// Answers the calls that are held and have news, or were held long enough.
-  void AnswerHeld() {
+  /// Answers the held calls that have changes to report or whose wait has
+  /// ended.
+  void AnswerHeldCalls() {
     for (Held& held : std::exchange(held_, {})) {
       const bool is_due =
           store_.Newest() > held.version || time_.Now() >= held.until;
-      if (is_due && TreatmentOf(held.host) != Treatment::kHung) {
+      if (is_due && AccessOf(held.host) != StoreAccess::kHung) {
         Answer(held.host, held.call, store_.ChangesAfter(held.version));
       } else {
         held_.push_back(std::move(held));
@@ -242,51 +247,54 @@
   void Answer(int host,
               const std::shared_ptr<Call>& call,
               const Result<RowBatch, RowFailure>& result) {
-    Result<RowBatch, RowFailure> told = result;
-    if (IsOk(told)) {
-      RowBatch batch = TakeValue(std::move(told));
+    Result<RowBatch, RowFailure> response = result;
+    if (IsOk(response)) {
+      RowBatch batch = TakeValue(std::move(response));
       batch.store_time = time_.Now().time_since_epoch();
-      told = std::move(batch);
+      response = std::move(batch);
     }
-    Carry(host, call, time_.Now() + kProbedFor, [this, host, call, told] {
-      time_.At(host, time_.Now(), [call, told] { End(*call, told); });
-    });
+    Transmit(host, call, time_.Now() + kProbeTimeout,
+             [this, host, call, response] {
+               time_.At(host, time_.Now(),
+                        [call, response] { FinishCall(*call, response); });
+             });
   }
 
-  /// What is sent while nothing gets through arrives afterwards, unless the
-  /// connection's probes have found it dead by then.
-  void Carry(int host,
-             const std::shared_ptr<Call>& call,
-             MonotonicTime found_dead_at,
-             std::function<void()> arrive) {
-    time_.At(VirtualTime::kNoHost, time_.Now() + OneWay(),
-             [this, host, call, found_dead_at, arrive = std::move(arrive)] {
-               if (TreatmentOf(host) != Treatment::kSilent) {
+  /// A message sent while the host is partitioned arrives afterwards, unless
+  /// the keep-alive probes of its connection have failed by then.
+  void Transmit(int host,
+                const std::shared_ptr<Call>& call,
+                MonotonicTime probe_deadline,
+                std::function<void()> arrive) {
+    time_.At(VirtualTime::kNoHost, time_.Now() + DrawLatency(),
+             [this, host, call, probe_deadline, arrive = std::move(arrive)] {
+               if (AccessOf(host) != StoreAccess::kPartitioned) {
                  arrive();
-               } else if (time_.Now() < found_dead_at) {
-                 Carry(host, call, found_dead_at, arrive);
+               } else if (time_.Now() < probe_deadline) {
+                 Transmit(host, call, probe_deadline, arrive);
                } else {
-                 time_.At(host, time_.Now(),
-                          [call] { End(*call, RowFailure::kUnreachable); });
+                 time_.At(host, time_.Now(), [call] {
+                   FinishCall(*call, RowFailure::kUnreachable);
+                 });
                }
              });
   }
 
-  Duration OneWay() {
+  Duration DrawLatency() {
     return milliseconds(1) + FromSeconds(0.055 * random_.NextUnit());
   }
 
   VirtualTime& time_;
   ModelStore& store_;
   fakes::SeededRandom random_;
-  std::map<int, Treatment> treatments_;
+  std::map<int, StoreAccess> access_by_host_;
   std::vector<Held> held_;
 };
 
-/// @brief One host's way to the store.
-class HostSource final : public RowSource {
+/// @brief One host's row source, through the model network.
+class HostRowSource final : public RowSource {
  public:
-  HostSource(ModelNetwork& network, int host)
+  HostRowSource(ModelNetwork& network, int host)
       : network_(network), host_(host) {}
 
   void List(std::string_view,
--- a/tests/property/seat_shares_property_test.cc
+++ b/tests/property/seat_shares_property_test.cc
@@ -15,17 +15,17 @@
 enum class Event {
   kTick,
   kPause,
-  kWake,
+  kResume,
   kRestart,
   kUnlist,
   kList,
   kPlatformDown,
   kPlatformUp,
-  kLoseAnswer,
+  kLoseResponse,
   kDelayWrite,
-  kDeliverLate,
-  kDeclare,
-  kLearn,
+  kDeliverDelayedCommits,
+  kDeclareSplit,
+  kLearnRevision,
   kHandOver,
 };
 
@@ -40,17 +40,17 @@
              << command.number;
 }
 
-struct Mix {
+struct EventMix {
   const char* name;
   std::vector<Event> events;
 };
 
-/// Without it a test's name would hold addresses.
-std::ostream& operator<<(std::ostream& out, const Mix& mix) {
+/// Without this operator GoogleTest would print addresses in test names.
+std::ostream& operator<<(std::ostream& out, const EventMix& mix) {
   return out << mix.name;
 }
 
-rc::Gen<Command> AnyCommand(const Mix& mix) {
+rc::Gen<Command> AnyCommand(const EventMix& mix) {
   const auto event =
       rc::gen::weightedOneOf<Event>({{24, rc::gen::just(Event::kTick)},
                                      {14, rc::gen::elementOf(mix.events)}});
@@ -69,10 +69,10 @@
     case Event::kTick:
       return;
     case Event::kPause:
-      // Often the platform takes it for gone, too.
+      // The platform often reports the host as gone, too.
       model.SetListed(command.host, command.number == 0);
       return model.SetPaused(command.host, true);
-    case Event::kWake:
+    case Event::kResume:
       return model.SetPaused(command.host, false);
     case Event::kRestart:
       return model.Restart(command.host);
@@ -84,34 +84,36 @@
       return store.SetDown(true);
     case Event::kPlatformUp:
       return store.SetDown(false);
-    case Event::kLoseAnswer:
+    case Event::kLoseResponse:
       return store.FailNextCommits({fakes::CommitFault::kResponseLost});
     case Event::kDelayWrite:
       return store.FailNextCommits({fakes::CommitFault::kDelayed});
-    case Event::kDeliverLate:
+    case Event::kDeliverDelayedCommits:
       return store.DeliverDelayedCommits();
-    case Event::kDeclare:
-      return model.Declare(2 + command.number);
-    case Event::kLearn:
-      return model.Learn(command.host);
+    case Event::kDeclareSplit:
+      return model.DeclareSplit(2 + command.number);
+    case Event::kLearnRevision:
+      return model.LearnRevision(command.host);
     case Event::kHandOver:
       return model.HandOver(command.host, command.number);
   }
 }
 
-class SeatSharesProperty : public ::testing::TestWithParam<Mix> {};
+class SeatSharesProperty : public ::testing::TestWithParam<EventMix> {};
 
-// What the caller sees: a target with 3 slots is given a fourth request and
-// answers late, or sheds. How: a holder is paused, its seat is taken, a loan or
-// a handover arrives twice or late, a write lands after its answer was given
-// up, a split changes, and two hosts end up using one unit. Here all of these
-// happen in any order, and what runs at the target never passes its slots.
-TEST_P(SeatSharesProperty, WorkAtTheTargetNeverPassesItsSlots) {
+// Guards against a target with 3 slots that gets a fourth request and answers
+// late, or sheds load. Causes: a seat holder is paused and its seat is taken
+// over, a loan or a handover arrives twice or late, a write takes effect after
+// its caller stopped waiting, or a split changes, and two hosts use the same
+// unit. These events occur here in any order, and the running work at the
+// target never exceeds its slots.
+TEST_P(SeatSharesProperty, ConcurrentWorkNeverExceedsTargetSlots) {
   DomainModel::Counts total;
   const bool holds = rc::check([&total](std::uint64_t seed) {
     const auto commands =
         *rc::gen::container<std::vector<Command>>(250, AnyCommand(GetParam()));
-    // The same events four times, with other fates of the messages.
+    // Replays the same events four times with different message delays and
+    // losses.
     for (std::uint64_t variant = 0; variant < 4; ++variant) {
       DomainModel model(seed + variant);
       for (const Command& command : commands) {
@@ -119,38 +121,41 @@
         model.Tick(std::chrono::milliseconds(300 * (1 + command.number)));
         RC_ASSERT(model.Running() <= DomainModel::kLimit);
       }
-      total.dispatches += model.Seen().dispatches;
-      total.on_loans += model.Seen().on_loans;
-      total.takeovers += model.Seen().takeovers;
-      total.doubts += model.Seen().doubts;
+      total.dispatches += model.Totals().dispatches;
+      total.dispatches_on_loans += model.Totals().dispatches_on_loans;
+      total.takeovers += model.Totals().takeovers;
+      total.doubtful_steps += model.Totals().doubtful_steps;
     }
   });
   EXPECT_TRUE(holds);
-  // The property would hold for hosts that do nothing.
+  // Hosts that do nothing would satisfy the property.
   EXPECT_GT(total.dispatches, 3000U);
-  EXPECT_GT(total.on_loans, 300U);
+  EXPECT_GT(total.dispatches_on_loans, 300U);
   EXPECT_GT(total.takeovers, 200U);
   std::cout << "dispatches " << total.dispatches << ", on loans "
-            << total.on_loans << ", seats taken " << total.takeovers
-            << ", doubtful steps " << total.doubts << "\n";
+            << total.dispatches_on_loans << ", seats taken " << total.takeovers
+            << ", doubtful steps " << total.doubtful_steps << "\n";
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Mixes,
+    EventMixes,
     SeatSharesProperty,
     ::testing::Values(
-        Mix{"Everything",
-            {Event::kPause, Event::kWake, Event::kRestart, Event::kUnlist,
-             Event::kList, Event::kPlatformDown, Event::kPlatformUp,
-             Event::kLoseAnswer, Event::kDelayWrite, Event::kDeliverLate,
-             Event::kDeclare, Event::kLearn, Event::kHandOver}},
-        Mix{"Splits",
-            {Event::kDeclare, Event::kLearn, Event::kLearn, Event::kLearn,
-             Event::kLearn, Event::kRestart, Event::kLoseAnswer}},
-        Mix{"Cut off",
-            {Event::kPause, Event::kWake, Event::kWake, Event::kRestart,
-             Event::kHandOver, Event::kHandOver, Event::kPlatformDown,
-             Event::kPlatformUp, Event::kUnlist}}),
+        EventMix{"Everything",
+                 {Event::kPause, Event::kResume, Event::kRestart,
+                  Event::kUnlist, Event::kList, Event::kPlatformDown,
+                  Event::kPlatformUp, Event::kLoseResponse, Event::kDelayWrite,
+                  Event::kDeliverDelayedCommits, Event::kDeclareSplit,
+                  Event::kLearnRevision, Event::kHandOver}},
+        EventMix{
+            "Splits",
+            {Event::kDeclareSplit, Event::kLearnRevision, Event::kLearnRevision,
+             Event::kLearnRevision, Event::kLearnRevision, Event::kRestart,
+             Event::kLoseResponse}},
+        EventMix{"Cut off",
+                 {Event::kPause, Event::kResume, Event::kResume,
+                  Event::kRestart, Event::kHandOver, Event::kHandOver,
+                  Event::kPlatformDown, Event::kPlatformUp, Event::kUnlist}}),
     [](const auto& instance) {
       std::string name = instance.param.name;
       std::erase(name, ' ');
--- a/tests/property/share_utilisation_test.cc
+++ b/tests/property/share_utilisation_test.cc
@@ -23,31 +23,32 @@
 constexpr Duration kQueueLimit = std::chrono::milliseconds(200);
 constexpr Duration kRunTime = std::chrono::seconds(5);
 
-/// How requests reach hosts and slots.
-enum class Way {
-  kSharesOnly,  ///< To a random host, which uses its own shares.
-  kLending,     ///< The same, and hosts lend.
-  kWeighted,    ///< Look-ups name hosts in proportion to their shares; lending.
+/// How requests are routed to hosts and slots.
+enum class RoutingMode {
+  kSharesOnly,  ///< To a random host, which has its own shares only.
+  kLending,     ///< To a random host; hosts lend shares.
+  kWeighted,    ///< To hosts in proportion to their shares; with lending.
 };
 
-struct Case {
+struct UtilisationCase {
   std::string name;
   std::uint32_t hosts;
   std::uint32_t targets;
-  double load;  ///< Offered, as a part of all slots.
-  Way way;
-  double min_served;        ///< Of what could be served at best.
+  double load;  ///< Offered load as a fraction of all slots.
+  RoutingMode routing;
+  double min_served;        ///< As a fraction of the best possible.
   std::uint32_t seats = 0;  ///< 0: as many as hosts.
 };
 
-std::ostream& operator<<(std::ostream& out, const Case& c) {
+std::ostream& operator<<(std::ostream& out, const UtilisationCase& c) {
   return out << c.name;
 }
 
-/// A domain's hosts in virtual time; messages between them take one step.
+/// The hosts of a failure domain in virtual time; messages between them take
+/// one step.
 class Domain {
  public:
-  explicit Domain(const Case& c) : case_(c) {
+  explicit Domain(const UtilisationCase& c) : case_(c) {
     case_.seats = c.seats == 0 ? c.hosts : c.seats;
     for (std::uint32_t target = 0; target < c.targets; ++target) {
       limits_.push_back("target/reserva-" + std::to_string(target) + "/slots");
@@ -57,7 +58,7 @@
       for (const std::string& limit : limits_) {
         const std::uint32_t part = SplitLimit(limit, kSlots, case_.seats, i);
         hosts_.back()->book.SetOwn(limit, part);
-        tickets_.insert(tickets_.end(), part, i);
+        share_owners_.insert(share_owners_.end(), part, i);
       }
     }
   }
@@ -68,12 +69,12 @@
     double due = 0.0;
     for (Duration time{}; time < kRunTime; time += kStep) {
       clock_.Advance(kStep);
-      // Arrivals in clumps of random size around the mean.
+      // Arrivals in bursts of random size around the mean.
       for (due += 2.0 * per_step * random_.NextUnit(); due >= 1.0; due -= 1.0) {
         hosts_[ChooseHost()]->queue.push_back(clock_.Now());
         ++offered_;
       }
-      DeliverMail();
+      DeliverMessages();
       for (const auto& host : hosts_) {
         Serve(*host);
       }
@@ -101,12 +102,12 @@
     ShareAllocator book;
     std::deque<MonotonicTime> queue;
     std::vector<std::pair<AcquiredUnit, MonotonicTime>> uses;
-    std::size_t asks = 0;
+    std::size_t pending_requests = 0;
   };
 
   [[nodiscard]] std::size_t ChooseHost() {
-    return case_.way == Way::kWeighted
-               ? tickets_[random_.NextBelow(tickets_.size())]
+    return case_.routing == RoutingMode::kWeighted
+               ? share_owners_[random_.NextBelow(share_owners_.size())]
                : random_.NextBelow(hosts_.size());
   }
 
@@ -133,77 +134,80 @@
         ++served_;
       }
     }
-    if (case_.way != Way::kSharesOnly) {
+    if (case_.routing != RoutingMode::kSharesOnly) {
       Lend(host);
     }
   }
 
-  /// One ask under way for each request that waits, at most four.
+  /// Keeps one outstanding loan request for each queued request, at most four.
   void Lend(Host& host) {
-    while (host.asks < std::min<std::size_t>(host.queue.size(), 4)) {
+    while (host.pending_requests <
+           std::min<std::size_t>(host.queue.size(), 4)) {
       const std::string& limit = limits_[random_.NextBelow(limits_.size())];
       const auto seats = SeatsWithShare(limit, kSlots, case_.seats);
       const std::uint32_t lender = seats[random_.NextBelow(seats.size())];
       if (hosts_[lender].get() == &host) {
         return;
       }
-      ++host.asks;
-      OutgoingShareRequest(
-          host, host.book.Borrow(limit, 1, hosts_[lender]->name), true);
+      ++host.pending_requests;
+      SendBorrowRequest(host, host.book.Borrow(limit, 1, hosts_[lender]->name),
+                        true);
     }
     for (const auto& ask : host.book.Renewals()) {
-      OutgoingShareRequest(host, ask, false);
+      SendBorrowRequest(host, ask, false);
     }
     for (const auto& ask : host.book.Returns()) {
       ++messages_;
-      Lender(ask).book.AcceptReturn(ask.request);
+      LenderOf(ask).book.AcceptReturn(ask.request);
     }
   }
 
-  void OutgoingShareRequest(Host& host,
-                            const capacity::OutgoingShareRequest& ask,
-                            bool is_new) {
+  void SendBorrowRequest(Host& host,
+                         const capacity::OutgoingShareRequest& ask,
+                         bool is_new) {
     messages_ += 2;
-    mail_.push_back([this, &host, ask, is_new] {
-      host.book.Apply(ask, Lender(ask).book.Lend(ask.request));
-      host.asks -= is_new ? 1 : 0;
+    in_flight_.push_back([this, &host, ask, is_new] {
+      host.book.Apply(ask, LenderOf(ask).book.Lend(ask.request));
+      host.pending_requests -= is_new ? 1 : 0;
     });
   }
 
-  [[nodiscard]] Host& Lender(const capacity::OutgoingShareRequest& ask) {
+  [[nodiscard]] Host& LenderOf(const capacity::OutgoingShareRequest& ask) {
     return *hosts_[std::stoul(ask.lender.Value())];
   }
 
-  void DeliverMail() {
-    const auto due = std::exchange(mail_, {});
+  void DeliverMessages() {
+    const auto due = std::exchange(in_flight_, {});
     for (const auto& message : due) {
       message();
     }
   }
 
-  Case case_;
+  UtilisationCase case_;
   fakes::ManualClock clock_;
   fakes::SeededRandom random_{7};
   std::vector<std::string> limits_;
   std::vector<std::unique_ptr<Host>> hosts_;
-  std::vector<std::uint32_t> tickets_;
-  std::vector<std::function<void()>> mail_;
+  std::vector<std::uint32_t> share_owners_;
+  std::vector<std::function<void()>> in_flight_;
   std::uint64_t offered_ = 0, served_ = 0, refused_ = 0, messages_ = 0;
 };
 
-class ShareUtilisation : public ::testing::TestWithParam<Case> {};
+class ShareUtilisation : public ::testing::TestWithParam<UtilisationCase> {};
 
-// What the caller sees: "no room" while slots of the domain lie idle. Why: the
-// slots are split over hosts, and requests come to a host whose part is in use,
-// or which has none. Measured against serving all that fits.
+// Guards against requests that are refused for lack of capacity while slots of
+// the failure domain are idle. Cause: the slots are split between hosts, and
+// requests reach a host whose share is in use, or which has none. The bound is
+// relative to serving everything that fits.
 TEST_P(ShareUtilisation, ServesWhatFits) {
-  const Case& c = GetParam();
+  const UtilisationCase& c = GetParam();
   Domain domain(c);
   domain.Run();
   const double served = domain.Utilisation() / std::min(c.load, 1.0);
   std::cout << c.name << ": utilisation " << domain.Utilisation()
-            << ", of best " << served << ", refused " << domain.Refused()
-            << ", messages a request " << domain.MessagesPerRequest() << "\n";
+            << ", fraction of best " << served << ", refused "
+            << domain.Refused() << ", messages per request "
+            << domain.MessagesPerRequest() << "\n";
   EXPECT_GE(served, c.min_served);
 }
 
@@ -211,20 +215,32 @@
     Sizes,
     ShareUtilisation,
     ::testing::Values(
-        Case{"OneHost", 1, 12, 1.5, Way::kSharesOnly, 0.98},
-        Case{"TwoHosts", 2, 12, 1.5, Way::kSharesOnly, 0.98},
-        Case{"TwoHosts70", 2, 12, 0.7, Way::kSharesOnly, 0.98},
-        Case{"TwoHosts90", 2, 12, 0.9, Way::kSharesOnly, 0.98},
-        Case{"TwoHostsOneSeat", 2, 12, 1.5, Way::kLending, 0.95, 1},
-        Case{"TwoHostsOneSeat70", 2, 12, 0.7, Way::kLending, 0.95, 1},
-        Case{"Hosts52SharesOnly", 52, 12, 1.5, Way::kSharesOnly, 0.5},
-        Case{"Hosts52SharesOnly70", 52, 12, 0.7, Way::kSharesOnly, 0.35},
-        Case{"Hosts52Lending", 52, 12, 1.5, Way::kLending, 0.8},
-        Case{"Hosts52Lending70", 52, 12, 0.7, Way::kLending, 0.85},
-        Case{"Hosts52Weighted", 52, 12, 1.5, Way::kWeighted, 0.93},
-        Case{"Hosts52Weighted70", 52, 12, 0.7, Way::kWeighted, 0.93},
-        Case{"Hosts52Targets100", 52, 100, 0.7, Way::kSharesOnly, 0.8},
-        Case{"Hosts52Targets100Lending", 52, 100, 0.7, Way::kLending, 0.95}),
+        UtilisationCase{"OneHost", 1, 12, 1.5, RoutingMode::kSharesOnly, 0.98},
+        UtilisationCase{"TwoHosts", 2, 12, 1.5, RoutingMode::kSharesOnly, 0.98},
+        UtilisationCase{"TwoHosts70", 2, 12, 0.7, RoutingMode::kSharesOnly,
+                        0.98},
+        UtilisationCase{"TwoHosts90", 2, 12, 0.9, RoutingMode::kSharesOnly,
+                        0.98},
+        UtilisationCase{"TwoHostsOneSeat", 2, 12, 1.5, RoutingMode::kLending,
+                        0.95, 1},
+        UtilisationCase{"TwoHostsOneSeat70", 2, 12, 0.7, RoutingMode::kLending,
+                        0.95, 1},
+        UtilisationCase{"Hosts52SharesOnly", 52, 12, 1.5,
+                        RoutingMode::kSharesOnly, 0.5},
+        UtilisationCase{"Hosts52SharesOnly70", 52, 12, 0.7,
+                        RoutingMode::kSharesOnly, 0.35},
+        UtilisationCase{"Hosts52Lending", 52, 12, 1.5, RoutingMode::kLending,
+                        0.8},
+        UtilisationCase{"Hosts52Lending70", 52, 12, 0.7, RoutingMode::kLending,
+                        0.85},
+        UtilisationCase{"Hosts52Weighted", 52, 12, 1.5, RoutingMode::kWeighted,
+                        0.93},
+        UtilisationCase{"Hosts52Weighted70", 52, 12, 0.7,
+                        RoutingMode::kWeighted, 0.93},
+        UtilisationCase{"Hosts52Targets100", 52, 100, 0.7,
+                        RoutingMode::kSharesOnly, 0.8},
+        UtilisationCase{"Hosts52Targets100Lending", 52, 100, 0.7,
+                        RoutingMode::kLending, 0.95}),
     [](const auto& instance) { return instance.param.name; });
 
 }  // namespace
--- a/tests/property/steering_block_map_test.cc
+++ b/tests/property/steering_block_map_test.cc
@@ -13,8 +13,8 @@
 using Block = Prefix<std::uint32_t>;
 using Blocks = std::map<std::pair<std::uint32_t, std::uint8_t>, std::uint16_t>;
 
-/// Few bits at both ends, so that blocks nest and touch often, the first and
-/// the last address included.
+/// Few distinct bits at both ends, so that blocks often nest and touch,
+/// including the first and the last address.
 std::uint32_t DrawAddress() {
   const auto high = *rc::gen::elementOf(
       std::vector<std::uint32_t>{0, 0x0A000000, 0x0A010000, 0xFFFFFF00});
--- a/tests/property/steering_shift_planner_test.cc
+++ b/tests/property/steering_shift_planner_test.cc
@@ -21,21 +21,21 @@
   return "d" + std::to_string(domain);
 }
 
-/// A step of the world: loads, ages, deaths and drains jump at random, as after
-/// lost messages, and so does time.
-struct World {
+/// The planner's inputs at one step. Loads, ages, deaths and drains change at
+/// random, as after lost messages, and so does time.
+struct PlannerState {
   std::vector<DomainLoad> domains;
   std::vector<PendingDemand> pending;
   double link_capacity = 0.0;
   int drained = -1;
 };
 
-World DrawWorld() {
-  World world{.link_capacity = 1.0 * *rc::gen::inRange(0, 400),
-              .drained = *rc::gen::inRange(-6, kDomains)};
+PlannerState DrawPlannerState() {
+  PlannerState state{.link_capacity = 1.0 * *rc::gen::inRange(0, 400),
+                     .drained = *rc::gen::inRange(-6, kDomains)};
   for (int domain = 0; domain < kDomains; ++domain) {
     if (*rc::gen::inRange(0, 10) == 0) {
-      continue;  // Never heard of.
+      continue;  // No measurements were received.
     }
 
     const double demand = *rc::gen::inRange(0, 3000);
@@ -52,12 +52,12 @@
            .usable_slots = *rc::gen::inRange(0, 8) == 0 ? 0.0 : kSlots,
            .refused_per_second = std::max(demand - 1000.0, 0.0)});
     }
-    world.domains.push_back(std::move(load));
+    state.domains.push_back(std::move(load));
   }
-  return world;
+  return state;
 }
 
-fixture::CatalogueBuilder CatalogueOf(const World& world) {
+fixture::CatalogueBuilder CatalogueOf(const PlannerState& state) {
   fixture::CatalogueBuilder builder;
   for (const char* service : {"s0", "s1"}) {
     builder.Add(catalogue::ServiceEntry{
@@ -74,15 +74,15 @@
             .from = FailureDomainName(NameOf(from)),
             .to = FailureDomainName(NameOf(to)),
             .latency = std::chrono::milliseconds(5 * (from + to)),
-            .capacity = world.link_capacity,
+            .capacity = state.link_capacity,
             .shift_step = 30.0,
             .shift_window = kWindow});
       }
     }
   }
-  if (world.drained >= 0) {
+  if (state.drained >= 0) {
     builder.AddDrain(catalogue::DrainSubject::kFailureDomain,
-                     NameOf(world.drained));
+                     NameOf(state.drained));
   }
   return builder;
 }
@@ -90,7 +90,7 @@
 using LinkRates =
     std::map<std::pair<FailureDomainName, FailureDomainName>, double>;
 
-void CheckReceivers(const World& world, const ShiftPlan& plan) {
+void CheckReceivers(const PlannerState& state, const ShiftPlan& plan) {
   std::map<std::pair<ServiceName, FailureDomainName>, double> inflow;
   for (const PlannedShift& shift : plan.shifts) {
     RC_ASSERT(shift.rate >= 0.0);
@@ -102,20 +102,21 @@
     const ServiceName& service = pool.first;
     const FailureDomainName& receiver = pool.second;
     const auto found = std::find_if(
-        world.domains.begin(), world.domains.end(),
+        state.domains.begin(), state.domains.end(),
         [&](const auto& domain) { return domain.failure_domain == receiver; });
     const bool is_offering =
-        found != world.domains.end() && found->live_hosts > 0 &&
+        found != state.domains.end() && found->live_hosts > 0 &&
         found->age < ShiftPlannerOptions().stale_age &&
         found->loads[service.Value() == "s0" ? 0 : 1].usable_slots > 0.0 &&
-        (world.drained < 0 || receiver.Value() != NameOf(world.drained));
+        (state.drained < 0 || receiver.Value() != NameOf(state.drained));
     RC_ASSERT(is_offering || rate <= 1e-6);
     RC_ASSERT(rate <= kSlots / 0.02 * (1.0 - kHeadroom) + 1e-6);
   }
 }
 
-// Whatever the measurements say and however they jump: links keep their caps
-// and steps, and nothing is sent where nothing may be offered.
+// Whatever the measurements are and however they change: links keep their
+// capacities and steps, and nothing is sent to a failure domain that must not
+// be offered.
 TEST(ShiftPlannerProperties, LimitsHoldUnderAnyMeasurements) {
   EXPECT_TRUE(rc::check([] {
     fakes::ManualClock clock;
@@ -125,11 +126,11 @@
 
     for (int step = 0; step < 20; ++step) {
       clock.Advance(std::chrono::milliseconds(*rc::gen::inRange(100, 4000)));
-      const World world = DrawWorld();
-      const auto catalogue = CatalogueOf(world).Build();
+      const PlannerState state = DrawPlannerState();
+      const auto catalogue = CatalogueOf(state).Build();
       const ShiftPlan plan = planner.Plan(
-          {.catalogue = catalogue.get(), .domains = world.domains});
-      CheckReceivers(world, plan);
+          {.catalogue = catalogue.get(), .domains = state.domains});
+      CheckReceivers(state, plan);
 
       LinkRates rates;
       for (const PlannedShift& shift : plan.shifts) {
@@ -140,7 +141,7 @@
           const LinkRates::key_type link{FailureDomainName(NameOf(from)),
                                          FailureDomainName(NameOf(to))};
           const double rate = rates[link];
-          RC_ASSERT(rate <= world.link_capacity + 1e-6);
+          RC_ASSERT(rate <= state.link_capacity + 1e-6);
 
           auto& past = history[link];
           past.emplace_back(clock.Now(), rate);
--- a/tests/property/table_following_property_test.cc
+++ b/tests/property/table_following_property_test.cc
@@ -15,18 +15,19 @@
   }
 };
 
-// Callers see a route denied that was added, or an answer of a target that
-// left, when a host does not hear what the store acknowledged. Hosts that read
-// for others are paused, killed, turned away and cut off, with and without the
-// store itself, and it forgets its history; each schedule is one seed.
-TEST_P(TableFollowing, HostsInTouchKnowWhatTheStoreAcknowledged) {
+// Guards against hosts that miss acknowledged changes: callers are then refused
+// on a route that was added, or get a response of a target that has left. Hosts
+// that read for others are paused, killed, refused and partitioned, with and
+// without faults of the store itself, and the store compacts its history. Each
+// seed gives one schedule.
+TEST_P(TableFollowing, ConnectedHostsReceiveAcknowledgedChanges) {
   constexpr std::uint64_t kSchedules = 1000;
   for (std::uint64_t seed = 1; seed <= kSchedules && Holds(seed); ++seed) {
   }
 }
 
-// Seeds that failed once, beyond the range above.
-TEST_P(TableFollowing, SeedsThatFailedOnceHold) {
+// Seeds beyond the range above that once failed.
+TEST_P(TableFollowing, RegressionSeedsHold) {
   for (const std::uint64_t seed : {5919, 3986}) {
     if (!Holds(seed)) {
       return;
@@ -34,7 +35,8 @@
   }
 }
 
-/// @brief A store that refuses every second call, and else tells a change.
+/// @brief A store that refuses every second call and answers the others with a
+/// change.
 class FlappingSource final : public RowSource {
  public:
   explicit FlappingSource(ports::Timers& timers) : timers_(timers) {}
@@ -68,33 +70,36 @@
   std::uint64_t calls_ = 0;
 };
 
-// The store turns a host away, takes it back and turns it away again, several
-// times a second. Other hosts, which have requests to serve, are asked by it no
-// more often than by a host that is turned away for good.
-TEST(TableFollowerTest, AFlappingStoreDoesNotMultiplyQuestionsToOthers) {
-  constexpr Duration kFlapping = seconds(10);
-  constexpr Duration kBetweenQuestions = milliseconds(400);
+// The store refuses a host, accepts it and refuses it again, several times a
+// second. The host must not send requests to other hosts, which are busy with
+// callers, more often than a host that is refused permanently.
+TEST(TableFollowerTest, FlappingStoreDoesNotMultiplyPeerRequests) {
+  constexpr Duration kFlappingPhase = seconds(10);
+  constexpr Duration kMinRequestInterval = milliseconds(400);
   VirtualTime time;
   HostTimers timers(time, 0);
   FlappingSource source(timers);
   fakes::SeededRandom random(2);
-  HeardRows heard;
-  int questions = 0;
+  ReceivedRows received;
+  int requests = 0;
   TableFollower follower(
-      {.timers = timers, .store = source, .random = random, .listener = heard},
+      {.timers = timers,
+       .store = source,
+       .random = random,
+       .listener = received},
       {.table = "t",
        .timing = kDirectReadTiming,
        .ask_peer = [&](const RowsRequest&, RowsCallback callback) {
-         ++questions;
+         ++requests;
          timers.RunAfter(milliseconds(1), [callback = std::move(callback)] {
            callback(RowFailure::kRefused);
          });
        }});
   follower.Start();
-  time.RunUntil(time.Now() + kFlapping);
+  time.RunUntil(time.Now() + kFlappingPhase);
 
-  EXPECT_GT(questions, 0);
-  EXPECT_LE(questions, kFlapping / kBetweenQuestions + 1);
+  EXPECT_GT(requests, 0);
+  EXPECT_LE(requests, kFlappingPhase / kMinRequestInterval + 1);
 }
 
 INSTANTIATE_TEST_SUITE_P(Hosts,
--- a/tests/property/table_following_schedule.h
+++ b/tests/property/table_following_schedule.h
@@ -15,27 +15,29 @@
 #include "table_following_world.h"
 
 /// @file
-/// @brief Drawn schedules of changes and faults around hosts that follow a
-/// table, and what each host must know meanwhile.
+/// @brief Random schedules of changes and faults around hosts that follow
+/// a table, and checks of what each host must know meanwhile.
 
 namespace medlarcroft::replication {
 
-inline constexpr Duration kTroubles = seconds(24);
-inline constexpr Duration kQuiet = seconds(10);
+inline constexpr Duration kFaultPhase = seconds(24);
+inline constexpr Duration kRecoveryPhase = seconds(10);
 
-/// @brief What a schedule is played with.
+/// @brief Parameters of a schedule.
 struct ScheduleOptions {
   int hosts = 2;
-  /// A leaving target and a configuration must be known so long after the store
-  /// has acknowledged them, by hosts in touch with it.
-  Duration known_within = milliseconds(2500);
-  /// After so long without trouble a host is in touch with the store.
-  Duration in_touch_after = seconds(4);
-  /// The store also hangs.
+  /// Time after the acknowledgement by the store within which connected hosts
+  /// must know of a change, such as a leaving target or a new configuration.
+  Duration propagation_limit = milliseconds(2500);
+  /// Time after the last fault after which a host counts as connected to the
+  /// store.
+  Duration recovery_time = seconds(4);
+  /// Whether the store also hangs.
   bool has_hangs = false;
 };
 
-/// @brief One schedule: changes of the table, and faults of hosts and store.
+/// @brief One schedule: changes of the table, and faults of the hosts and the
+/// store.
 class Schedule {
  public:
   Schedule(std::uint64_t seed, const ScheduleOptions& options)
@@ -46,26 +48,26 @@
                 network_,
                 options.hosts,
                 FollowTimingFor(static_cast<std::size_t>(options.hosts),
-                                options.in_touch_after),
+                                options.recovery_time),
                 seed + 2,
-                OtherReadersAsked(options.known_within)) {
-    troubled_until_.resize(static_cast<std::size_t>(options.hosts),
-                           time_.Now());
-    const MonotonicTime end = time_.Now() + kTroubles;
+                OtherReadersAsked(options.propagation_limit)) {
+    faulty_until_.resize(static_cast<std::size_t>(options.hosts), time_.Now());
+    const MonotonicTime end = time_.Now() + kFaultPhase;
     PlanChanges(end);
     PlanFaults(end);
     if (options.has_hangs) {
-      // The other faults of a seed stay as they are.
+      // A separate generator: enabling hangs leaves the other faults of a seed
+      // unchanged.
       random_ = fakes::SeededRandom(seed + 3);
       PlanHangs(end);
     }
   }
 
-  /// What is planned, for whoever traces a seed.
-  [[nodiscard]] std::string Story() const { return story_.str(); }
+  /// @return the planned changes and faults, to trace a failing seed.
+  [[nodiscard]] std::string Description() const { return description_.str(); }
 
   void Run() {
-    time_.RunUntil(time_.Now() + kTroubles + kQuiet);
+    time_.RunUntil(time_.Now() + kFaultPhase + kRecoveryPhase);
     for (int host = 0; host < region_.Size(); ++host) {
       CheckHost(host, store_.Newest());
     }
@@ -77,24 +79,28 @@
   void Plan(MonotonicTime at, std::function<void()> task) {
     time_.At(VirtualTime::kNoHost, at, std::move(task));
   }
-  void Tell(const char* what, int host, MonotonicTime at, Duration time) {
-    story_ << ToSeconds(at - start_) << " s: " << what << ' ' << host << " for "
-           << ToSeconds(time) << " s\n";
+  void AddToDescription(const char* what,
+                        int host,
+                        MonotonicTime at,
+                        Duration time) {
+    description_ << ToSeconds(at - start_) << " s: " << what << ' ' << host
+                 << " for " << ToSeconds(time) << " s\n";
   }
-  Duration Between(double least, double most) {
+  Duration DrawDuration(double least, double most) {
     return FromSeconds(least + (most - least) * random_.NextUnit());
   }
-  int SomeHost() {
+  int DrawHost() {
     return static_cast<int>(
         random_.NextBelow(static_cast<std::uint64_t>(region_.Size())));
   }
 
   void PlanChanges(MonotonicTime end) {
-    for (MonotonicTime at = time_.Now(); at < end; at += Between(0.05, 1.5)) {
+    for (MonotonicTime at = time_.Now(); at < end;
+         at += DrawDuration(0.05, 1.5)) {
       const std::uint64_t key = random_.NextBelow(kKeys);
       const bool is_removal = random_.NextUnit() < 0.3;
-      Tell(is_removal ? "removes" : "writes", static_cast<int>(key), at,
-           Duration(0));
+      AddToDescription(is_removal ? "removes" : "writes", static_cast<int>(key),
+                       at, Duration(0));
       Plan(at, [this, key, is_removal] { Change(key, is_removal); });
     }
   }
@@ -104,75 +110,78 @@
     is_removal ? store_.Remove(key) : store_.Put(key);
     network_.OnCommit();
     const std::uint64_t version = store_.Newest();
-    Plan(time_.Now() + options_.known_within, [this, version] {
+    Plan(time_.Now() + options_.propagation_limit, [this, version] {
       for (int host = 0; host < region_.Size(); ++host) {
-        if (IsInTouch(host)) {
+        if (IsConnected(host)) {
           CheckHost(host, version);
         }
       }
     });
   }
 
-  bool IsInTouch(int host) const {
+  bool IsConnected(int host) const {
     return region_.IsAlive(host) &&
-           time_.Now() - troubled_until_[static_cast<std::size_t>(host)] >=
-               options_.in_touch_after &&
-           time_.Now() - store_troubled_until_ >= options_.in_touch_after;
+           time_.Now() - faulty_until_[static_cast<std::size_t>(host)] >=
+               options_.recovery_time &&
+           time_.Now() - store_faulty_until_ >= options_.recovery_time;
   }
 
-  /// What a host knows of each row is as it was at `version` or later, and its
-  /// knowledge never went back.
+  /// Checks that the host knows each row as of `version` or later, and that its
+  /// knowledge never went back to an older version.
   void CheckHost(int host, std::uint64_t version) {
-    const HeardRows& heard = region_.HeardBy(host);
-    EXPECT_FALSE(heard.went_back) << "host " << host;
+    const ReceivedRows& received = region_.ReceivedBy(host);
+    EXPECT_FALSE(received.went_backwards) << "host " << host;
     EXPECT_GE(region_.FollowerOf(host).Mirror().Version(), version)
         << "host " << host << " at " << ToSeconds(time_.Now() - start_);
     for (const std::string& key : store_.Keys()) {
       const Row then = store_.LastChange(key, version);
       const Row last = store_.LastChange(key, store_.Newest());
-      const auto known = heard.versions.find(key);
-      if (known == heard.versions.end()) {
+      const auto known = received.versions.find(key);
+      if (known == received.versions.end()) {
         EXPECT_TRUE(then.is_removed || last.version > then.version)
-            << "host " << host << " lacks " << key;
+            << "host " << host << " does not have " << key;
       } else {
         EXPECT_GE(known->second, then.version)
-            << "host " << host << " believes in an old " << key;
+            << "host " << host << " has an outdated " << key;
       }
     }
   }
 
   void PlanFaults(MonotonicTime end) {
     using Fault = void (Schedule::*)(MonotonicTime);
-    constexpr std::array<Fault, 6> kFaults = {
-        &Schedule::PauseHost,  &Schedule::KillHost,    &Schedule::RefuseHost,
-        &Schedule::CutOffHost, &Schedule::CutOffStore, &Schedule::Compact};
+    constexpr std::array<Fault, 6> kFaults = {&Schedule::PauseHost,
+                                              &Schedule::KillHost,
+                                              &Schedule::RefuseHost,
+                                              &Schedule::PartitionHost,
+                                              &Schedule::MakeStoreUnavailable,
+                                              &Schedule::Compact};
     const std::uint64_t faults = 2 + random_.NextBelow(9);
     for (std::uint64_t i = 0; i < faults; ++i) {
       const MonotonicTime at =
-          time_.Now() + Between(0, ToSeconds(end - time_.Now()) - 6);
+          time_.Now() + DrawDuration(0, ToSeconds(end - time_.Now()) - 6);
       (this->*kFaults.at(random_.NextBelow(kFaults.size())))(at);
     }
   }
 
-  void Trouble(int host, MonotonicTime from, Duration time) {
+  void MarkFaulty(int host, MonotonicTime from, Duration time) {
     Plan(from, [this, host, time] {
-      MonotonicTime& until = troubled_until_[static_cast<std::size_t>(host)];
+      MonotonicTime& until = faulty_until_[static_cast<std::size_t>(host)];
       until = std::max(until, time_.Now() + time);
     });
   }
 
   void PauseHost(MonotonicTime at) {
-    const int host = SomeHost();
-    const Duration time = Between(0.2, 5);
-    Tell("paused", host, at, time);
-    Trouble(host, at, time);
+    const int host = DrawHost();
+    const Duration time = DrawDuration(0.2, 5);
+    AddToDescription("paused", host, at, time);
+    MarkFaulty(host, at, time);
     Plan(at, [this, host, time] { time_.Pause(host, time_.Now() + time); });
   }
   void KillHost(MonotonicTime at) {
-    const int host = SomeHost();
-    const Duration time = Between(0.2, 3);
-    Tell("killed", host, at, time);
-    Trouble(host, at, time);
+    const int host = DrawHost();
+    const Duration time = DrawDuration(0.2, 3);
+    AddToDescription("killed", host, at, time);
+    MarkFaulty(host, at, time);
     Plan(at, [this, host] {
       if (region_.IsAlive(host)) {
         region_.Kill(host);
@@ -184,85 +193,94 @@
       }
     });
   }
-  static const char* NameOfHostFault(Treatment treatment) {
-    switch (treatment) {
-      case Treatment::kServed:
+  static const char* HostFaultName(StoreAccess access) {
+    switch (access) {
+      case StoreAccess::kNormal:
         return "served";
-      case Treatment::kRefused:
+      case StoreAccess::kRefused:
         return "refused";
-      case Treatment::kSilent:
-        return "cut off";
-      case Treatment::kHung:
-        return "store hangs for";
+      case StoreAccess::kPartitioned:
+        return "partitioned";
+      case StoreAccess::kHung:
+        return "store hangs for host";
     }
     return "";
   }
-  void TreatHost(MonotonicTime at, Treatment treatment) {
-    const int host = SomeHost();
-    const Duration time = Between(0.5, 6);
-    Tell(NameOfHostFault(treatment), host, at, time);
-    Trouble(host, at, time);
-    Plan(at, [this, host, treatment] { network_.Treat(host, treatment); });
-    Plan(at + time, [this, host] { network_.Treat(host, Treatment::kServed); });
+  void SetHostAccess(MonotonicTime at, StoreAccess access) {
+    const int host = DrawHost();
+    const Duration time = DrawDuration(0.5, 6);
+    AddToDescription(HostFaultName(access), host, at, time);
+    MarkFaulty(host, at, time);
+    Plan(at, [this, host, access] { network_.SetAccess(host, access); });
+    Plan(at + time,
+         [this, host] { network_.SetAccess(host, StoreAccess::kNormal); });
   }
-  void RefuseHost(MonotonicTime at) { TreatHost(at, Treatment::kRefused); }
-  void CutOffHost(MonotonicTime at) { TreatHost(at, Treatment::kSilent); }
-  void CutOffStore(MonotonicTime at) {
-    const Duration time = Between(0.3, 4);
-    const Treatment treatment =
-        random_.NextUnit() < 0.5 ? Treatment::kSilent : Treatment::kRefused;
-    Tell(treatment == Treatment::kSilent ? "store silent" : "store refuses",
-         VirtualTime::kNoHost, at, time);
-    TreatAll(at, time, treatment);
+  void RefuseHost(MonotonicTime at) {
+    SetHostAccess(at, StoreAccess::kRefused);
   }
-  void TreatAll(MonotonicTime at, Duration time, Treatment treatment) {
+  void PartitionHost(MonotonicTime at) {
+    SetHostAccess(at, StoreAccess::kPartitioned);
+  }
+  void MakeStoreUnavailable(MonotonicTime at) {
+    const Duration time = DrawDuration(0.3, 4);
+    const StoreAccess access = random_.NextUnit() < 0.5
+                                   ? StoreAccess::kPartitioned
+                                   : StoreAccess::kRefused;
+    AddToDescription(access == StoreAccess::kPartitioned ? "store unreachable"
+                                                         : "store refuses",
+                     VirtualTime::kNoHost, at, time);
+    SetAccessForAll(at, time, access);
+  }
+  void SetAccessForAll(MonotonicTime at, Duration time, StoreAccess access) {
     for (int host = 0; host < region_.Size(); ++host) {
-      Plan(at, [this, host, treatment] { network_.Treat(host, treatment); });
+      Plan(at, [this, host, access] { network_.SetAccess(host, access); });
       Plan(at + time,
-           [this, host] { network_.Treat(host, Treatment::kServed); });
+           [this, host] { network_.SetAccess(host, StoreAccess::kNormal); });
     }
     Plan(at, [this, time] {
-      store_troubled_until_ =
-          std::max(store_troubled_until_, time_.Now() + time);
+      store_faulty_until_ = std::max(store_faulty_until_, time_.Now() + time);
     });
   }
   void PlanHangs(MonotonicTime end) {
     const std::uint64_t hangs = 1 + random_.NextBelow(4);
     for (std::uint64_t i = 0; i < hangs; ++i) {
       const MonotonicTime at =
-          time_.Now() + Between(0, ToSeconds(end - time_.Now()) - 6);
-      const Duration time = Between(0.05, 6);
-      Tell("store hangs", VirtualTime::kNoHost, at, time);
-      TreatAll(at, time, Treatment::kHung);
+          time_.Now() + DrawDuration(0, ToSeconds(end - time_.Now()) - 6);
+      const Duration time = DrawDuration(0.05, 6);
+      AddToDescription("store hangs", VirtualTime::kNoHost, at, time);
+      SetAccessForAll(at, time, StoreAccess::kHung);
     }
     if (random_.NextUnit() < 0.5) {
-      TreatHost(time_.Now() + Between(0, ToSeconds(end - time_.Now()) - 6),
-                Treatment::kHung);
+      SetHostAccess(
+          time_.Now() + DrawDuration(0, ToSeconds(end - time_.Now()) - 6),
+          StoreAccess::kHung);
     }
   }
   void Compact(MonotonicTime at) {
-    Tell("history forgotten", VirtualTime::kNoHost, at, Duration(0));
-    Plan(at, [this] { store_.Forget(); });
+    AddToDescription("history compacted", VirtualTime::kNoHost, at,
+                     Duration(0));
+    Plan(at, [this] { store_.CompactHistory(); });
   }
 
   const ScheduleOptions options_;
-  std::ostringstream story_;
+  std::ostringstream description_;
   VirtualTime time_;
   const MonotonicTime start_ = time_.Now();
   fakes::SeededRandom random_;
   ModelStore store_;
   ModelNetwork network_;
   Region region_;
-  std::vector<MonotonicTime> troubled_until_;
-  MonotonicTime store_troubled_until_ = time_.Now();
+  std::vector<MonotonicTime> faulty_until_;
+  MonotonicTime store_faulty_until_ = time_.Now();
 };
 
-/// @return whether the schedule of that seed held.
+/// @brief Runs the schedule of a seed.
+/// @return whether all checks passed.
 inline bool Holds(std::uint64_t seed, const ScheduleOptions& options) {
   Schedule schedule(seed, options);
   schedule.Run();
   EXPECT_FALSE(testing::Test::HasFailure()) << "seed " << seed << '\n'
-                                            << schedule.Story();
+                                            << schedule.Description();
   return !testing::Test::HasFailure();
 }
 
--- a/tests/property/table_following_world.h
+++ b/tests/property/table_following_world.h
@@ -16,16 +16,17 @@
 #include "model_store.h"
 
 /// @file
-/// @brief Hosts of one region that follow a table in virtual time, pause, die
-/// and start again. One seed is one schedule.
+/// @brief Hosts of one region that follow a table in virtual time and are
+/// paused, killed and restarted. Each seed gives one schedule.
 
 namespace medlarcroft::replication {
 
 using fakes::HostTimers;
 
-/// @brief What one life of a host heard, each row by the version of its last
-/// change; a removed row is known by the version up to which it was heard.
-class HeardRows final : public TableListener {
+/// @brief What one process of a host received: each row by the version of its
+/// last change; a removed row is known by the version up to which updates were
+/// received.
+class ReceivedRows final : public TableListener {
  public:
   void OnTable(std::span<const Row> rows) override {
     std::map<std::string, std::uint64_t> listed;
@@ -34,7 +35,7 @@
     }
     for (const auto& [key, version] : versions) {
       if (listed.contains(key) && listed[key] < version) {
-        went_back = true;
+        went_backwards = true;
       }
     }
     versions = std::move(listed);
@@ -43,7 +44,7 @@
     for (const Row& row : rows) {
       const auto known = versions.find(row.key);
       if (known != versions.end() && row.version < known->second) {
-        went_back = true;
+        went_backwards = true;
       }
       if (row.is_removed) {
         versions.erase(row.key);
@@ -54,11 +55,11 @@
   }
   void OnCallFailed(const FailedCall&) override {}
   void OnStoreRecovered(Duration) override {}
-  void OnReaderLost(RowFailure, std::uint64_t) override { ++readers_lost; }
+  void OnReaderLost(RowFailure, std::uint64_t) override { ++lost_readers; }
 
   std::map<std::string, std::uint64_t> versions;
-  bool went_back = false;
-  int readers_lost = 0;
+  bool went_backwards = false;
+  int lost_readers = 0;
 };
 
 /// @brief The hosts of one region.
@@ -86,8 +87,8 @@
   [[nodiscard]] const TableFollower& FollowerOf(int host) const {
     return *At(host)->follower;
   }
-  [[nodiscard]] const HeardRows& HeardBy(int host) const {
-    return At(host)->heard;
+  [[nodiscard]] const ReceivedRows& ReceivedBy(int host) const {
+    return At(host)->received;
   }
 
   void Kill(int host) {
@@ -95,27 +96,27 @@
     hosts_[static_cast<std::size_t>(host)].reset();
   }
   void Start(int host) {
-    auto life = std::make_unique<Life>(*this, host);
-    life->teller = std::make_unique<TableServer>(
-        life->timers, [follower = &life->follower](std::string_view) {
+    auto process = std::make_unique<HostProcess>(*this, host);
+    process->teller = std::make_unique<TableServer>(
+        process->timers, [follower = &process->follower](std::string_view) {
           return *follower ? (*follower)->ServeFollowers() : FreshTable{};
         });
-    life->follower = std::make_unique<TableFollower>(
-        TableFollower::Parts{.timers = life->timers,
-                             .store = life->source,
+    process->follower = std::make_unique<TableFollower>(
+        TableFollower::Parts{.timers = process->timers,
+                             .store = process->source,
                              .random = random_,
-                             .listener = life->heard},
+                             .listener = process->received},
         OptionsOf(host));
-    life->follower->Mirror().OnChange(
-        [teller = life->teller.get()] { teller->OnChange("t"); });
-    Life& started = *life;
-    hosts_[static_cast<std::size_t>(host)] = std::move(life);
+    process->follower->Mirror().OnChange(
+        [teller = process->teller.get()] { teller->OnChange("t"); });
+    HostProcess& started = *process;
+    hosts_[static_cast<std::size_t>(host)] = std::move(process);
     started.follower->Start();
   }
 
  private:
-  struct Life final : public PeerDirectory {
-    Life(Region& region, int host)
+  struct HostProcess final : public PeerDirectory {
+    HostProcess(Region& region, int host)
         : region(region),
           host(host),
           timers(region.time_, host),
@@ -136,7 +137,7 @@
                    .regions = region.regions_}) {}
 
     [[nodiscard]] std::vector<ReaderCandidate> LiveHosts() const override {
-      return region.HeardBeside(host);
+      return region.LivePeersOf(host);
     }
     [[nodiscard]] std::vector<ReaderCandidate> HostsInOtherRegions()
         const override {
@@ -149,12 +150,12 @@
     Region& region;
     int host;
     HostTimers timers;
-    HostSource source;
+    HostRowSource source;
     PeerReaders readers;
-    HeardRows heard;
+    ReceivedRows received;
     std::unique_ptr<TableFollower> follower;
     std::unique_ptr<TableServer> teller;
-    std::optional<MonotonicTime> silent_since;
+    std::optional<MonotonicTime> paused_since;
   };
 
   inline static const FailureDomainName kDomain{"z"};
@@ -162,13 +163,13 @@
   static HostName NameOf(int host) {
     return HostName("h" + std::to_string(host));
   }
-  [[nodiscard]] Life& LifeOf(int host) {
+  [[nodiscard]] HostProcess& ProcessOf(int host) {
     return *hosts_[static_cast<std::size_t>(host)];
   }
-  [[nodiscard]] std::vector<ReaderCandidate> HeardBeside(int host) {
+  [[nodiscard]] std::vector<ReaderCandidate> LivePeersOf(int host) {
     std::vector<ReaderCandidate> live;
     for (int other = 0; other < Size(); ++other) {
-      if (other == host || IsHeard(other)) {
+      if (other == host || IsConsideredAlive(other)) {
         live.push_back({.host = NameOf(other),
                         .address = std::to_string(other),
                         .failure_domain = kDomain,
@@ -178,10 +179,10 @@
     return live;
   }
 
-  // As medlar-node has it, see programs/node/peer_group.cc.
+  // Same as in medlar-node, see programs/node/peer_group.cc.
   static constexpr Duration kLivenessTimeout = milliseconds(2600);
 
-  [[nodiscard]] const Life* At(int host) const {
+  [[nodiscard]] const HostProcess* At(int host) const {
     return hosts_[static_cast<std::size_t>(host)].get();
   }
 
@@ -191,36 +192,37 @@
         .timing = pace_,
         .ask_peer =
             [this, host](const RowsRequest& question, RowsCallback callback) {
-              LifeOf(host).readers.AskSomeReader(question, std::move(callback));
+              ProcessOf(host).readers.AskSomeReader(question,
+                                                    std::move(callback));
             },
         .ask_reader =
             [this, host](const RowsRequest& question, RowsCallback callback) {
-              return LifeOf(host).readers.AskReader(question,
-                                                    std::move(callback));
+              return ProcessOf(host).readers.AskReader(question,
+                                                       std::move(callback));
             }};
   }
 
-  /// A host is heard until it has been paused, or dead, for the limit.
-  bool IsHeard(int host) {
+  /// A host counts as alive until it has been paused, or dead, for the limit.
+  bool IsConsideredAlive(int host) {
     if (!IsAlive(host)) {
       return false;
     }
-    Life& life = *hosts_[static_cast<std::size_t>(host)];
+    HostProcess& process = *hosts_[static_cast<std::size_t>(host)];
     if (!time_.IsPaused(host)) {
-      life.silent_since.reset();
+      process.paused_since.reset();
       return true;
     }
-    if (!life.silent_since) {
-      life.silent_since = time_.Now();
+    if (!process.paused_since) {
+      process.paused_since = time_.Now();
     }
-    return time_.Now() - *life.silent_since < kLivenessTimeout;
+    return time_.Now() - *process.paused_since < kLivenessTimeout;
   }
 
   void Ask(int from,
            int to,
            const RowsRequest& question,
            RowsCallback callback) {
-    network_.AskHost(
+    network_.QueryPeer(
         from, to, question,
         [this, to](const RowsRequest& asked, RowsCallback answer) {
           if (IsAlive(to)) {
@@ -237,7 +239,7 @@
   const std::map<FailureDomainName, RegionName> regions_{
       {kDomain, RegionName("r")}};
   fakes::SeededRandom random_;
-  std::vector<std::unique_ptr<Life>> hosts_;
+  std::vector<std::unique_ptr<HostProcess>> hosts_;
 };
 
 }  // namespace medlarcroft::replication
--- a/tests/property/target_restart_property_test.cc
+++ b/tests/property/target_restart_property_test.cc
@@ -23,14 +23,15 @@
                       const TargetRecord& /*target*/) override {}
 };
 
-/// @brief One thing that a host hears.
-struct News {
-  std::optional<TargetRecord> entry;  ///< An entry; absent: removal or object.
-  std::optional<TargetIdentity> handled;  ///< Told by another host.
+/// @brief One update that a host receives.
+struct RegistryUpdate {
+  std::optional<TargetRecord>
+      entry;  ///< A new entry; absent: removal or object.
+  std::optional<TargetIdentity> handled;  ///< Reported by another host.
   bool is_bad_entry = false;
 };
 
-TargetRecord EntryOf(TargetIncarnation incarnation, bool is_leaving) {
+TargetRecord MakeEntry(TargetIncarnation incarnation, bool is_leaving) {
   return {.id = kTarget,
           .incarnation = incarnation,
           .service = kService,
@@ -40,14 +41,15 @@
           .is_leaving = is_leaving};
 }
 
-/// @return what a process writes to the registry, in order; the removal of its
-/// entry last, if it comes.
-std::vector<News> HistoryOf(TargetIncarnation incarnation,
-                            bool leaves,
-                            bool is_removed) {
-  std::vector<News> history = {{.entry = EntryOf(incarnation, false)}};
+/// @return the registry writes of one process in order, with the removal of its
+/// entry last, if any.
+std::vector<RegistryUpdate> MakeHistory(TargetIncarnation incarnation,
+                                        bool leaves,
+                                        bool is_removed) {
+  std::vector<RegistryUpdate> history = {
+      {.entry = MakeEntry(incarnation, false)}};
   if (leaves) {
-    history.push_back({.entry = EntryOf(incarnation, true)});
+    history.push_back({.entry = MakeEntry(incarnation, true)});
   }
   if (is_removed) {
     history.push_back({});
@@ -55,68 +57,70 @@
   return history;
 }
 
-bool IsHeads(fakes::SeededRandom& random) {
+bool DrawBool(fakes::SeededRandom& random) {
   return random.NextBelow(2) == 0;
 }
 
-ObjectKey ObjectOf(TargetIncarnation incarnation) {
+ObjectKey ObjectFor(TargetIncarnation incarnation) {
   return ObjectKey("object-" + std::to_string(incarnation));
 }
 
-void Hear(TargetDirectory& book, const News& news) {
-  if (news.is_bad_entry) {
+void ApplyUpdate(TargetDirectory& book, const RegistryUpdate& update) {
+  if (update.is_bad_entry) {
     book.Suspend(kTarget);
-  } else if (news.handled) {
-    if (TargetState* const state = book.Find(*news.handled)) {
-      state->OnSentByOtherHost(ObjectOf(news.handled->incarnation));
+  } else if (update.handled) {
+    if (TargetState* const state = book.Find(*update.handled)) {
+      state->OnSentByOtherHost(ObjectFor(update.handled->incarnation));
     }
-  } else if (news.entry) {
-    book.Put(*news.entry, kStart);
+  } else if (update.entry) {
+    book.Put(*update.entry, kStart);
   } else {
     book.Remove(kTarget, std::nullopt);
   }
 }
 
-/// @return the news in the registry's order, of which this host misses some,
-/// and hears old entries, bad ones and other hosts' objects between.
-std::vector<News> HeardBy(const std::vector<News>& registry,
-                          TargetIncarnation last,
-                          fakes::SeededRandom& random) {
-  std::vector<News> heard;
+/// @return the registry's updates in order; some are missing, and old entries,
+/// invalid entries and reports of other hosts on objects are mixed in.
+std::vector<RegistryUpdate> DrawReceivedUpdates(
+    const std::vector<RegistryUpdate>& registry,
+    TargetIncarnation last,
+    fakes::SeededRandom& random) {
+  std::vector<RegistryUpdate> received;
   for (std::size_t i = 0; i < registry.size(); ++i) {
-    const bool is_heard = i + 1 == registry.size() || IsHeads(random);
-    if (is_heard) {
-      heard.push_back(registry[i]);
+    const bool is_received = i + 1 == registry.size() || DrawBool(random);
+    if (is_received) {
+      received.push_back(registry[i]);
     }
-    const TargetIncarnation told = 1 + random.NextBelow(last);
-    heard.push_back({.handled = TargetIdentity{kTarget, told}});
-    if (told < last) {
-      heard.push_back({.entry = EntryOf(told, IsHeads(random))});
+    const TargetIncarnation reported = 1 + random.NextBelow(last);
+    received.push_back({.handled = TargetIdentity{kTarget, reported}});
+    if (reported < last) {
+      received.push_back({.entry = MakeEntry(reported, DrawBool(random))});
     }
-    if (i + 1 < registry.size() && IsHeads(random)) {
-      heard.push_back({.is_bad_entry = true});
+    if (i + 1 < registry.size() && DrawBool(random)) {
+      received.push_back({.is_bad_entry = true});
     }
   }
-  // Nothing undoes the last word: late news of the processes before.
+  // Stale updates on earlier processes must not undo the last one.
   if (last > 1) {
-    const TargetIncarnation late = 1 + random.NextBelow(last - 1);
-    heard.push_back({.entry = EntryOf(late, IsHeads(random))});
-    heard.push_back({.handled = TargetIdentity{kTarget, late}});
+    const TargetIncarnation stale = 1 + random.NextBelow(last - 1);
+    received.push_back({.entry = MakeEntry(stale, DrawBool(random))});
+    received.push_back({.handled = TargetIdentity{kTarget, stale}});
   }
-  return heard;
+  return received;
 }
 
 void CheckHosts(std::uint64_t seed) {
   fakes::SeededRandom random(seed);
   const TargetIncarnation last = 1 + random.NextBelow(4);
-  const bool lives = IsHeads(random);
-  std::vector<News> registry;
+  const bool is_running = DrawBool(random);
+  std::vector<RegistryUpdate> registry;
   for (TargetIncarnation number = 1; number <= last; ++number) {
     const bool is_last = number == last;
-    const bool leaves = is_last ? !lives : IsHeads(random);
-    const bool is_removed = !is_last && IsHeads(random);
-    for (const News& news : HistoryOf(number, leaves, is_removed)) {
-      registry.push_back(news);
+    const bool leaves = is_last ? !is_running : DrawBool(random);
+    const bool is_removed = !is_last && DrawBool(random);
+    for (const RegistryUpdate& update :
+         MakeHistory(number, leaves, is_removed)) {
+      registry.push_back(update);
     }
   }
 
@@ -125,26 +129,27 @@
     TargetDirectory book({{FailureDomainName("a"), RegionName("north")}},
                          observer);
     book.ReplaceAll({}, {}, std::nullopt, kStart);
-    for (const News& news : HeardBy(registry, last, random)) {
-      Hear(book, news);
+    for (const RegistryUpdate& update :
+         DrawReceivedUpdates(registry, last, random)) {
+      ApplyUpdate(book, update);
     }
 
-    RC_ASSERT(book.Usable(kService).size() == (lives ? 1U : 0U));
+    RC_ASSERT(book.Usable(kService).size() == (is_running ? 1U : 0U));
     TargetState* const state = book.Find({kTarget, last});
     RC_ASSERT(state != nullptr);
     for (TargetIncarnation earlier = 1; earlier < last; ++earlier) {
       RC_ASSERT(book.Find({kTarget, earlier}) == nullptr);
-      RC_ASSERT(!state->HasHandled(ObjectOf(earlier)));
+      RC_ASSERT(!state->HasHandled(ObjectFor(earlier)));
     }
   }
 }
 
-// A target starts again and again under its id, with or without a word before.
-// Each host hears of it late, in part, and mixed with old entries, unreadable
-// ones and what other hosts tell of objects. Callers must reach the process
-// that lives, and no one that left; and what is believed of a process that is
-// gone must not place a request at the next one.
-TEST(TargetRestartProperty, HostsAgreeOnTheProcessThatLives) {
+// A target restarts repeatedly under the same id, with or without announcing
+// that it leaves. Each host learns of it late and in part, mixed with old
+// entries, unreadable entries and reports of other hosts on objects. Callers
+// must reach the running process and none that left, and assumptions on an
+// earlier process must not route a request to the next one.
+TEST(TargetRestartProperty, HostsAgreeOnTheRunningProcess) {
   EXPECT_TRUE(rc::check(&CheckHosts));
 }
 
--- a/tests/scenarios/scenario.cc
+++ b/tests/scenarios/scenario.cc
@@ -21,14 +21,14 @@
   return FromSeconds(node[key].as<double>() / 1000.0);
 }
 
-/// Looks a word up in a table; a word that is not there is an error with its
-/// place in the file.
+/// Maps a node's text to a value; throws an error with its location in the file
+/// if the text is not a key of `values`.
 template <typename Value>
-Value Word(const YAML::Node& node,
-           const std::map<std::string, Value, std::less<>>& words) {
-  const auto found = words.find(node.as<std::string>());
-  if (found == words.end()) {
-    throw YAML::RepresentationException(node.Mark(), "unknown word");
+Value ParseEnum(const YAML::Node& node,
+                const std::map<std::string, Value, std::less<>>& values) {
+  const auto found = values.find(node.as<std::string>());
+  if (found == values.end()) {
+    throw YAML::RepresentationException(node.Mark(), "unknown value");
   }
   return found->second;
 }
@@ -44,7 +44,7 @@
 
   decision::SchedulerOptions options;
   if (node["placement"])
-    options.placement = Word(node["placement"], placements);
+    options.placement = ParseEnum(node["placement"], placements);
   if (!Get(node, "bounded", true)) {
     options.queue_bound = decision::QueueBound::kUnbounded;
   }
@@ -69,7 +69,7 @@
       {"failing", FaultKind::kFailing},
       {"failing-late", FaultKind::kFailingLate},
       {"stalling", FaultKind::kStalling}};
-  return {.kind = Word(node["kind"], kinds),
+  return {.kind = ParseEnum(node["kind"], kinds),
           .from = Seconds(node, "from_s", 0),
           .until = Seconds(node, "until_s", 1e6),
           .targets = Get<std::size_t>(node, "targets", 1),
@@ -79,12 +79,13 @@
 Goals ReadGoals(const YAML::Node& node) {
   if (!node)
     return {};
-  const Goals wide;
-  return {.goodput_ratio_min = Get(node, "goodput_ratio_min", 0.0),
-          .late_share_max = Get(node, "late_share_max", wide.late_share_max),
-          .p99_over_deadline_max =
-              Get(node, "p99_over_deadline_max", wide.p99_over_deadline_max),
-          .brand_share_min = Get(node, "brand_share_min", 0.0)};
+  const Goals defaults;
+  return {
+      .goodput_ratio_min = Get(node, "goodput_ratio_min", 0.0),
+      .late_share_max = Get(node, "late_share_max", defaults.late_share_max),
+      .p99_over_deadline_max =
+          Get(node, "p99_over_deadline_max", defaults.p99_over_deadline_max),
+      .brand_share_min = Get(node, "brand_share_min", 0.0)};
 }
 
 ServiceModel ReadService(const YAML::Node& node) {
@@ -143,7 +144,7 @@
   for (const YAML::Node& deployment : node["deployments"]) {
     scenario.deployments.push_back(deployment.as<std::string>());
   }
-  scenario.do_callers_return = Get(node, "callers_return", false);
+  scenario.has_returning_callers = Get(node, "callers_return", false);
   scenario.variants.push_back({.name = "default"});
   for (const YAML::Node& variant : node["variants"]) {
     scenario.variants.push_back(
--- a/tests/scenarios/scenario.h
+++ b/tests/scenarios/scenario.h
@@ -11,25 +11,26 @@
 
 namespace medlarcroft::scenarios {
 
-/// @brief One service of a deployment and how its targets behave when well.
+/// @brief One service of a deployment and the behaviour of its healthy targets.
 struct ServiceModel {
-  decision::ServiceConfig config;  ///< Without targets.
-  std::string target_prefix;  ///< Services with the same one share targets.
+  decision::ServiceConfig config;  ///< `targets` is left empty.
+  std::string target_prefix;  ///< Services with the same prefix share targets.
   std::size_t target_count = 1;
   std::uint32_t slots = 1;
   Duration service_time{};
-  /// How much longer a request takes when all slots of its target are busy.
+  /// Relative increase of the service time when all slots of a target are busy.
   double contention = 0.0;
-  double demand = 1.0;  ///< Part of the targets' capacity that it is meant for.
+  double demand = 1.0;  ///< Fraction of the targets' capacity for this service.
 
-  /// Requests a second that the targets end with every slot busy.
+  /// @return requests per second that the targets complete with every slot
+  /// busy.
   [[nodiscard]] double Capacity() const;
 };
 
-/// @brief Sizes of one user, from tests/scenarios/deployments.
+/// @brief The sizes of one deployment, from tests/scenarios/deployments.
 struct Deployment {
   std::string name;
-  std::size_t hosts = 1;  ///< Entry hosts that split the slots into shares.
+  std::size_t hosts = 1;  ///< Entry hosts, which share the slots.
   std::vector<ServiceModel> services;
 };
 
@@ -39,7 +40,7 @@
   double times = 1.0;
 };
 
-/// @brief A brand's part of the demand.
+/// @brief The demand of one brand, relative to the other brands.
 struct BrandDemand {
   std::string name;
   double demand = 1.0;
@@ -47,19 +48,19 @@
 };
 
 enum class FaultKind {
-  kSlow,       ///< `factor` times the service time.
-  kLying,      ///< Reports no load, and is slow by `factor`.
-  kNoReports,  ///< Its load reports stop.
-  kLeaving,    ///< Answers new work with "draining"; the snapshot lags 2 s.
-  kLeavingQuietly,  ///< Works on; only the snapshot says so, 2 s late.
-  kColdStart,       ///< Absent before, then slow by `factor` for 40 requests.
-  kSilent,          ///< Connections fall silent; new ones work after a second.
-  kFailing,         ///< Answers with an error at once.
-  kFailingLate,     ///< Answers with an error after the whole service time.
+  kSlow,            ///< `factor` times the service time.
+  kLying,           ///< Reports no load and is slower by `factor`.
+  kNoReports,       ///< Sends no load reports.
+  kLeaving,         ///< Refuses new work as "draining"; the snapshot lags 2 s.
+  kLeavingQuietly,  ///< Keeps working; only the snapshot reports it, 2 s late.
+  kColdStart,       ///< Absent before, then slower by `factor` for 40 requests.
+  kSilent,          ///< Connections stop responding; new ones work after 1 s.
+  kFailing,         ///< Responds with an error immediately.
+  kFailingLate,     ///< Responds with an error after the whole service time.
   kStalling,        ///< One request in fifty takes `factor` times as long.
 };
 
-/// @brief A fault at the first `targets` targets of every service.
+/// @brief A fault of the first `targets` targets of every service.
 struct Fault {
   FaultKind kind = FaultKind::kSlow;
   Duration from{};
@@ -72,7 +73,7 @@
 struct Variant {
   std::string name;
   decision::SchedulerOptions options;
-  /// The deployments to run it with; empty: all.
+  /// Deployments to run it with; all if empty.
   std::vector<std::string> deployments;
 
   [[nodiscard]] bool IsFor(const std::string& deployment) const {
@@ -81,32 +82,33 @@
   }
 };
 
-/// @brief Bounds that the variant "default" must keep; absent ones are wide.
+/// @brief Bounds that the variant "default" must satisfy; the defaults allow
+/// everything.
 struct Goals {
   double goodput_ratio_min = 0.0;
   double late_share_max = 1.0;
   double p99_over_deadline_max = 1.0;
-  /// Part of its fair share that each brand gets at least.
+  /// Minimum fraction of its fair share that each brand gets.
   double brand_share_min = 0.0;
 };
 
 struct Scenario {
   std::string name;
   std::uint64_t seed = 1;
-  std::uint64_t repeats = 1;  ///< Runs, each with the next seed.
+  std::uint64_t repeats = 1;  ///< Number of runs, each with the next seed.
   Duration length{};
   Duration warm_up{};
   std::vector<LoadStep> load;
   std::vector<BrandDemand> brands;
   std::vector<Fault> faults;
   std::vector<std::string> deployments;
-  /// Refused callers ask again, up to twice, when they were told to.
-  bool do_callers_return = false;
+  /// Whether refused callers retry, up to twice, after the time in the refusal.
+  bool has_returning_callers = false;
   std::vector<Variant> variants;
   Goals goals;
 };
 
-/// @throws YAML::Exception with the place of the fault: a test stops there.
+/// @throws YAML::Exception with the location of the error, which ends the test.
 [[nodiscard]] Scenario LoadScenario(const std::filesystem::path& file);
 [[nodiscard]] Deployment LoadDeployment(const std::filesystem::path& file);
 
--- a/tests/scenarios/scenario_test.cc
+++ b/tests/scenarios/scenario_test.cc
@@ -12,13 +12,14 @@
 namespace medlarcroft::scenarios {
 namespace {
 
-std::filesystem::path Folder() {
+std::filesystem::path ScenarioFolder() {
   return std::filesystem::path(MEDLARCROFT_SOURCE_DIR) / "tests/scenarios";
 }
 
 std::vector<std::string> ScenarioNames() {
   std::vector<std::string> names;
-  for (const auto& file : std::filesystem::directory_iterator(Folder())) {
+  for (const auto& file :
+       std::filesystem::directory_iterator(ScenarioFolder())) {
     if (file.path().extension() == ".yaml") {
       names.push_back(file.path().stem());
     }
@@ -35,7 +36,7 @@
   return lines;
 }
 
-void ExpectPromises(const RunFigures& figures) {
+void ExpectInvariants(const RunFigures& figures) {
   EXPECT_EQ(figures.peak_over_slots, 0U);
   EXPECT_EQ(figures.double_runs, 0U);
   EXPECT_EQ(figures.false_not_run, 0U);
@@ -73,22 +74,22 @@
   }
 }
 
-/// Every run keeps the promises, the variant "default" keeps the scenario's
-/// goals, and all figures equal those on record to the last digit. With
-/// MEDLARCROFT_RECORD set, the record is written anew: read the difference
+/// Every run satisfies the invariants, the variant "default" meets the
+/// scenario's goals, and all figures equal the recorded ones to the last digit.
+/// With MEDLARCROFT_RECORD set, the record is rewritten: review the difference
 /// before it is committed.
 class ScenarioTest : public ::testing::TestWithParam<std::string> {};
 
 void RunAll(const Scenario& scenario, std::vector<std::string>& lines) {
   for (const std::string& name : scenario.deployments) {
     const Deployment deployment =
-        LoadDeployment(Folder() / "deployments" / (name + ".yaml"));
+        LoadDeployment(ScenarioFolder() / "deployments" / (name + ".yaml"));
     for (const Variant& variant : scenario.variants) {
       if (!variant.IsFor(name))
         continue;
       SCOPED_TRACE(name + " " + variant.name);
       const RunFigures figures = Simulator(scenario, variant, deployment).Run();
-      ExpectPromises(figures);
+      ExpectInvariants(figures);
       if (variant.name == "default")
         ExpectGoals(scenario, figures);
       const auto more = ToLines(name + " " + variant.name, figures);
@@ -97,15 +98,15 @@
   }
 }
 
-TEST_P(ScenarioTest, KeepsPromisesGoalsAndFigures) {
-  Scenario scenario = LoadScenario(Folder() / (GetParam() + ".yaml"));
+TEST_P(ScenarioTest, KeepsInvariantsGoalsAndFigures) {
+  Scenario scenario = LoadScenario(ScenarioFolder() / (GetParam() + ".yaml"));
   std::vector<std::string> lines;
   for (std::uint64_t run = 0; run < scenario.repeats; ++run, ++scenario.seed) {
     RunAll(scenario, lines);
   }
 
   const std::filesystem::path record =
-      Folder() / "figures" / (GetParam() + ".txt");
+      ScenarioFolder() / "figures" / (GetParam() + ".txt");
   if (std::getenv("MEDLARCROFT_RECORD") != nullptr) {
     std::ofstream out(record);
     for (const std::string& line : lines)
--- a/tests/scenarios/simulator.cc
+++ b/tests/scenarios/simulator.cc
@@ -9,9 +9,9 @@
 constexpr Duration kReportInterval = std::chrono::milliseconds(500);
 constexpr Duration kReportLag = std::chrono::milliseconds(200);
 constexpr Duration kSnapshotLag = std::chrono::seconds(2);
-constexpr Duration kDrainAfterwards = std::chrono::seconds(60);
+constexpr Duration kRunOutTime = std::chrono::seconds(60);
 constexpr MonotonicTime kStart{std::chrono::hours(1)};
-constexpr int kMostAdvances = 1000;
+constexpr int kMaxAdvances = 1000;
 
 }  // namespace
 
@@ -30,16 +30,15 @@
   Configure();
   SendReports();
   for (const Fault& fault : scenario_.faults) {
-    At(fault.from, [this] { Configure(); });
-    At(fault.from + kSnapshotLag, [this] { Configure(); });
+    Schedule(fault.from, [this] { Configure(); });
+    Schedule(fault.from + kSnapshotLag, [this] { Configure(); });
   }
   for (std::size_t service = 0; service < deployment_.services.size();
        ++service) {
-    ArriveLater(service);
+    ScheduleArrival(service);
   }
 
-  while (!queue_.empty() &&
-         queue_.top().at < scenario_.length + kDrainAfterwards) {
+  while (!queue_.empty() && queue_.top().at < scenario_.length + kRunOutTime) {
     const Event event = queue_.top();
     queue_.pop();
     now_ = event.at;
@@ -77,7 +76,7 @@
   }
 }
 
-void Simulator::At(Duration at, std::function<void()> run) {
+void Simulator::Schedule(Duration at, std::function<void()> run) {
   queue_.push({.at = at, .order = ++events_, .run = std::move(run)});
 }
 
@@ -144,25 +143,26 @@
       continue;
     const bool is_lying = target.FaultAt(FaultKind::kLying, now_) != nullptr;
     const std::uint32_t reported = is_lying ? 0 : target.Busy();
-    At(now_ + kReportLag, [this, target_name = TargetName(name), reported] {
-      for (EntryHost& host : hosts_) {
-        host.scheduler->OnTargetReport(target_name, reported, kReportLag,
-                                       Now());
-      }
-    });
+    Schedule(now_ + kReportLag,
+             [this, target_name = TargetName(name), reported] {
+               for (EntryHost& host : hosts_) {
+                 host.scheduler->OnTargetReport(target_name, reported,
+                                                kReportLag, Now());
+               }
+             });
   }
   if (now_ < scenario_.length) {
-    At(now_ + kReportInterval, [this] { SendReports(); });
+    Schedule(now_ + kReportInterval, [this] { SendReports(); });
   }
 }
 
-void Simulator::ArriveLater(std::size_t service) {
+void Simulator::ScheduleArrival(std::size_t service) {
   const double rate =
       std::max(deployment_.services[service].Capacity() * LoadNow(), 1e-3);
   const Duration at = now_ + Exponential(1.0 / rate);
   if (at >= scenario_.length)
     return;
-  At(at, [this, service] { Arrive(service); });
+  Schedule(at, [this, service] { Arrive(service); });
 }
 
 std::size_t Simulator::ChooseBrand() {
@@ -180,22 +180,23 @@
 }
 
 void Simulator::Arrive(std::size_t service) {
-  ArriveLater(service);
+  ScheduleArrival(service);
   Submit({.service = service, .brand = ChooseBrand(), .arrived = now_});
 }
 
-void Simulator::ReturnLater(const Request& request, Duration retry_after) {
-  constexpr int kMostReturns = 2;
-  if (!scenario_.do_callers_return || retry_after == Duration(0))
+void Simulator::ScheduleCallerReturn(const Request& request,
+                                     Duration retry_after) {
+  constexpr int kMaxReturns = 2;
+  if (!scenario_.has_returning_callers || retry_after == Duration(0))
     return;
-  if (request.returns >= kMostReturns)
+  if (request.returns >= kMaxReturns)
     return;
 
   const Request again{.service = request.service,
                       .brand = request.brand,
                       .arrived = now_ + retry_after,
                       .returns = request.returns + 1};
-  At(again.arrived, [this, again] { Submit(again); });
+  Schedule(again.arrived, [this, again] { Submit(again); });
 }
 
 void Simulator::Submit(Request request) {
@@ -229,7 +230,7 @@
 
 void Simulator::Advance(std::size_t host) {
   EntryHost& entry = hosts_[host];
-  for (int i = 0; i < kMostAdvances; ++i) {
+  for (int i = 0; i < kMaxAdvances; ++i) {
     const auto wake = entry.scheduler->NextWake();
     if (!wake)
       return;
@@ -238,7 +239,7 @@
       if (entry.wake && *entry.wake <= at)
         return;
       entry.wake = at;
-      At(at, [this, host] {
+      Schedule(at, [this, host] {
         hosts_[host].wake.reset();
         Advance(host);
       });
@@ -253,7 +254,8 @@
       RecordRefusal(entry.requests.at(expiry.ticket.id), expiry.refusal);
     }
   }
-  throw std::logic_error("Advance is due for ever");
+  throw std::logic_error(
+      "NextWake() stays due after repeated calls of Advance()");
 }
 
 ServiceFigures* Simulator::FiguresOf(const Request& request) {
@@ -288,7 +290,7 @@
   if (refusal.run_state == decision::RunState::kNotRun && request.runs > 0) {
     ++figures_.false_not_run;
   }
-  ReturnLater(request, refusal.retry_after);
+  ScheduleCallerReturn(request, refusal.retry_after);
   ServiceFigures* figures = FiguresOf(request);
   if (figures == nullptr)
     return;
--- a/tests/scenarios/simulator.h
+++ b/tests/scenarios/simulator.h
@@ -18,11 +18,11 @@
 
 namespace medlarcroft::scenarios {
 
-/// @brief The entry hosts of one failure domain, its targets and its callers in
-/// virtual time; the same figures for the same seed.
+/// @brief Simulates the entry hosts of one failure domain, its targets and its
+/// callers in virtual time; the same seed gives the same figures.
 class Simulator {
  public:
-  /// All three must outlive the simulator.
+  /// All arguments must outlive the simulator.
   Simulator(const Scenario& scenario,
             const Variant& variant,
             const Deployment& deployment);
@@ -33,7 +33,7 @@
   struct Attempt {
     TargetModel* target = nullptr;
     bool has_ended = false;
-    bool is_working = false;  ///< It takes a slot of the target.
+    bool is_working = false;  ///< Occupies a slot of the target.
   };
   struct Request {
     std::size_t service = 0;
@@ -62,7 +62,7 @@
 
   void MakeTargets();
   void MakeHosts();
-  void At(Duration at, std::function<void()> run);
+  void Schedule(Duration at, std::function<void()> run);
   [[nodiscard]] MonotonicTime Now() const;
   [[nodiscard]] double LoadNow() const;
   [[nodiscard]] Duration Exponential(double mean_seconds);
@@ -72,33 +72,33 @@
                                                   std::size_t host) const;
   void SendReports();
 
-  void ArriveLater(std::size_t service);
+  void ScheduleArrival(std::size_t service);
   void Arrive(std::size_t service);
   void Submit(Request request);
-  void ReturnLater(const Request& request, Duration retry_after);
+  void ScheduleCallerReturn(const Request& request, Duration retry_after);
   [[nodiscard]] std::size_t ChooseBrand();
 
   void Start(std::size_t host, const decision::Dispatch& dispatch);
   void RecordNewWork(const TargetModel& target);
-  void Work(std::size_t host,
-            const decision::Dispatch& dispatch,
-            TargetModel& target,
-            const ServiceModel& model);
-  void GoSilent(std::size_t host,
-                const decision::Dispatch& dispatch,
-                TargetModel& target,
-                const ServiceModel& model);
-  void EndLater(std::size_t host,
-                decision::AttemptId id,
-                decision::AttemptOutcome outcome,
-                Duration delay);
+  void RunOnTarget(std::size_t host,
+                   const decision::Dispatch& dispatch,
+                   TargetModel& target,
+                   const ServiceModel& model);
+  void SimulateSilentConnection(std::size_t host,
+                                const decision::Dispatch& dispatch,
+                                TargetModel& target,
+                                const ServiceModel& model);
+  void ScheduleAttemptEnd(std::size_t host,
+                          decision::AttemptId id,
+                          decision::AttemptOutcome outcome,
+                          Duration delay);
   void End(std::size_t host,
            decision::AttemptId id,
            decision::AttemptOutcome outcome);
-  void Take(std::size_t host,
-            decision::RequestTicket ticket,
-            decision::AttemptOutcome outcome,
-            const decision::NextStep& step);
+  void ApplyNextStep(std::size_t host,
+                     decision::RequestTicket ticket,
+                     decision::AttemptOutcome outcome,
+                     const decision::NextStep& step);
   void Advance(std::size_t host);
 
   void RecordAnswer(Request& request, bool is_error);
--- a/tests/scenarios/simulator_attempts.cc
+++ b/tests/scenarios/simulator_attempts.cc
@@ -1,4 +1,4 @@
-// The part of Simulator that plays transport and targets.
+// The part of Simulator that models transport and targets.
 #include "scenarios/simulator.h"
 
 namespace medlarcroft::scenarios {
@@ -7,13 +7,13 @@
 using decision::AttemptOutcome;
 
 constexpr Duration kDrainLimit = std::chrono::seconds(3);
-constexpr Duration kHop = std::chrono::milliseconds(1);
-constexpr Duration kSilenceFound = std::chrono::milliseconds(300);
-constexpr Duration kSilenceLasts = std::chrono::seconds(1);
-// A service time is the sum of so many exponential stages: its deviation is
-// half of its mean.
-constexpr int kStages = 4;
-constexpr double kStallingPart = 0.02;
+constexpr Duration kOneWayLatency = std::chrono::milliseconds(1);
+constexpr Duration kSilenceDetectionTime = std::chrono::milliseconds(300);
+constexpr Duration kSilenceDuration = std::chrono::seconds(1);
+// A service time is the sum of this many exponential stages, so that its
+// standard deviation is half of its mean.
+constexpr int kServiceTimeStages = 4;
+constexpr double kStallingFraction = 0.02;
 
 }  // namespace
 
@@ -31,20 +31,22 @@
 
   RecordNewWork(target);
   if (target.FaultAt(FaultKind::kLeaving, now_) != nullptr) {
-    EndLater(host, dispatch.attempt, AttemptOutcome::kTargetLeaving, kHop);
+    ScheduleAttemptEnd(host, dispatch.attempt, AttemptOutcome::kTargetLeaving,
+                       kOneWayLatency);
     return;
   }
   const Fault* silent = target.FaultAt(FaultKind::kSilent, now_);
-  if (silent != nullptr && now_ < silent->from + kSilenceLasts) {
-    GoSilent(host, dispatch, target, model);
+  if (silent != nullptr && now_ < silent->from + kSilenceDuration) {
+    SimulateSilentConnection(host, dispatch, target, model);
     return;
   }
   if (target.FaultAt(FaultKind::kFailing, now_) != nullptr) {
     ++request.runs;
-    EndLater(host, dispatch.attempt, AttemptOutcome::kServerError, kHop);
+    ScheduleAttemptEnd(host, dispatch.attempt, AttemptOutcome::kServerError,
+                       kOneWayLatency);
     return;
   }
-  Work(host, dispatch, target, model);
+  RunOnTarget(host, dispatch, target, model);
 }
 
 void Simulator::RecordNewWork(const TargetModel& target) {
@@ -60,10 +62,10 @@
   }
 }
 
-void Simulator::Work(std::size_t host,
-                     const decision::Dispatch& dispatch,
-                     TargetModel& target,
-                     const ServiceModel& model) {
+void Simulator::RunOnTarget(std::size_t host,
+                            const decision::Dispatch& dispatch,
+                            TargetModel& target,
+                            const ServiceModel& model) {
   Request& request = hosts_[host].requests.at(dispatch.attempt.ticket.id);
   Attempt& attempt = request.attempts.at(dispatch.attempt.number);
   const double mean = ToSeconds(model.service_time) *
@@ -76,11 +78,11 @@
   target.Begin();
 
   Duration length{};
-  for (int i = 0; i < kStages; ++i)
-    length += Exponential(mean / kStages);
+  for (int i = 0; i < kServiceTimeStages; ++i)
+    length += Exponential(mean / kServiceTimeStages);
   length = FromSeconds(ToSeconds(length) * target.SlowdownAt(now_));
   const Fault* stalling = target.FaultAt(FaultKind::kStalling, now_);
-  if (stalling != nullptr && random_.NextUnit() < kStallingPart) {
+  if (stalling != nullptr && random_.NextUnit() < kStallingFraction) {
     length = FromSeconds(ToSeconds(length) * stalling->factor);
   }
 
@@ -91,44 +93,45 @@
       target.FaultAt(FaultKind::kFailingLate, now_) != nullptr;
   const AttemptOutcome outcome =
       is_failing ? AttemptOutcome::kServerError : AttemptOutcome::kAnswered;
-  EndLater(host, dispatch.attempt,
-           is_stopped ? AttemptOutcome::kTimedOut : outcome,
-           is_stopped ? left : length);
+  ScheduleAttemptEnd(host, dispatch.attempt,
+                     is_stopped ? AttemptOutcome::kTimedOut : outcome,
+                     is_stopped ? left : length);
 }
 
-void Simulator::GoSilent(std::size_t host,
-                         const decision::Dispatch& dispatch,
-                         TargetModel& target,
-                         const ServiceModel& model) {
-  // Half of the requests still reach the target, which works on them for
-  // nobody and stops at their deadline.
+void Simulator::SimulateSilentConnection(std::size_t host,
+                                         const decision::Dispatch& dispatch,
+                                         TargetModel& target,
+                                         const ServiceModel& model) {
+  // Half of the requests still reach the target, which works on them although
+  // nobody waits, and stops at their deadline.
   if (random_.NextUnit() < 0.5) {
     ++hosts_[host].requests.at(dispatch.attempt.ticket.id).runs;
     target.Begin();
     const Duration length = std::min(Exponential(ToSeconds(model.service_time)),
                                      dispatch.deadline - Now());
-    At(now_ + length, [&target] { target.End(); });
+    Schedule(now_ + length, [&target] { target.End(); });
   }
 
   const Duration left = dispatch.deadline - Now();
-  const bool is_found = kSilenceFound < left;
+  const bool is_found = kSilenceDetectionTime < left;
   const auto id = dispatch.attempt;
-  At(now_ + std::min(left, kSilenceFound), [this, host, id, is_found, &target] {
-    if (is_found) {
-      hosts_[host].scheduler->OnSilentConnection(TargetName(target.Name()),
-                                                 Now());
-    }
-    End(host, id,
-        is_found ? AttemptOutcome::kSilentConnection
-                 : AttemptOutcome::kTimedOut);
-  });
+  Schedule(now_ + std::min(left, kSilenceDetectionTime),
+           [this, host, id, is_found, &target] {
+             if (is_found) {
+               hosts_[host].scheduler->OnSilentConnection(
+                   TargetName(target.Name()), Now());
+             }
+             End(host, id,
+                 is_found ? AttemptOutcome::kSilentConnection
+                          : AttemptOutcome::kTimedOut);
+           });
 }
 
-void Simulator::EndLater(std::size_t host,
-                         decision::AttemptId id,
-                         decision::AttemptOutcome outcome,
-                         Duration delay) {
-  At(now_ + delay, [this, host, id, outcome] { End(host, id, outcome); });
+void Simulator::ScheduleAttemptEnd(std::size_t host,
+                                   decision::AttemptId id,
+                                   decision::AttemptOutcome outcome,
+                                   Duration delay) {
+  Schedule(now_ + delay, [this, host, id, outcome] { End(host, id, outcome); });
 }
 
 void Simulator::End(std::size_t host,
@@ -142,15 +145,15 @@
   if (attempt.is_working)
     attempt.target->End();
 
-  Take(host, id.ticket, outcome,
-       hosts_[host].scheduler->OnAttemptEnd(id, outcome, Now()));
+  ApplyNextStep(host, id.ticket, outcome,
+                hosts_[host].scheduler->OnAttemptEnd(id, outcome, Now()));
   Advance(host);
 }
 
-void Simulator::Take(std::size_t host,
-                     decision::RequestTicket ticket,
-                     decision::AttemptOutcome outcome,
-                     const decision::NextStep& step) {
+void Simulator::ApplyNextStep(std::size_t host,
+                              decision::RequestTicket ticket,
+                              decision::AttemptOutcome outcome,
+                              const decision::NextStep& step) {
   Request& request = hosts_[host].requests.at(ticket.id);
   if (const auto* dispatch = std::get_if<decision::Dispatch>(&step)) {
     Start(host, *dispatch);
@@ -159,7 +162,7 @@
   } else if (const auto* finished = std::get_if<decision::Finished>(&step)) {
     RecordAnswer(request, outcome == AttemptOutcome::kServerError);
     for (const decision::AttemptId& id : finished->to_cancel) {
-      EndLater(host, id, AttemptOutcome::kCancelled, kHop);
+      ScheduleAttemptEnd(host, id, AttemptOutcome::kCancelled, kOneWayLatency);
     }
   }
 }
--- a/tests/scenarios/steering/shift_loop.cc
+++ b/tests/scenarios/steering/shift_loop.cc
@@ -11,12 +11,15 @@
 namespace {
 
 constexpr Duration kHistory = std::chrono::seconds(30);
-/// Shifted requests after which a cold cache has lost most of its cold cost.
+/// Number of shifted requests after which most of the cost of a cold cache is
+/// gone.
 constexpr double kWarmRequests = 500.0;
-/// Callers of a domain notice when this part of a second's is refused.
-constexpr double kNoticeablePart = 0.05;
-/// A turn of a rate by less than this part of its link is noise.
-constexpr double kTurnPart = 0.05;
+/// Refusals count as noticeable above this fraction of the requests of a
+/// second.
+constexpr double kNoticeableFraction = 0.05;
+/// Changes of direction by less than this fraction of the link's capacity are
+/// noise.
+constexpr double kReversalFraction = 0.05;
 
 std::int64_t TicksOf(Duration duration, Duration tick) {
   return duration / tick;
@@ -120,10 +123,10 @@
 
   const auto& places = scenario_.deployment.domains;
   for (std::size_t index = 0; index < domains_.size(); ++index) {
-    const bool is_meant =
+    const bool is_affected =
         places[index].failure_domain.Value() == event.subject ||
         places[index].region.Value() == event.subject;
-    if (!is_meant) {
+    if (!is_affected) {
       continue;
     }
 
@@ -201,21 +204,22 @@
   for (std::size_t index = 0; index < domains_.size(); ++index) {
     const Domain& domain = domains_[index];
     const bool is_own = index == viewer;
-    const bool is_heard =
+    const bool is_received =
         is_own || (!domain.is_muted && CanReach(index, viewer));
     const Duration lag = is_own ? Duration::zero() : scenario_.lag;
-    // What is not heard any more stays as it was last heard and ages.
-    auto& heard = domains_[viewer].heard[index];
+    // A load that is no longer received stays at its last value and ages.
+    auto& last_received = domains_[viewer].last_received[index];
 
     for (const auto& [time, load] : domain.history) {
-      if (is_heard && now - time >= lag && (!heard || time > heard->first)) {
-        heard.emplace(time, load);
+      if (is_received && now - time >= lag &&
+          (!last_received || time > last_received->first)) {
+        last_received.emplace(time, load);
       }
     }
 
-    if (heard) {
-      view.push_back(heard->second);
-      view.back().age = now - heard->first;
+    if (last_received) {
+      view.push_back(last_received->second);
+      view.back().age = now - last_received->first;
     }
   }
   return view;
@@ -311,10 +315,10 @@
     outcome_.peak_over_step = std::max(outcome_.peak_over_step,
                                        rate - least - link->shift_step - 1e-9);
 
-    const double noise = link->capacity * kTurnPart;
-    const bool moves_on =
+    const double noise = link->capacity * kReversalFraction;
+    const bool extends_trend =
         trend.direction >= 0 ? rate > trend.extreme : rate < trend.extreme;
-    if (moves_on) {
+    if (extends_trend) {
       trend.extreme = rate;
       trend.direction = trend.direction == 0 ? 1 : trend.direction;
     } else if (std::abs(rate - trend.extreme) > noise) {
@@ -326,7 +330,8 @@
 }
 
 int ShiftLoop::DrawArrivals(double mean) {
-  // Knuth; means are small, a tick is short.
+  // Knuth's algorithm for Poisson variates, which suits the small mean of a
+  // short tick.
   const double limit = std::exp(-mean);
   int count = 0;
   for (double product = random_.NextUnit(); product > limit;
@@ -336,8 +341,8 @@
   return count;
 }
 
-std::size_t ShiftLoop::Locate(std::size_t service, std::size_t home) {
-  if (tick_ < kFirstPlan) {
+std::size_t ShiftLoop::ChooseDomain(std::size_t service, std::size_t home) {
+  if (tick_ < kFirstPlanTick) {
     return home;
   }
 
@@ -366,7 +371,7 @@
 
 void ShiftLoop::Arrive(std::size_t service, std::size_t home) {
   ++outcome_.requests;
-  const std::size_t domain = Locate(service, home);
+  const std::size_t domain = ChooseDomain(service, home);
   const Work work{.arrived = tick_, .home = home};
 
   if (domains_[domain].is_lost) {
@@ -383,7 +388,7 @@
   }
 
   if (!is_forwarded) {
-    TakeHome(service, domain, work);
+    ServeLocally(service, domain, work);
   }
 }
 
@@ -413,23 +418,25 @@
         std::max(outcome_.peak_over_cap,
                  links_[link].sum - std::floor(link_entries_[link]->capacity));
     ++outcome_.forwarded;
-    far_ += scenario_.deployment.domains[domain].region !=
-                    scenario_.deployment.domains[to].region
-                ? 1U
-                : 0U;
+    forwarded_far_ += scenario_.deployment.domains[domain].region !=
+                              scenario_.deployment.domains[to].region
+                          ? 1U
+                          : 0U;
 
     const std::int64_t arrival =
         tick_ + 1 + TicksOf(link_entries_[link]->latency, kTick);
     work.home = domain;
     PoolOf(service, to)
-        .incoming[static_cast<std::size_t>(arrival % kRing)]
+        .incoming[static_cast<std::size_t>(arrival % kRingTicks)]
         .push_back(work);
     return true;
   }
   return false;
 }
 
-void ShiftLoop::TakeHome(std::size_t service, std::size_t domain, Work work) {
+void ShiftLoop::ServeLocally(std::size_t service,
+                             std::size_t domain,
+                             Work work) {
   Pool& pool = PoolOf(service, domain);
   if (pool.busy < static_cast<int>(pool.slots)) {
     Start(service, domain, work, Duration::zero(), false);
@@ -438,10 +445,10 @@
   }
 }
 
-void ShiftLoop::TakeShifted(std::size_t service,
-                            std::size_t domain,
-                            std::size_t from,
-                            Work work) {
+void ShiftLoop::ReceiveForwarded(std::size_t service,
+                                 std::size_t domain,
+                                 std::size_t from,
+                                 Work work) {
   Pool& pool = PoolOf(service, domain);
   const auto& entry = scenario_.deployment.services[service];
   const Duration latency = link_entries_[LinkIndex(from, domain)]->latency;
@@ -461,7 +468,7 @@
     ++outcome_.bounced;
     const std::int64_t back = tick_ + 1 + TicksOf(latency, kTick);
     PoolOf(service, from)
-        .returning[static_cast<std::size_t>(back % kRing)]
+        .returning[static_cast<std::size_t>(back % kRingTicks)]
         .push_back(work);
     return;
   }
@@ -480,21 +487,21 @@
                       bool is_shifted) {
   Pool& pool = PoolOf(service, domain);
   const auto& entry = scenario_.deployment.services[service];
-  const double cold = is_shifted
-                          ? 1.0 + (scenario_.cold_factor - 1.0) *
-                                      std::exp(-pool.warmed / kWarmRequests)
-                          : 1.0;
+  const double cold =
+      is_shifted ? 1.0 + (scenario_.cold_factor - 1.0) *
+                             std::exp(-pool.warm_up_requests / kWarmRequests)
+                 : 1.0;
   const double seconds = -std::log(1.0 - random_.NextUnit()) * cold *
                          ToSeconds(entry.request_class.expected_service_time);
   const std::int64_t ticks = std::clamp<std::int64_t>(
-      std::llround(seconds / ToSeconds(kTick)), 1, kRing - 1);
+      std::llround(seconds / ToSeconds(kTick)), 1, kRingTicks - 1);
   ++pool.busy;
-  const auto done = static_cast<std::size_t>((tick_ + ticks) % kRing);
+  const auto done = static_cast<std::size_t>((tick_ + ticks) % kRingTicks);
 
   if (is_shifted) {
     ++pool.busy_shifted;
     ++pool.done_shifted[done];
-    pool.warmed += 1.0;
+    pool.warm_up_requests += 1.0;
   } else {
     ++pool.done[done];
   }
@@ -513,7 +520,7 @@
     ++outcome_.refused_at_receiver;
   }
   const bool is_noticeable =
-      pool.refusals.sum > kNoticeablePart * pool.arrivals.sum;
+      pool.refusals.sum > kNoticeableFraction * pool.arrivals.sum;
   if (first_event_tick_ >= 0 && is_noticeable) {
     outcome_.relief_seconds = ToSeconds(kTick * (tick_ - first_event_tick_));
   }
@@ -521,7 +528,7 @@
 
 void ShiftLoop::StepPool(std::size_t service, std::size_t domain) {
   Pool& pool = PoolOf(service, domain);
-  const auto now = static_cast<std::size_t>(tick_ % kRing);
+  const auto now = static_cast<std::size_t>(tick_ % kRingTicks);
   pool.arrivals.Expire(tick_);
   pool.refusals.Expire(tick_);
   pool.shifted.Expire(tick_);
@@ -545,15 +552,15 @@
   }
 
   for (const Work& work : std::exchange(pool.returning[now], {})) {
-    TakeHome(service, domain, work);
+    ServeLocally(service, domain, work);
   }
   for (const Work& work : std::exchange(pool.incoming[now], {})) {
-    TakeShifted(service, domain, work.home, work);
+    ReceiveForwarded(service, domain, work.home, work);
   }
 }
 
 void ShiftLoop::Step() {
-  for (Second& link : links_) {
+  for (RollingSecond& link : links_) {
     link.Expire(tick_);
   }
 
@@ -581,8 +588,8 @@
       Apply(events.front());
       events.pop_front();
     }
-    // A second of arrivals must be there to be measured.
-    if (tick_ % kPlanEvery == 0 && tick_ >= kFirstPlan) {
+    // Planning needs a whole second of measured arrivals.
+    if (tick_ % kPlanIntervalTicks == 0 && tick_ >= kFirstPlanTick) {
       PlanAll();
     }
     Step();
@@ -590,10 +597,10 @@
   }
 
   outcome_.mean_utilisation_spread = spread_sum_ / spread_count_;
-  outcome_.shifted_far =
-      outcome_.forwarded == 0
-          ? 0.0
-          : static_cast<double>(far_) / static_cast<double>(outcome_.forwarded);
+  outcome_.shifted_far = outcome_.forwarded == 0
+                             ? 0.0
+                             : static_cast<double>(forwarded_far_) /
+                                   static_cast<double>(outcome_.forwarded);
   return outcome_;
 }
 
--- a/tests/scenarios/steering/shift_loop.h
+++ b/tests/scenarios/steering/shift_loop.h
@@ -19,25 +19,25 @@
 
 namespace medlarcroft::steering::scenario {
 
-/// @brief What callers and links saw in one run.
+/// @brief Results of one run for callers and links.
 struct Outcome {
   std::uint64_t requests = 0;
   std::uint64_t refused = 0;
   std::uint64_t late = 0;
   std::uint64_t forwarded = 0;
-  std::uint64_t bounced = 0;  ///< Refused by the receiving domain.
-  /// Highest count of forwards in any second above the link's capacity.
+  std::uint64_t bounced = 0;  ///< Refused by the receiving failure domain.
+  /// Highest number of forwards in any second above the capacity of the link.
   double peak_over_cap = 0.0;
-  /// Forwarded requests that were taken into the receiver's reserve.
+  /// Forwarded requests that were admitted into the reserve of the receiver.
   std::uint64_t over_capacity = 0;
-  /// Callers refused by a domain while it worked on shifted requests.
+  /// Callers refused by a failure domain while it worked on shifted requests.
   std::uint64_t refused_at_receiver = 0;
-  /// Highest growth of a link's planned rate in a window above its step.
+  /// Highest growth of a link's planned rate within a window above its step.
   double peak_over_step = 0.0;
-  int reversals = 0;  ///< Turns of planned rates, beyond 5% of the link.
-  double relief_seconds = 0.0;           ///< From first event to last refusal.
-  double mean_utilisation_spread = 0.0;  ///< Fullest less emptiest domain.
-  double shifted_far = 0.0;  ///< Part of the forwards that left the region.
+  int reversals = 0;  ///< Reversals of planned rates by over 5% of the link.
+  double relief_seconds = 0.0;  ///< From the first event to the last refusal.
+  double mean_utilisation_spread = 0.0;  ///< Highest minus lowest utilisation.
+  double shifted_far = 0.0;  ///< Fraction of the forwards that left the region.
   double home_demand_left = 0.0;  ///< Requests of the last 5 s that still
                                   ///< arrived at or stayed in a drained domain.
 
@@ -45,12 +45,14 @@
   [[nodiscard]] double LateShare() const;
 };
 
-/// @brief Runs look-ups, planners, limiters and admission of all domains in
-/// virtual time against counted requests.
 ///
-/// Each domain plans by itself from its own view, as its entry hosts do: its
-/// own figures are new, those of others lag. A domain stands as one host for
-/// forwarding. Ticks are 5 ms; service times are exponential.
+/// @brief Simulates look-ups, planners, limiters and admission of all failure
+/// domains in virtual time, request by request.
+///
+/// Each failure domain plans independently from its own view, as its entry
+/// hosts do: its own measurements are current, those of others lag. A failure
+/// domain acts as one host for forwarding. Ticks are 5 ms; service times are
+/// exponential.
 class ShiftLoop {
  public:
   ShiftLoop(const Scenario& scenario,
@@ -60,10 +62,10 @@
 
  private:
   static constexpr Duration kTick = std::chrono::milliseconds(5);
-  static constexpr int kTicksOfSecond = 200;
-  static constexpr int kPlanEvery = 100;  // Ticks.
-  static constexpr int kFirstPlan = 3 * kTicksOfSecond;
-  static constexpr int kRing = 4096;  // Ticks; longest service time.
+  static constexpr int kTicksPerSecond = 200;
+  static constexpr int kPlanIntervalTicks = 100;
+  static constexpr int kFirstPlanTick = 3 * kTicksPerSecond;
+  static constexpr int kRingTicks = 4096;  // Also the longest service time.
   static constexpr int kCallerGroups = 40;
 
   struct Caller {
@@ -74,15 +76,15 @@
     std::int64_t arrived = 0;  // Tick.
     std::size_t home = 0;
   };
-  struct Second {  // Counts of the last second, by tick.
-    std::vector<int> counts = std::vector<int>(kTicksOfSecond);
+  struct RollingSecond {  // Counts per tick over the last second.
+    std::vector<int> counts = std::vector<int>(kTicksPerSecond);
     int sum = 0;
     void Add(std::int64_t tick) {
-      ++counts[static_cast<std::size_t>(tick % kTicksOfSecond)];
+      ++counts[static_cast<std::size_t>(tick % kTicksPerSecond)];
       ++sum;
     }
     void Expire(std::int64_t tick) {
-      int& count = counts[static_cast<std::size_t>(tick % kTicksOfSecond)];
+      int& count = counts[static_cast<std::size_t>(tick % kTicksPerSecond)];
       sum -= count;
       count = 0;
     }
@@ -91,19 +93,20 @@
     double slots = 0.0;
     int busy = 0;
     int busy_shifted = 0;
-    double warmed = 0.0;  // Shifted requests served.
+    double warm_up_requests =
+        0.0;  // Number of shifted requests that were started.
     std::deque<Work> queue;
-    std::vector<int> done = std::vector<int>(kRing);
-    std::vector<int> done_shifted = std::vector<int>(kRing);
-    std::vector<std::vector<Work>> incoming =
-        std::vector<std::vector<Work>>(kRing);  // Forwarded, by arrival tick.
-    std::vector<std::vector<Work>> returning =
-        std::vector<std::vector<Work>>(kRing);  // Bounced, by arrival tick.
+    std::vector<int> done = std::vector<int>(kRingTicks);
+    std::vector<int> done_shifted = std::vector<int>(kRingTicks);
+    std::vector<std::vector<Work>> incoming = std::vector<std::vector<Work>>(
+        kRingTicks);  // Forwarded, by arrival tick.
+    std::vector<std::vector<Work>> returning = std::vector<std::vector<Work>>(
+        kRingTicks);  // Bounced, by arrival tick.
     std::vector<Caller> callers = std::vector<Caller>(kCallerGroups);
-    double demand = 0.0;  // Requests a second of callers whose home it is.
-    Second arrivals;
-    Second refusals;
-    Second shifted;
+    double demand = 0.0;  // Requests per second of callers with this home.
+    RollingSecond arrivals;
+    RollingSecond refusals;
+    RollingSecond shifted;
   };
   struct Domain {
     std::unique_ptr<ShiftPolicy> policy;
@@ -112,9 +115,9 @@
     LookupDemandTracker handed_out;
     ShiftPlan plan;
     std::deque<std::pair<MonotonicTime, DomainLoad>> history;
-    /// What it last heard of each domain, and when that was measured.
+    /// The last received load of each failure domain, and when it was measured.
     std::map<std::size_t, std::optional<std::pair<MonotonicTime, DomainLoad>>>
-        heard;
+        last_received;
     bool is_lost = false;
     bool is_muted = false;
     bool is_drained = false;
@@ -142,13 +145,13 @@
   void TrackRates(std::size_t domain);
   int DrawArrivals(double mean);
   void Arrive(std::size_t service, std::size_t home);
-  std::size_t Locate(std::size_t service, std::size_t home);
-  void TakeHome(std::size_t service, std::size_t domain, Work work);
+  std::size_t ChooseDomain(std::size_t service, std::size_t home);
+  void ServeLocally(std::size_t service, std::size_t domain, Work work);
   bool TryShift(std::size_t service, std::size_t domain, Work work);
-  void TakeShifted(std::size_t service,
-                   std::size_t domain,
-                   std::size_t from,
-                   Work work);
+  void ReceiveForwarded(std::size_t service,
+                        std::size_t domain,
+                        std::size_t from,
+                        Work work);
   void Start(std::size_t service,
              std::size_t domain,
              Work work,
@@ -164,13 +167,13 @@
   catalogue::SharedCatalogueView catalogue_;
   std::vector<Domain> domains_;
   std::vector<Pool> pools_;
-  std::vector<Second> links_;
+  std::vector<RollingSecond> links_;
   std::vector<const catalogue::LinkEntry*> link_entries_;
   std::vector<Trend> trends_;
   std::set<std::string> isolated_;
   std::int64_t tick_ = 0;
   std::int64_t first_event_tick_ = -1;
-  std::uint64_t far_ = 0;
+  std::uint64_t forwarded_far_ = 0;
   double spread_sum_ = 0.0;
   int spread_count_ = 0;
   Outcome outcome_;
--- a/tests/scenarios/steering/shift_policy.h
+++ b/tests/scenarios/steering/shift_policy.h
@@ -9,8 +9,8 @@
 
 namespace medlarcroft::steering::scenario {
 
-/// @brief What decides the shifts of one domain; the planner or a way that it
-/// is compared with.
+/// @brief Decides the shifts of one failure domain: the planner, or an
+/// alternative that it is compared with.
 class ShiftPolicy {
  public:
   virtual ~ShiftPolicy() = default;
--- a/tests/scenarios/steering/shift_scenario.h
+++ b/tests/scenarios/steering/shift_scenario.h
@@ -13,33 +13,34 @@
 
 namespace medlarcroft::steering::scenario {
 
-/// @brief A deployment as the scenario files give it.
+/// @brief A deployment as defined by the scenario files.
 struct Deployment {
   std::vector<catalogue::FailureDomainEntry> domains;
   std::vector<catalogue::LinkEntry> links;
   std::vector<catalogue::ServiceEntry> services;
-  std::map<ServiceName, double> slots;         ///< In each domain.
-  std::map<ServiceName, Duration> late_after;  ///< An answer later is late.
-  int hosts = 2;                               ///< Entry hosts a domain.
+  std::map<ServiceName, double> slots;  ///< In each failure domain.
+  std::map<ServiceName, Duration>
+      late_after;  ///< Later responses count as late.
+  int hosts = 2;   ///< Entry hosts per failure domain.
 };
 
 enum class EventKind {
-  kDemand,  ///< `value`: part of the capacity of `domain`, of `service`.
-  kDrain,   ///< The operator drains `domain`.
+  kDemand,  ///< Demand of `service` in `subject` is `value` times its capacity.
+  kDrain,   ///< The operator drains `subject`.
   kUndrain,
-  kLose,  ///< All hosts and targets of `region` are gone.
+  kLose,  ///< All hosts and targets of `subject` fail.
   kRestore,
-  kMute,  ///< Measurements of `domain` stop reaching the others.
+  kMute,  ///< Measurements of `subject` no longer reach the others.
   kUnmute,
-  kIsolate,  ///< `region` and the others lose each other.
+  kIsolate,  ///< The region `subject` is partitioned from the others.
   kRejoin,
 };
 
 struct Event {
   Duration at = Duration::zero();
   EventKind kind = EventKind::kDemand;
-  std::string subject;  ///< Domain or region.
-  std::string service;  ///< Empty: all.
+  std::string subject;  ///< A failure domain or region.
+  std::string service;  ///< All services if empty.
   double value = 0.0;
 };
 
@@ -47,11 +48,12 @@
   std::string name;
   Deployment deployment;
   Duration length = Duration::zero();
-  double demand = 0.5;  ///< Part of the capacity, in every domain.
-  Duration lag = std::chrono::seconds(1);  ///< Of measurements of others.
-  double cold_factor = 1.0;  ///< Service time of shifted work at a cold cache.
+  double demand = 0.5;  ///< Fraction of the capacity, in every failure domain.
+  Duration lag = std::chrono::seconds(1);  ///< Delay of measurements of others.
+  double cold_factor =
+      1.0;  ///< Service time factor of shifted work with a cold cache.
   std::vector<Event> events;
-  /// Least and greatest value of each figure that is bounded.
+  /// Lower and upper bound of each figure that is checked.
   std::map<std::string, std::pair<double, double>> expect;
 
   friend void PrintTo(const Scenario& scenario, std::ostream* out) {
@@ -138,8 +140,8 @@
   return deployments;
 }
 
-/// @brief Reads a file of scenarios; one that names several deployments stands
-/// for one scenario each.
+/// @brief Reads a file of scenarios; an entry with several deployments gives
+/// one scenario for each.
 inline std::vector<Scenario> ReadScenarios(
     const std::string& path,
     const std::map<std::string, Deployment>& deployments) {
--- a/tests/scenarios/steering/shift_scenarios_test.cc
+++ b/tests/scenarios/steering/shift_scenarios_test.cc
@@ -11,19 +11,19 @@
 namespace medlarcroft::steering::scenario {
 namespace {
 
-const std::string& Folder() {
+const std::string& ScenarioFolder() {
   static const std::string folder =
       std::string(MEDLARCROFT_SOURCE_DIR) + "/tests/scenarios/steering/";
   return folder;
 }
 
-/// One seed's figures stray by a third between two ways that are the same in
-/// the mean, so bounds hold for the mean of several. Limits hold for each.
+/// With one seed, figures of two equivalent policies can differ by a third, so
+/// bounds apply to the mean of several seeds. Limits apply to each seed.
 constexpr std::uint64_t kSeeds[] = {20261202, 20261203, 20261204};
 
 std::vector<Scenario> AllScenarios() {
-  return ReadScenarios(Folder() + "shifts.yaml",
-                       ReadDeployments(Folder() + "deployments.yaml"));
+  return ReadScenarios(ScenarioFolder() + "shifts.yaml",
+                       ReadDeployments(ScenarioFolder() + "deployments.yaml"));
 }
 
 struct Measure {
@@ -50,8 +50,8 @@
 
 class ShiftScenarios : public ::testing::TestWithParam<Scenario> {};
 
-// What each scenario causes, what callers see and why stands beside it in
-// shifts.yaml, with the bounds on the figures of the fixed seeds.
+// The comments in shifts.yaml give the cause and the symptom of each scenario,
+// beside the bounds on the figures of the fixed seeds.
 TEST_P(ShiftScenarios, KeepsEveryLimitAndItsFigures) {
   const Scenario& scenario = GetParam();
   const PolicyFactory make_policy = [](const ports::Clock& clock) {
--- a/tests/scenarios/target_model.h
+++ b/tests/scenarios/target_model.h
@@ -10,8 +10,8 @@
 
 namespace medlarcroft::scenarios {
 
-/// @brief A target in virtual time: it counts its work and knows which faults
-/// it has.
+/// @brief A target in virtual time: counts its running work and knows its
+/// faults.
 class TargetModel {
  public:
   TargetModel(std::string name,
@@ -26,7 +26,7 @@
   [[nodiscard]] std::uint32_t Busy() const { return busy_; }
   [[nodiscard]] std::uint32_t PeakOverSlots() const { return peak_over_slots_; }
 
-  /// @return the fault of that kind that it has at `at`, or nullptr.
+  /// @return the fault of that kind that is active at `at`, or nullptr.
   [[nodiscard]] const Fault* FaultAt(FaultKind kind, Duration at) const {
     for (const Fault& fault : faults_) {
       if (fault.kind == kind && index_ < fault.targets && at >= fault.from &&
@@ -53,7 +53,7 @@
   }
   void End() { --busy_; }
 
-  /// @return by how much its work takes longer now.
+  /// @return the factor by which service times are longer at `at`.
   [[nodiscard]] double SlowdownAt(Duration at) const {
     double slowdown = 1.0;
     for (const FaultKind kind : {FaultKind::kSlow, FaultKind::kLying}) {
