--- a/cmake/Dependencies.cmake
+++ b/cmake/Dependencies.cmake
@@ -1,4 +1,4 @@
-# Every library comes from Debian's packages; scripts/bootstrap installs them.
+# All libraries come from Debian packages, which scripts/bootstrap installs.
 find_package(PkgConfig REQUIRED)
 find_package(Threads REQUIRED)
 find_package(Boost 1.74 REQUIRED COMPONENTS program_options)
--- a/cmake/Install.cmake
+++ b/cmake/Install.cmake
@@ -1,5 +1,5 @@
-# `cmake --install build --prefix DIR` puts the programs, the library with its CMake package, the units,
-# the samples and the pages below DIR.
+# `cmake --install build --prefix DIR` installs the programs, the library with its CMake package, the systemd
+# units, the samples and the documentation below DIR.
 include(GNUInstallDirs)
 include(CMakePackageConfigHelpers)
 
@@ -11,7 +11,7 @@
   endif()
 endforeach()
 
-# The coordination parts alone: an embedder brings its own I/O.
+# Installs the core library only: applications that embed it provide their own I/O.
 install(TARGETS medlarcroft EXPORT medlarcroftTargets ARCHIVE DESTINATION ${CMAKE_INSTALL_LIBDIR})
 install(DIRECTORY ${PROJECT_SOURCE_DIR}/lib/libmedlarcroft/include/medlarcroft
   DESTINATION ${CMAKE_INSTALL_INCLUDEDIR} FILES_MATCHING PATTERN "*.h")
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -18,7 +18,7 @@
 
 
 def send_samples(state, plan):
-    """One request of each class, and a duplicate of the non-idempotent one."""
+    """Sends a request to each service, and repeats non-idempotent ones with the same key."""
     brand = state["operator"]["brand"]
     steerd = state["steerd"][0]["url"]
     print(f"Deployment {state['deployment']}: {len(state['steerd'])} entry hosts,"
@@ -28,7 +28,7 @@
         if status != 200:
             raise SystemExit(f"demo: look-up of {service} failed: {status} {answer}")
         host = answer["entry_hosts"][0]
-        print(f"{service}: look-up names {[h['host'] for h in answer['entry_hosts']]}"
+        print(f"{service}: look-up returned {[h['host'] for h in answer['entry_hosts']]}"
               f" for {answer['ttl_ms']} ms")
         url = f"http://{host['address']}/v1/services/{service}/sample?day=today"
         keys = answer.get("idempotency_keys", [])
@@ -40,13 +40,13 @@
         first = show("POST", *http("POST", url, b'{"n":1}', headers))
         again = show("the same POST again", *http("POST", url, b'{"n":1}', headers))
         if first != again:
-            raise SystemExit(f"demo: a duplicate got another answer: {first} {again}")
+            raise SystemExit(f"demo: a repeated request got a different response: {first} {again}")
         runs = sum(run["count"] for target in state["targets"]
                    for run in http("GET", target["url"] + "/control/runs")[2]["runs"]
                    if run["idempotency_key"] == keys[0])
-        print(f"  the targets ran it {runs} time(s)")
+        print(f"  the targets executed it {runs} time(s)")
         if runs != 1:
-            raise SystemExit("demo: a non-idempotent request ran more than once")
+            raise SystemExit("demo: a non-idempotent request was not executed exactly once")
 
 
 def main():
@@ -62,7 +62,7 @@
             STATE.unlink()
         return
     if STATE.exists():
-        raise SystemExit("demo: a deployment is running; end it with scripts/demo --stop")
+        raise SystemExit("demo: a deployment is already running; stop it with scripts/demo --stop")
 
     deployment = Deployment(ROOT / "dist" / "deployments" / options.deployment, WORK)
     is_kept = False
@@ -75,7 +75,7 @@
             stop_all(deployment.state)
             STATE.unlink(missing_ok=True)
     if is_kept:
-        print(f"Running; described in {STATE.relative_to(ROOT)}. End it with scripts/demo --stop.")
+        print(f"Running; see {STATE.relative_to(ROOT)}. Stop it with scripts/demo --stop.")
 
 
 if __name__ == "__main__":
--- a/scripts/deployment.py
+++ b/scripts/deployment.py
@@ -18,7 +18,7 @@
 
 
 def http(method, url, body=None, headers=None, timeout=10):
-    """Returns (status, headers, parsed or raw body) of one exchange."""
+    """Sends one request; returns (status, headers, body), the body parsed if it is JSON."""
     request = urllib.request.Request(url, data=body, method=method,
                                      headers=headers or {})
     opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
@@ -34,7 +34,7 @@
 
 
 def wait_until(what, check):
-    """Polls `check` until it holds; ends the demo when it never does."""
+    """Polls `check` until it returns true; exits the program after START_LIMIT_SECONDS."""
     limit = time.monotonic() + START_LIMIT_SECONDS
     while time.monotonic() < limit:
         try:
@@ -43,7 +43,7 @@
         except OSError:
             pass
         time.sleep(0.05)
-    raise SystemExit(f"gave up waiting for {what}; see the logs folder")
+    raise SystemExit(f"timed out waiting for {what}; see the logs folder")
 
 
 class Deployment:
@@ -63,7 +63,7 @@
             process = subprocess.Popen([str(part) for part in command], stdout=log,
                                        stderr=log, stdin=subprocess.DEVNULL,
                                        start_new_session=True)
-        # Kept, so that the process is not taken for a forgotten one.
+        # Keeps a reference: Popen warns about a running process whose object is destroyed.
         self.processes.append(process)
         return process.pid
 
@@ -154,8 +154,8 @@
                        lambda d=daemon: http("GET", d["url"] + "/healthz")[0] == 200)
 
     def start_entry_daemons(self):
-        """Starts them once every steerd has the whole catalogue: a host that takes
-        its seat under an older revision waits until all have the same split."""
+        """Starts the entry daemons once every steerd has the whole catalogue: a host that acquires
+        its seat at an older revision waits until all hosts have the same allocation."""
         revision = len(self.plan["catalogue"])
         for daemon in self.state["steerd"]:
             wait_until(f"the catalogue on {daemon['host']}",
@@ -189,7 +189,7 @@
                 {"Authorization": f"Bearer {tokens[entry['owner']]}",
                  "If-None-Match": "*", "Content-Type": "application/json"})
             if status not in (200, 201):
-                raise SystemExit(f"{file} was not accepted: {status} {body}")
+                raise SystemExit(f"{file} was rejected: {status} {body}")
 
     def wait_ready(self):
         for kind in ("steerd", "entryd"):
@@ -215,14 +215,14 @@
     except ProcessLookupError:
         return False
     try:
-        # Started by this very process: collect it, so that it does not linger.
+        # Reaps a child of this process, which would otherwise remain as a zombie.
         return os.waitpid(pid, os.WNOHANG)[0] == 0
     except ChildProcessError:
         return True
 
 
-def names_program(pid):
-    """Whether the process is one of ours; its id may have been given anew."""
+def is_program_of_build(pid):
+    """Returns whether the process runs a program of this build; its id may have been reused."""
     try:
         command = pathlib.Path(f"/proc/{pid}/cmdline").read_bytes()
     except OSError:
@@ -231,12 +231,12 @@
 
 
 def stop_all(state):
-    """Hosts leave first and gracefully, then targets, then the platform."""
+    """Stops the hosts gracefully, then the targets, then the platform."""
     groups = [[d["pid"] for d in state["entryd"] + state["steerd"]],
               [t["pid"] for t in state["targets"]],
               [state["platform"]["pid"]] if state["platform"] else []]
     for group in groups:
-        pids = [pid for pid in group if names_program(pid)]
+        pids = [pid for pid in group if is_program_of_build(pid)]
         for signal_number, wait in ((signal.SIGTERM, 0.5), (signal.SIGTERM, STOP_LIMIT_SECONDS),
                                     (signal.SIGKILL, 5)):
             for pid in pids:
--- a/scripts/measure_daemons.py
+++ b/scripts/measure_daemons.py
@@ -1,15 +1,16 @@
-"""Measures steerd and entryd as real processes on loopback.
+"""Benchmarks steerd and entryd as real processes on loopback.
 
-  hop        latency that entryd adds, and its requests a second a core
-  look-ups   steerd's look-ups a second a core
-  rest       control without traffic, by hosts in one domain: processor, memory,
-             bytes, platform calls, time of a change until it is in force
+  hop        latency that entryd adds, and its requests per second and core
+  look-ups   look-ups of steerd per second and core
+  rest       idle cost by number of hosts in one domain: CPU, memory, bytes,
+             platform calls, time until a change is applied
   few-slots  the same with more hosts than a target has slots
-  entries    steerd and entryd without traffic, by entries in the catalogue
+  entries    idle cost of steerd and entryd by entries in the catalogue
 
-A closed loop on kept connections; rates a core come from the daemon's own
-processor time, so that the generator's slowness does not count. Each line has
-the machine's load beside its figures. Ends only what it started.
+Load is a closed loop on persistent connections. Rates per core are based on the CPU
+time of the daemon, so that a slow load generator does not affect them. Each
+result includes the load average of the machine. Stops only processes that it
+started.
 """
 
 import argparse
@@ -27,7 +28,7 @@
 import yaml
 
 from deployment import ROOT, Deployment, http, stop_all
-from process_meter import (ConnectionMeter, load_average, processor_seconds,
+from process_meter import (ConnectionMeter, cpu_seconds_of, load_average,
                            resident_megabytes)
 
 WORK = ROOT / "build/measure"
@@ -37,13 +38,13 @@
 PLATFORM_PORT = 17000
 NETWORK = 71
 SETTLE_SECONDS = 8
-REST_SECONDS = 30
+IDLE_SECONDS = 30
 CALLERS = 4
 TARGETS_PER_ENTRY = 12
 
 
 class MeasuredDeployment(Deployment):
-    """Runs copies of the programs, so that a build meanwhile changes nothing."""
+    """Runs copies of the programs, so that a concurrent build does not affect them."""
 
     def start_daemon(self, kind, domain, host, listen):
         pid = self.start_process(f"{host}-{kind}", PROGRAMS / f"medlar-{kind}",
@@ -73,7 +74,7 @@
 
 
 def make_deployment(name, hosts, slots, target_count=1):
-    """One domain of `hosts` with few targets; another domain without hosts."""
+    """Makes a deployment of one domain with `hosts` hosts and few targets, and one domain without hosts."""
     work = WORK / name
     shutil.rmtree(work, ignore_errors=True)
     (work / "catalogue").mkdir(parents=True)
@@ -109,7 +110,7 @@
         {"Authorization": f"Bearer {TOKEN}", "If-None-Match": "*",
          "Content-Type": "application/json"})
     if status not in (200, 201):
-        raise SystemExit(f"{entry['entry']} was not accepted: {status} {body}")
+        raise SystemExit(f"{entry['entry']} was rejected: {status} {body}")
 
 
 def revision_of(daemon):
@@ -117,7 +118,7 @@
 
 
 class Connection:
-    """One kept connection; answers have a Content-Length."""
+    """A persistent connection; responses must have a Content-Length."""
 
     def __init__(self, url):
         address, port = url.removeprefix("http://").split(":")
@@ -125,14 +126,14 @@
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def get(self, request):
-        """Returns (status, seconds)."""
+        """Sends `request`; returns (status, seconds)."""
         start = time.perf_counter()
         self.socket.sendall(request)
         answer = b""
         while b"\r\n\r\n" not in answer:
             part = self.socket.recv(65536)
             if not part:
-                raise SystemExit("a connection was closed in the middle of a run")
+                raise SystemExit("the daemon closed a connection during the measurement")
             answer += part
         head, _, body = answer.partition(b"\r\n\r\n")
         length = int(head.lower().split(b"content-length:")[1].split(b"\r\n")[0])
@@ -146,31 +147,31 @@
             "Medlar-Deadline-Ms: 2000\r\n\r\n").encode()
 
 
-def loop(url, path, seconds, answers):
+def send_in_loop(url, path, seconds, answers):
     connection, request = Connection(url), request_bytes(path)
-    limit, good, bad = time.monotonic() + seconds, 0, 0
+    limit, successes, failures = time.monotonic() + seconds, 0, 0
     while time.monotonic() < limit:
         status, _ = connection.get(request)
-        good, bad = good + (status == 200), bad + (status != 200)
-    answers.put((good, bad))
+        successes, failures = successes + (status == 200), failures + (status != 200)
+    answers.put((successes, failures))
 
 
-def closed_loop(url, path, seconds, pids):
-    """Returns requests, failures, rate and rate a core of `pids`."""
+def run_closed_loop(url, path, seconds, pids):
+    """Returns the counts of responses, the rate, and the rate per core of `pids`."""
     answers = multiprocessing.Queue()
-    callers = [multiprocessing.Process(target=loop, args=(url, path, seconds, answers))
+    callers = [multiprocessing.Process(target=send_in_loop, args=(url, path, seconds, answers))
                for _ in range(CALLERS)]
-    before = processor_seconds(pids)
+    before = cpu_seconds_of(pids)
     for caller in callers:
         caller.start()
     counts = [answers.get(timeout=seconds + 30) for _ in callers]
     for caller in callers:
         caller.join()
-    used = processor_seconds(pids) - before
-    good, bad = (sum(column) for column in zip(*counts))
-    return {"callers": CALLERS, "answered": good, "other_answers": bad,
-            "per_second": round(good / seconds), "processor_seconds": round(used, 2),
-            "per_core_second": round((good + bad) / used)}
+    cpu_seconds = cpu_seconds_of(pids) - before
+    successes, failures = (sum(column) for column in zip(*counts))
+    return {"callers": CALLERS, "answered": successes, "other_answers": failures,
+            "per_second": round(successes / seconds), "processor_seconds": round(cpu_seconds, 2),
+            "per_core_second": round((successes + failures) / cpu_seconds)}
 
 
 def percentiles(seconds):
@@ -183,27 +184,27 @@
     try:
         deployment.start()
         entry = deployment.state["entryd"][0]
-        ways = {"direct": (Connection(deployment.state["targets"][0]["url"]),
-                           request_bytes("/dish")),
-                "entryd": (Connection(entry["url"]),
-                           request_bytes(f"/v1/services/{SERVICE}/dish"))}
-        times = {way: [] for way in ways}
+        routes = {"direct": (Connection(deployment.state["targets"][0]["url"]),
+                             request_bytes("/dish")),
+                  "entryd": (Connection(entry["url"]),
+                             request_bytes(f"/v1/services/{SERVICE}/dish"))}
+        times = {route: [] for route in routes}
         other_answers = 0
-        # In turn, so that other work on the machine meets both alike.
+        # Alternates, so that other work on the machine affects both equally.
         for number in range(4000):
-            for way, (connection, request) in ways.items():
+            for route, (connection, request) in routes.items():
                 status, seconds = connection.get(request)
                 other_answers += status != 200
                 if number >= 200:
-                    times[way].append(seconds)
-        found = {way: percentiles(taken) for way, taken in times.items()}
+                    times[route].append(seconds)
+        result = {route: percentiles(taken) for route, taken in times.items()}
         for name in ("p50_us", "p99_us"):
-            found[f"added_{name}"] = found["entryd"][name] - found["direct"][name]
-        found["other_answers"] = other_answers
-        found["closed_loop"] = closed_loop(entry["url"], f"/v1/services/{SERVICE}/dish", 10,
-                                           [entry["pid"]])
-        found["entryd_mb_after"] = round(resident_megabytes([entry["pid"]]), 1)
-        yield found
+            result[f"added_{name}"] = result["entryd"][name] - result["direct"][name]
+        result["other_answers"] = other_answers
+        result["closed_loop"] = run_closed_loop(entry["url"], f"/v1/services/{SERVICE}/dish", 10,
+                                                [entry["pid"]])
+        result["entryd_mb_after"] = round(resident_megabytes([entry["pid"]]), 1)
+        yield result
     finally:
         stop_all(deployment.state)
 
@@ -218,42 +219,42 @@
             path = f"/v1/lookup?service={SERVICE}&brand={BRAND}&client=10.1.2.3"
             body = json.dumps(http("GET", steerd["url"] + path)[2])
             yield ({"hosts": hosts, "answer_bytes": len(body)}
-                   | closed_loop(steerd["url"], path, 10, [steerd["pid"]])
+                   | run_closed_loop(steerd["url"], path, 10, [steerd["pid"]])
                    | {"steerd_mb_after": round(resident_megabytes([steerd["pid"]]), 1)})
         finally:
             stop_all(deployment.state)
 
 
-def watch_rest(deployment, seconds):
-    """Costs of each daemon while nobody calls, means over the hosts."""
+def measure_idle_cost(deployment, seconds):
+    """Returns the idle cost of each daemon, as means over the hosts."""
     hosts = len(deployment.state["steerd"])
     platform = deployment.state["platform"]["url"]
     pids = {kind: deployment.pids(kind) for kind in ("steerd", "entryd")}
-    before = {kind: processor_seconds(ids) for kind, ids in pids.items()}
+    before = {kind: cpu_seconds_of(ids) for kind, ids in pids.items()}
     counts = http("GET", platform + "/control/stats")[2]
     meter, start = ConnectionMeter(NETWORK), time.monotonic()
     while time.monotonic() - start < seconds:
         time.sleep(2)
         meter.sample()
     elapsed = time.monotonic() - start
-    found = {"hosts": hosts, "seconds": round(elapsed, 1)}
+    result = {"hosts": hosts, "seconds": round(elapsed, 1)}
     for kind, ids in pids.items():
-        used = processor_seconds(ids) - before[kind]
-        found[f"{kind}_core_percent"] = round(100 * used / elapsed / hosts, 3)
-        found[f"{kind}_mb"] = round(resident_megabytes(ids), 2)
+        cpu_seconds = cpu_seconds_of(ids) - before[kind]
+        result[f"{kind}_core_percent"] = round(100 * cpu_seconds / elapsed / hosts, 3)
+        result[f"{kind}_mb"] = round(resident_megabytes(ids), 2)
     after = http("GET", platform + "/control/stats")[2]
     for what in ("reads", "writes"):
-        found[f"platform_{what}_per_second"] = round((after[what] - counts[what]) / elapsed, 2)
+        result[f"platform_{what}_per_second"] = round((after[what] - counts[what]) / elapsed, 2)
     names = {port: name for name, port in PORTS.items()} | {PLATFORM_PORT: "platform"}
     for port, (size, connections) in sorted(meter.bytes_by_port().items()):
         if port in names:
-            found[f"{names[port]}_bytes_per_second_a_host"] = round(size / elapsed / hosts)
-            found[f"{names[port]}_connections"] = connections
-    return found
+            result[f"{names[port]}_bytes_per_second_a_host"] = round(size / elapsed / hosts)
+            result[f"{names[port]}_connections"] = connections
+    return result
 
 
-def time_change(deployment, number):
-    """Seconds from the PUT until each host has the change in force."""
+def measure_change_delays(deployment, number):
+    """Returns the seconds from the PUT until each host has applied the change, sorted."""
     revision = revision_of(deployment.state["steerd"][0]) + 1
     start = time.monotonic()
     put_entry(deployment, service_entry(f"change-{number}", far_targets(f"change-{number}")))
@@ -269,17 +270,17 @@
         return sorted(pool.map(wait, deployment.state["steerd"]))
 
 
-def calls_after_change(deployment, number):
-    """Platform calls a second in the time that a change may take, 18 s."""
+def count_calls_after_change(deployment, number):
+    """Returns the number of platform calls in the 18 s that a change may take."""
     platform, seconds = deployment.state["platform"]["url"], 18
     before = http("GET", platform + "/control/stats")[2]
-    time_change(deployment, number)
+    measure_change_delays(deployment, number)
     time.sleep(seconds)
     after = http("GET", platform + "/control/stats")[2]
     return {f"after_a_change_{what}": after[what] - before[what] for what in ("reads", "writes")}
 
 
-def measure_rest(sizes, slots=64, target_count=1):
+def measure_idle(sizes, slots=64, target_count=1):
     for hosts in sizes or (2, 4, 8, 16, 32, 48):
         deployment = make_deployment(f"rest-{hosts}", hosts, slots, target_count)
         try:
@@ -287,15 +288,15 @@
             deployment.start()
             started = time.monotonic() - start
             time.sleep(SETTLE_SECONDS)
-            found = watch_rest(deployment, REST_SECONDS)
-            found["all_ready_after_seconds"] = round(started, 1)
-            found["slots"] = slots
+            result = measure_idle_cost(deployment, IDLE_SECONDS)
+            result["all_ready_after_seconds"] = round(started, 1)
+            result["slots"] = slots
             if hosts in (8, 48):
-                found |= calls_after_change(deployment, 100)
-                times = [each for number in range(5) for each in time_change(deployment, number)]
-                found["in_force_median_seconds"] = round(statistics.median(times), 2)
-                found["in_force_worst_seconds"] = round(max(times), 2)
-            yield found
+                result |= count_calls_after_change(deployment, 100)
+                times = [each for number in range(5) for each in measure_change_delays(deployment, number)]
+                result["in_force_median_seconds"] = round(statistics.median(times), 2)
+                result["in_force_worst_seconds"] = round(max(times), 2)
+            yield result
         finally:
             stop_all(deployment.state)
 
@@ -304,56 +305,56 @@
     deployment = make_deployment("entries", 2, 8)
     try:
         deployment.start()
-        known = len(deployment.plan["catalogue"])
+        entry_count = len(deployment.plan["catalogue"])
         for count in counts or (100, 1000, 5000):
-            start, before = time.monotonic(), known
-            for number in range(known, count):
+            start, before = time.monotonic(), entry_count
+            for number in range(entry_count, count):
                 put_entry(deployment, service_entry(f"extra-{number}",
                                                     far_targets(f"extra-{number}")))
-            known = count
+            entry_count = count
             put_seconds = time.monotonic() - start
-            while any(revision_of(each) < known for each in deployment.state["steerd"]):
+            while any(revision_of(each) < entry_count for each in deployment.state["steerd"]):
                 time.sleep(0.1)
             in_force = time.monotonic() - start
             time.sleep(SETTLE_SECONDS)
             yield ({"entries": count, "put_ms_each": round(1000 * put_seconds / (count - before), 1),
                     "last_in_force_after_seconds": round(in_force - put_seconds, 2)}
-                   | watch_rest(deployment, REST_SECONDS / 2))
+                   | measure_idle_cost(deployment, IDLE_SECONDS / 2))
     finally:
         stop_all(deployment.state)
 
 
 def measure_few_slots(sizes):
-    """As `rest`; each target has fewer slots than there are hosts, as planned."""
-    yield from measure_rest(sizes or (16,), slots=8, target_count=12)
+    """Like `rest`, but each target has fewer slots than there are hosts."""
+    yield from measure_idle(sizes or (16,), slots=8, target_count=12)
 
 
-MEASUREMENTS = {"few-slots": measure_few_slots, "hop": measure_hop, "look-ups": measure_lookups, "rest": measure_rest,
+MEASUREMENTS = {"few-slots": measure_few_slots, "hop": measure_hop, "look-ups": measure_lookups, "rest": measure_idle,
                 "entries": measure_entries}
 
 
 def stop_on_signal(_signal, _frame):
-    # Failure: a time limit ends this program and leaves its daemons running. As
-    # an exception the signal passes through each `finally`, which stops them.
-    raise SystemExit("stopped by a signal")
+    # Guards against daemons that stay running when a time limit terminates this
+    # program. Raising an exception runs each `finally`, which stops them.
+    raise SystemExit("terminated by a signal")
 
 
 def main():
     signal.signal(signal.SIGTERM, stop_on_signal)
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("what", choices=MEASUREMENTS)
-    parser.add_argument("sizes", type=int, nargs="*", help="hosts or entries")
+    parser.add_argument("sizes", type=int, nargs="*", help="numbers of hosts or entries")
     parser.add_argument("--programs", type=pathlib.Path, default=ROOT / "build/programs",
-                        help="folder of the daemons; another build's, to compare")
+                        help="folder of the daemons, such as that of another build to compare with")
     options = parser.parse_args()
     PROGRAMS.mkdir(parents=True, exist_ok=True)
     for program in ("medlar-steerd", "medlar-entryd"):
-        # A new file: the old one may still be running.
+        # Replaces the file instead of overwriting it: the old program may still be running.
         (PROGRAMS / program).unlink(missing_ok=True)
         shutil.copy2(options.programs / program, PROGRAMS / program)
-    for found in MEASUREMENTS[options.what](options.sizes):
+    for result in MEASUREMENTS[options.what](options.sizes):
         line = json.dumps({"measured": options.what, "load_average": round(load_average(), 1)}
-                          | found)
+                          | result)
         print(line, flush=True)
         with open(WORK / "results.jsonl", "a", encoding="utf-8") as results:
             results.write(line + "\n")
--- a/scripts/process_meter.py
+++ b/scripts/process_meter.py
@@ -1,4 +1,4 @@
-"""Reads what processes and connections cost from the system's own counters."""
+"""Reads CPU time, memory and traffic of processes from counters of the operating system."""
 
 import os
 import pathlib
@@ -6,13 +6,13 @@
 import subprocess
 
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
-# IPv4 and TCP with timestamps, without the link's own.
+# IPv4 header and TCP header with timestamps, without the link layer.
 HEADER_BYTES = 52
 FIELD = re.compile(r"\b(bytes_sent|bytes_received|segs_out|segs_in):(\d+)")
 
 
-def processor_seconds(pids):
-    """Processor time of all threads of the processes so far, seconds."""
+def cpu_seconds_of(pids):
+    """Returns the CPU time of all threads of the processes so far, in seconds."""
     ticks = 0
     for pid in pids:
         stat = pathlib.Path(f"/proc/{pid}/stat").read_text()
@@ -22,7 +22,7 @@
 
 
 def resident_megabytes(pids):
-    """Mean resident memory of the processes, MB; shared pages count in each."""
+    """Returns the mean resident memory of the processes in MB; shared pages count in each."""
     total = 0
     for pid in pids:
         status = pathlib.Path(f"/proc/{pid}/status").read_text()
@@ -31,16 +31,16 @@
 
 
 def load_average():
-    """Other people's work on the machine, for the reader of a figure."""
+    """Returns the load average of the machine, which shows other work that may distort a measurement."""
     return os.getloadavg()[0]
 
 
 class ConnectionMeter:
-    """Bytes over connections to listeners of one network, headers included.
+    """Counts bytes on connections to listeners in one network, including headers.
 
-    Only the listener's end is read: it has what was sent and what was received.
-    Connections that open and close between two samples are missed; they are
-    counted by the difference of what the caller expects.
+    Reads only the listener's end, which counts both directions. Misses
+    connections that open and close between two samples: the caller accounts
+    for them from the number that it expects.
     """
 
     def __init__(self, network):
@@ -68,7 +68,7 @@
         self.last.update(self._read())
 
     def bytes_by_port(self):
-        """Growth since the start by listener port: (bytes, connections)."""
+        """Returns (bytes, connections) since the start, by listener port."""
         by_port = {}
         for key, size in self.last.items():
             port = int(key[0].rsplit(":", 1)[1])
--- a/tests/days/write_days.py
+++ b/tests/days/write_days.py
@@ -1,14 +1,15 @@
 #!/usr/bin/env python3
-"""Writes one day file for each kind of trouble and variant: at the start, again in the middle, and overlapping pairs.
+"""Writes test days: one file per fault kind and variant, which occurs at the start and in the middle, and one per pair of
+overlapping faults.
 
 Usage: write_days.py FOLDER
-The files are days of the users' bench; tests/days/play plays them all on a site.
+The files are days in the format of the users' test bench; tests/days/play runs all of them on a site.
 """
 import pathlib
 import sys
 
-# kind: variants, each with the fields that it needs.
-KINDS = {
+# Fault kind: its variants, each with its fields.
+VARIANTS_BY_KIND = {
     'burst': [dict(x=1.7, for_s=3.0)],
     'shift': [dict(share=0.6, for_s=6.0)],
     'retry_abuse': [dict(share=0.3, x=3.0, for_s=5.0)],
@@ -53,10 +54,10 @@
     'srv_flap': [dict(share=0.2, for_s=6.0)],
     'idle_race': [dict(share=0.5, for_s=6.0)],
 }
-PLANNED = {'release', 'scale_out', 'scale_in', 'roll_term', 'hup', 'config_change', 'big_config', 'config_storm', 'evacuate'}
+PLANNED_KINDS = {'release', 'scale_out', 'scale_in', 'roll_term', 'hup', 'config_change', 'big_config', 'config_storm', 'evacuate'}
 
-# Overlaps: what one takes from the hosts is what they would need for the other.
-PAIRS = {
+# Pairs of overlapping events in which the first takes away what the hosts need to handle the second.
+OVERLAPPING_PAIRS = {
     'store-away-targets-move': [('platform_down', 4.0, dict(for_s=6.0, how='silent lapse')), ('release', 5.0, dict(share=0.5, gap_s=0.5))],
     'hosts-turned-away-evacuation': [('platform_down', 4.0, dict(for_s=8.0, share=0.35, how='nodes many')), ('evacuate', 5.0, dict(for_s=8.0))],
     'cut-at-the-peak': [('node_cut', 8.0, dict(share=0.3, for_s=6.0, how='all')), ('burst', 8.0, dict(x=1.8, for_s=5.0))],
@@ -72,17 +73,17 @@
 }
 
 
-def entry(kind, at, fields):
-    words = [f'at = {at}', f'kind = "{kind}"']
+def format_entry(kind, at, fields):
+    fields_text = [f'at = {at}', f'kind = "{kind}"']
     for name, value in fields.items():
-        words.append(f'{name} = "{value}"' if isinstance(value, str) else f'{name} = {value}')
-    return '  { ' + ', '.join(words) + ' },'
+        fields_text.append(f'{name} = "{value}"' if isinstance(value, str) else f'{name} = {value}')
+    return '  { ' + ', '.join(fields_text) + ' },'
 
 
 def write_day(folder, name, seed, entries):
     lines = [f'name = "{name}"', 'slot = "trouble"', f'seed = {seed}']
     for group in ('plan', 'faults'):
-        part = [entry(*e) for e in entries if (e[0] in PLANNED) == (group == 'plan')]
+        part = [format_entry(*e) for e in entries if (e[0] in PLANNED_KINDS) == (group == 'plan')]
         if part:
             lines += [f'{group} = ['] + part + [']']
     (folder / f'{name}.toml').write_text('\n'.join(lines) + '\n')
@@ -92,13 +93,13 @@
     folder = pathlib.Path(sys.argv[1])
     folder.mkdir(parents=True, exist_ok=True)
     seed = 100
-    for kind, variants in KINDS.items():
+    for kind, variants in VARIANTS_BY_KIND.items():
         for number, fields in enumerate(variants, 1):
             seed += 1
             name = f'{kind}-{number}'
-            # At the start and again in the middle.
+            # Occurs at the start and again in the middle.
             write_day(folder, name, seed, [(kind, 0.5, fields), (kind, 16.0, fields)])
-    for name, entries in PAIRS.items():
+    for name, entries in OVERLAPPING_PAIRS.items():
         seed += 1
         write_day(folder, name, seed, entries)
 
--- a/tests/days/write_sites.py
+++ b/tests/days/write_sites.py
@@ -1,21 +1,21 @@
 #!/usr/bin/env python3
-"""Derives deployments of other shapes from a site file of the users: tests/days/write_sites.py SITE.toml FOLDER
+"""Derives site files of other shapes from a site file of the users: tests/days/write_sites.py SITE.toml FOLDER
 
   small    4 hosts in 2 zones of one region
   wide     24 hosts in 8 zones of four regions
   uneven   one region has most targets, another has none
-  third    a third of everything in a site of 60 hosts or more, with all its days and their faults
+  third    a third of all counts and rates, for sites of 60 hosts or more, with all days and their faults
 
-Services, kinds of requests, bounds and prices stay those of the site file. In the first three its days are left out but for the
-first quiet and the first busy one, without their faults; the users' bench draws days for them. The wire's words are
-read from the file beside the site file, which is linked into the folder."""
+Services, request kinds, bounds and prices are those of the site file. The first three shapes keep only the days quiet-1
+and scale-1, without plans and faults; the users' test bench generates random days for them. The names on the wire come
+from wire.json beside the site file, which is linked into the folder."""
 
 import pathlib
 import re
 import sys
 
 SHAPES = {
-    # zone: region, hosts, part of each service's targets
+    # zone: (region, hosts, fraction of the targets of each service)
     "small": {"a1": ("ra", 2, 0.5), "a2": ("ra", 2, 0.5)},
     "wide": {f"{region}{number}": (f"r{region}", 3, 0.125) for region in "abcd" for number in (1, 2)},
     "uneven": {"a1": ("ra", 2, 0.4), "a2": ("ra", 2, 0.4), "b1": ("rb", 1, 0.1), "b2": ("rb", 1, 0.1),
@@ -46,17 +46,17 @@
 
     traffic = re.search(r"^traffic = \[\n(.*?)^\]\n", text, re.S | re.M).group(1).splitlines()
 
-    def traffic_of(days_lines):
-        mix = re.search(r"mix = \{.*?\}", days_lines[0]).group(0)
-        rate = sum(float(re.search(r"per_s = ([0-9.]+)", line).group(1)) for line in days_lines)
-        # A region without targets lives on the others; where that is the shape, callers are fewer.
+    def traffic_of(lines_of_traffic):
+        mix = re.search(r"mix = \{.*?\}", lines_of_traffic[0]).group(0)
+        rate = sum(float(re.search(r"per_s = ([0-9.]+)", line).group(1)) for line in lines_of_traffic)
+        # A region without targets uses those of other regions, so that the uneven shape gets less traffic.
         share = {"uneven": 0.75}.get(shape, 0.9) * rate / len(zones)
         return [f'{{ zone = "{zone}", {mix}, per_s = {share:.1f}, clients = 30, shape = {{ kind = "wave", '
                 f'swing = 0.55, period_s = 36.0, phase = {index / len(zones):.2f}, clump = 1.0 }} }}'
                 for index, zone in enumerate(zones)]
     text = replace_list(text, "traffic", traffic_of(traffic))
-    known = re.findall(r'zone = "[a-z]{2}-[a-z]+"|zone = "[a-z]+-[abc]"', text)
-    for name in set(known):
+    zone_references = re.findall(r'zone = "[a-z]{2}-[a-z]+"|zone = "[a-z]+-[abc]"', text)
+    for name in set(zone_references):
         text = text.replace(name, f'zone = "{next(iter(zones))}"')
     text = re.sub(r'^name = "(.*?)"', rf'name = "\1-{shape}"', text, count=1, flags=re.M)
     days = []
@@ -70,18 +70,18 @@
     return text + "\n" + "".join(days)
 
 
-def hosts_of(site):
+def count_hosts(site):
     machines = re.search(r"^machines = \[\n.*?^\]\n", site, re.S | re.M).group(0)
     return sum(int(count) for count in re.findall(r"count = (\d+)", machines))
 
 
-def thin_out(site, part):
-    def whole(match):
+def scale_down(site, part):
+    def scale_count(match):
         return f"{match.group(1)} = {max(1, round(int(match.group(2)) * part))}"
 
     def rate(match):
         return f"{match.group(1)} = {float(match.group(2)) * part:.1f}"
-    text = re.sub(r"\b(count|spare|things|clients) = ([1-9]\d*)", whole, site)
+    text = re.sub(r"\b(count|spare|things|clients) = ([1-9]\d*)", scale_count, site)
     text = re.sub(r"\b(per_s|budget_slack) = ([0-9.]+)", rate, text)
     return re.sub(r'^name = "(.*?)"', r'name = "\1-third"', text, count=1, flags=re.M)
 
@@ -93,8 +93,8 @@
     if not words.exists():
         words.symlink_to(source.resolve().parent / "wire.json")
     site = source.read_text()
-    if hosts_of(site) >= 60:
-        (folder / f"{source.stem}-third.toml").write_text(thin_out(site, 1 / 3))
+    if count_hosts(site) >= 60:
+        (folder / f"{source.stem}-third.toml").write_text(scale_down(site, 1 / 3))
     for shape in SHAPES:
         (folder / f"{source.stem}-{shape}.toml").write_text(derive(site, shape))
 
--- a/tests/soak/faulty_link.py
+++ b/tests/soak/faulty_link.py
@@ -1,15 +1,16 @@
-"""A loopback proxy that harms what passes: late, reset, silent, or one way only."""
+"""A loopback TCP proxy that injects network faults: delays, resets, and stalls in one or both directions."""
 
 import socket
 import struct
 import threading
 import time
 
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class FaultyLink:
-    """Passes bytes from its own address to `target`. `mode`: pass, late, reset, silent, one_way (nothing comes back)."""
+    """Forwards connections from its own address to `target`. `mode`: pass, late (delays data), reset (resets connections),
+    silent (holds data back), one_way (holds back data from the target)."""
 
     def __init__(self, address, target):
         self.target, self.mode = target, "pass"
@@ -33,7 +34,7 @@
         return address
 
     def set(self, mode):
-        """In force for what passes from now on; `reset` ends what is open as well."""
+        """Sets the mode for all data from now on; `reset` also resets open connections."""
         self.mode = mode
         if mode == "reset":
             with self.lock:
@@ -49,31 +50,31 @@
     @staticmethod
     def _reset(connection):
         try:
-            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
+            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             connection.shutdown(socket.SHUT_RDWR)
             connection.close()
         except OSError:
-            pass  # It has ended by itself.
+            pass  # The connection is already closed.
 
     def _accept(self, listener):
         while True:
             try:
-                near, _ = listener.accept()
+                client_side, _ = listener.accept()
             except OSError:
                 return
             if self.mode == "reset":
-                self._reset(near)
+                self._reset(client_side)
                 continue
             try:
-                far = socket.create_connection(self.target, timeout=5)
-                far.settimeout(None)
+                target_side = socket.create_connection(self.target, timeout=5)
+                target_side.settimeout(None)
             except OSError:
-                self._reset(near)
+                self._reset(client_side)
                 continue
             with self.lock:
-                self.open |= {near, far}
-            threading.Thread(target=self._pump, args=(near, far, False), daemon=True).start()
-            threading.Thread(target=self._pump, args=(far, near, True), daemon=True).start()
+                self.open |= {client_side, target_side}
+            threading.Thread(target=self._pump, args=(client_side, target_side, False), daemon=True).start()
+            threading.Thread(target=self._pump, args=(target_side, client_side, True), daemon=True).start()
 
     def _pump(self, source, sink, is_answer):
         try:
--- a/tests/standins/platform/delay_queue.h
+++ b/tests/standins/platform/delay_queue.h
@@ -11,8 +11,8 @@
 
 namespace medlarcroft::standins {
 
-/// @brief Runs tasks later on one thread, so that slow answers hold no listener
-/// thread.
+/// @brief Runs tasks after a delay on a thread of its own, so that delayed
+/// responses do not block the threads of the HTTP server.
 class DelayQueue {
  public:
   DelayQueue() : thread_([this] { Run(); }) {}
--- a/tests/standins/platform/fault_switch.h
+++ b/tests/standins/platform/fault_switch.h
@@ -11,23 +11,23 @@
 
 namespace medlarcroft::standins {
 
-/// @brief What the stand-in does wrong, set by `PUT /control/faults`.
+/// @brief Faults that the stand-in injects, set by `PUT /control/faults`.
 struct Faults {
-  bool is_down = false;              ///< Refuses with its word "not done".
-  std::chrono::milliseconds slow{};  ///< Effect and answer both come late.
-  /// So many commits and puts take effect, and their answer is lost.
+  bool is_down = false;  ///< Rejects all calls with `kNotDoneCode`.
+  std::chrono::milliseconds delay{};  ///< Delays both effect and response.
+  /// The next commits and puts that take effect but whose response is lost.
   std::uint64_t responses_to_drop = 0;
   bool has_stale_host_list = false;
 };
 
-/// @return nullopt when `body` is not what the route takes.
+/// @return nullopt when `body` is not a valid fault document.
 inline std::optional<Faults> ParseFaults(const std::string& body) {
   using nlohmann::json;
   try {
     const json value = json::parse(body);
     Faults faults;
     faults.is_down = value.value("down", false);
-    faults.slow =
+    faults.delay =
         std::chrono::milliseconds(value.value("slow_ms", std::int64_t{0}));
     faults.has_stale_host_list = value.value("stale_host_list", false);
     const json lost = value.value("answer_lost_after_effect", json(false));
@@ -43,7 +43,7 @@
   }
 }
 
-/// @brief The faults in force, shared by the listener's threads.
+/// @brief The active faults, shared by the threads of the HTTP server.
 class FaultSwitch {
  public:
   void Set(const Faults& faults) {
@@ -56,8 +56,8 @@
     return faults_;
   }
 
-  /// @return whether the answer to the write just done is to be lost.
-  bool TakeLostAnswer() {
+  /// @return whether the response to the write just done must be dropped.
+  bool ConsumeDroppedResponse() {
     const std::lock_guard lock(mutex_);
     if (faults_.responses_to_drop == 0) {
       return false;
--- a/tests/standins/platform/main.cc
+++ b/tests/standins/platform/main.cc
@@ -1,4 +1,5 @@
-// The platform's stand-in: table service, object store and host list in memory.
+// Stand-in for the platform: table service, object store and host list in
+// memory.
 
 #include <signal.h>
 
@@ -17,7 +18,12 @@
 using medlarcroft::standins::PlatformHandler;
 namespace options = boost::program_options;
 
-enum ExitCode { kDone = 0, kBadUsage = 2, kBadHostsFile = 3, kNoListener = 4 };
+enum ExitCode {
+  kSuccess = 0,
+  kBadUsage = 2,
+  kBadHostsFile = 3,
+  kListenFailed = 4
+};
 
 bool LoadHosts(const std::string& path, PlatformHandler& handler) {
   std::ostringstream text;
@@ -53,13 +59,13 @@
       {.address = values["listen"].as<std::string>()}, handler);
   if (!IsOk(started)) {
     std::cerr << R"({"error":"cannot-listen"})" << std::endl;
-    return kNoListener;
+    return kListenFailed;
   }
   const auto server = TakeValue(std::move(started));
   std::cout << R"({"port":)" << server->Port() << "}" << std::endl;
   WaitForStopSignal(signals);
   server->Stop();
-  return kDone;
+  return kSuccess;
 }
 
 }  // namespace
@@ -67,9 +73,9 @@
 int main(int argc, char** argv) {
   options::options_description description("standin-platform options");
   auto add = description.add_options();
-  add("help", "print this text");
+  add("help", "print this help");
   add("listen", options::value<std::string>()->default_value("127.0.0.1:0"),
-      "IP:port to serve; port 0 takes a free one");
+      "IP:port to listen on; port 0 selects a free port");
   add("hosts", options::value<std::string>(),
       "JSON file {\"hosts\":[{name,role,failure_domain,address,is_leaving}]}");
 
@@ -83,7 +89,7 @@
   }
   if (values.contains("help")) {
     std::cout << description;
-    return kDone;
+    return kSuccess;
   }
   return Run(values);
 }
--- a/tests/standins/platform/memory_platform.h
+++ b/tests/standins/platform/memory_platform.h
@@ -77,7 +77,8 @@
     hosts_ = std::move(hosts);
   }
 
-  /// @brief While stale, readers get the list as it was when this was set.
+  /// @brief While the list is stale, readers get its contents as of the first
+  /// call with `is_stale`.
   void SetHostListStale(bool is_stale) {
     const std::lock_guard lock(mutex_);
     if (!is_stale) {
--- a/tests/standins/platform/platform_handler.h
+++ b/tests/standins/platform/platform_handler.h
@@ -18,7 +18,8 @@
 
 namespace medlarcroft::standins {
 
-/// @brief The platform's HTTP interface over `MemoryPlatform`, with faults.
+/// @brief Serves `MemoryPlatform` over the platform's HTTP interface and
+/// injects faults.
 class PlatformHandler final : public adapters::HttpHandler {
  public:
   std::optional<adapters::HttpResponse> Handle(
@@ -31,12 +32,12 @@
     if (faults.is_down) {
       return Error(503, adapters::kNotDoneCode);
     }
-    if (faults.slow.count() == 0) {
+    if (faults.delay.count() == 0) {
       return HandleData(request);
     }
-    // The effect is as late as the answer: a write may land long after its
-    // sender has stopped waiting.
-    delays_.RunAfter(faults.slow, [this, request, responder] {
+    // The effect is delayed like the response: a write may take effect long
+    // after its sender has timed out.
+    delays_.RunAfter(faults.delay, [this, request, responder] {
       responder->Send(HandleData(request));
     });
     return std::nullopt;
@@ -105,7 +106,7 @@
   Response ReadRow(const Request& request) {
     ++reads_;
     return Json(
-        adapters::FormatRow(platform_.Read(RestOf(request, "/table/"))));
+        adapters::FormatRow(platform_.Read(PathAfter(request, "/table/"))));
   }
 
   Response ScanRows(const Request& request) {
@@ -127,20 +128,20 @@
       return Error(400, adapters::kNotDoneCode);
     }
     const auto outcome = platform_.Commit(*transaction);
-    return LostOr(Json(adapters::FormatOutcome(outcome)));
+    return ResponseUnlessDropped(Json(adapters::FormatOutcome(outcome)));
   }
 
   Response GetObject(const Request& request) {
     ++reads_;
-    auto bytes = platform_.GetObject(RestOf(request, "/objects/"));
+    auto bytes = platform_.GetObject(PathAfter(request, "/objects/"));
     return bytes ? Response{.status = 200, .body = *std::move(bytes)}
                  : Error(404, "no-such-object");
   }
 
   Response PutObject(const Request& request) {
     ++writes_;
-    platform_.PutObject(RestOf(request, "/objects/"), request.body);
-    return LostOr(Response{.status = 204});
+    platform_.PutObject(PathAfter(request, "/objects/"), request.body);
+    return ResponseUnlessDropped(Response{.status = 204});
   }
 
   Response ListHosts(const Request&) {
@@ -157,14 +158,15 @@
     return Response{.status = 204};
   }
 
-  /// @brief A lost answer shows as a gateway's timeout, at once, so that tests
-  /// need not wait for their own.
-  Response LostOr(Response response) {
-    return faults_.TakeLostAnswer() ? Error(504, "answer-lost")
-                                    : std::move(response);
+  /// @brief Reports a dropped response as an immediate gateway timeout (504),
+  /// so that tests need not wait for their own timeout.
+  Response ResponseUnlessDropped(Response response) {
+    return faults_.ConsumeDroppedResponse() ? Error(504, "answer-lost")
+                                            : std::move(response);
   }
 
-  static std::string RestOf(const Request& request, std::string_view prefix) {
+  static std::string PathAfter(const Request& request,
+                               std::string_view prefix) {
     return request.path.substr(prefix.size());
   }
 
--- a/tests/standins/target/fault_plan.cc
+++ b/tests/standins/target/fault_plan.cc
@@ -22,9 +22,9 @@
 constexpr std::array kBoolFields = {
     BoolField{"shed", &FaultPlan::shed},
     BoolField{"draining", &FaultPlan::draining},
-    BoolField{"truncated_answer", &FaultPlan::truncated_answer},
+    BoolField{"truncated_answer", &FaultPlan::truncated_response},
     BoolField{"silent_connections", &FaultPlan::silent_connections},
-    BoolField{"crossed_answer", &FaultPlan::crossed_answer},
+    BoolField{"crossed_answer", &FaultPlan::mismatched_response},
     BoolField{"run_twice", &FaultPlan::run_twice},
 };
 
@@ -60,8 +60,8 @@
     }
   }
   if (name == "lying_load") {
-    plan.lying_load = ReadNumber(value);
-    return plan.lying_load ? std::nullopt
+    plan.false_load = ReadNumber(value);
+    return plan.false_load ? std::nullopt
                            : std::optional(FaultPlanError::kWrongType);
   }
   return FaultPlanError::kUnknownField;
--- a/tests/standins/target/fault_plan.h
+++ b/tests/standins/target/fault_plan.h
@@ -11,24 +11,25 @@
 
 namespace medlarcroft::standins {
 
-/// @brief How the target misbehaves; all off at the start.
+/// @brief Faults that the target injects; none by default.
 struct FaultPlan {
   Duration latency{0};     ///< Added to each service time.
-  Duration cold_start{0};  ///< Answers are slow at first, for so long.
-  bool shed = false;       ///< Refuses every request, with its word for it.
-  bool draining = false;   ///< Refuses new requests, finishes the others.
-  bool truncated_answer = false;    ///< Answers stop half-way.
-  bool silent_connections = false;  ///< Those open now never answer again.
-  bool crossed_answer = false;      ///< Answers carry another request's id.
-  bool run_twice = false;           ///< Each request runs two times.
-  /// What /load says instead of the truth.
-  std::optional<std::uint32_t> lying_load;
+  Duration cold_start{0};  ///< How long responses are slower at first.
+  bool shed = false;       ///< Rejects every request as not run.
+  bool draining = false;   ///< Rejects new requests, finishes running ones.
+  bool truncated_response = false;  ///< Sends half of each response body.
+  bool silent_connections = false;  ///< Open connections stop responding.
+  bool mismatched_response =
+      false;               ///< Sends the response to the previous request.
+  bool run_twice = false;  ///< Records each request as run twice.
+  /// Outstanding requests that /load reports instead of the actual number.
+  std::optional<std::uint32_t> false_load;
 };
 
-/// @brief Why a fault plan was not taken.
+/// @brief Why a fault plan was rejected.
 enum class FaultPlanError { kNotAnObject, kUnknownField, kWrongType };
 
-/// @param json an object; fields that it does not name are off.
+/// @param json an object; the faults that it does not name are off.
 [[nodiscard]] Result<FaultPlan, FaultPlanError> ParseFaultPlan(
     std::string_view json);
 
--- a/tests/standins/target/main.cc
+++ b/tests/standins/target/main.cc
@@ -1,4 +1,4 @@
-// standin-target: what an owner of targets runs, for tests and the demo.
+// standin-target: a simple target for tests and the demo.
 #include <boost/program_options.hpp>
 #include <chrono>
 #include <csignal>
@@ -15,7 +15,7 @@
 
 namespace po = boost::program_options;
 
-/// In-flight work gets so long to end after SIGTERM.
+/// Time for requests in flight to finish after SIGTERM.
 constexpr auto kDrainLimit = std::chrono::seconds(5);
 constexpr int kExitBadUsage = 2;
 
@@ -29,19 +29,21 @@
   TargetOptions& options = line.options;
   po::options_description description("standin-target");
   auto add = description.add_options();
-  add("help", po::bool_switch(&line.wants_help), "this text");
-  add("listen", po::value(&options.listen), "IP:PORT; port 0 takes a free one");
-  add("name", po::value(&options.name), "target's name");
-  add("service", po::value(&options.service), "its service");
-  add("failure-domain", po::value(&options.failure_domain), "its place");
-  add("slots", po::value(&options.slots), "requests worked on at once");
+  add("help", po::bool_switch(&line.wants_help), "print this help");
+  add("listen", po::value(&options.listen),
+      "IP:PORT to listen on; port 0 selects a free port");
+  add("name", po::value(&options.name), "name of the target");
+  add("service", po::value(&options.service), "service of the target");
+  add("failure-domain", po::value(&options.failure_domain),
+      "failure domain of the target");
+  add("slots", po::value(&options.slots), "number of concurrent requests");
   add("service-time-ms", po::value(&line.service_time_ms),
       "mean of the exponential service time");
-  add("seed", po::value(&options.seed), "seed of the service times");
+  add("seed", po::value(&options.seed), "seed of the random service times");
   return description;
 }
 
-void AnnouncePort(const TargetOptions& options, std::uint16_t port) {
+void PrintPort(const TargetOptions& options, std::uint16_t port) {
   const nlohmann::json line = {{"target", options.name},
                                {"service", options.service},
                                {"failure_domain", options.failure_domain},
@@ -67,7 +69,7 @@
 }
 
 int Serve(const TargetOptions& options) {
-  // Before any thread starts, so that all of them inherit the mask.
+  // Must precede the start of threads, so that all of them inherit the mask.
   const sigset_t signals = BlockStopSignals();
   TargetHandler handler(options);
   const auto started = adapters::HttpServer::Start(
@@ -79,8 +81,8 @@
   }
 
   adapters::HttpServer& server = *ValueOf(started);
-  handler.WatchConnections(server.Counters().connections);
-  AnnouncePort(options, server.Port());
+  handler.SetConnectionCounter(server.Counters().connections);
+  PrintPort(options, server.Port());
   int signal = 0;
   sigwait(&signals, &signal);
 
--- a/tests/standins/target/run_ledger.cc
+++ b/tests/standins/target/run_ledger.cc
@@ -2,14 +2,14 @@
 
 namespace medlarcroft::standins {
 
-void RunLedger::RecordStart(const RunName& name, std::uint64_t times) {
-  const auto [found, is_new] = runs_.try_emplace(name);
+void RunLedger::RecordStart(const RunKey& key, std::uint64_t times) {
+  const auto [found, is_new] = runs_.try_emplace(key);
   found->second.started += times;
   if (!is_new) {
     return;
   }
 
-  order_.push_back(name);
+  order_.push_back(key);
   if (order_.size() > kMaxRuns) {
     runs_.erase(order_.front());
     order_.pop_front();
@@ -17,15 +17,15 @@
   }
 }
 
-void RunLedger::RecordCompletion(const RunName& name) {
-  const auto found = runs_.find(name);
+void RunLedger::RecordCompletion(const RunKey& key) {
+  const auto found = runs_.find(key);
   if (found != runs_.end()) {
     found->second.completed++;
   }
 }
 
-void RunLedger::RecordCancellation(const RunName& name) {
-  const auto found = runs_.find(name);
+void RunLedger::RecordCancellation(const RunKey& key) {
+  const auto found = runs_.find(key);
   if (found != runs_.end()) {
     found->second.cancelled++;
   }
--- a/tests/standins/target/run_ledger.h
+++ b/tests/standins/target/run_ledger.h
@@ -10,40 +10,41 @@
 
 namespace medlarcroft::standins {
 
-/// @brief What names a run: the idempotency key, or the path where a request
-/// has none.
-struct RunName {
+/// @brief Identifies a run by idempotency key and path; the key is empty for
+/// requests without one.
+struct RunKey {
   std::string idempotency_key;
   std::string path;
 
-  friend auto operator<=>(const RunName&, const RunName&) = default;
+  friend auto operator<=>(const RunKey&, const RunKey&) = default;
 };
 
-/// @brief How often one request ran.
-struct RunCount {
+/// @brief How often the requests of one key ran.
+struct RunCounts {
   std::uint64_t started = 0;
   std::uint64_t completed = 0;
   std::uint64_t cancelled = 0;
 };
 
-/// @brief Every run of the target, the truth that callers' claims are compared
-/// with. The oldest are dropped when there are more than `kMaxRuns`.
+/// @brief Records every run of the target, as the reference that outcomes
+/// reported to callers are compared with. Drops the oldest runs beyond
+/// `kMaxRuns`.
 class RunLedger {
  public:
   static constexpr std::size_t kMaxRuns = 500'000;
 
-  void RecordStart(const RunName& name, std::uint64_t times);
-  void RecordCompletion(const RunName& name);
-  void RecordCancellation(const RunName& name);
+  void RecordStart(const RunKey& key, std::uint64_t times);
+  void RecordCompletion(const RunKey& key);
+  void RecordCancellation(const RunKey& key);
 
-  [[nodiscard]] const std::map<RunName, RunCount>& Runs() const {
+  [[nodiscard]] const std::map<RunKey, RunCounts>& Runs() const {
     return runs_;
   }
   [[nodiscard]] std::uint64_t Dropped() const { return dropped_; }
 
  private:
-  std::map<RunName, RunCount> runs_;
-  std::deque<RunName> order_;
+  std::map<RunKey, RunCounts> runs_;
+  std::deque<RunKey> order_;
   std::uint64_t dropped_ = 0;
 };
 
--- a/tests/standins/target/target_handler.cc
+++ b/tests/standins/target/target_handler.cc
@@ -16,10 +16,11 @@
 namespace {
 
 constexpr std::size_t kMaxBodyBytes = 1024 * 1024;
-/// A drawn service time is at most this many means: the tail stays bounded.
-constexpr double kLongestServiceTimes = 10.0;
-/// How much slower the first answer after a cold start is.
-constexpr double kColdFactor = 5.0;
+/// Longest random service time, as a multiple of the mean: bounds the tail of
+/// the exponential distribution.
+constexpr double kMaxServiceTimeInMeans = 10.0;
+/// Factor by which the first response after a cold start is slower.
+constexpr double kColdStartSlowdown = 5.0;
 constexpr std::string_view kRequestIdHeader = "Medlar-Request-Id";
 
 HttpResponse MakeJson(int status, const json& body) {
@@ -32,8 +33,9 @@
   return std::string(request.headers.Find(name).value_or(""));
 }
 
-/// @return the time left, or the longest there is when none is named.
-Duration RemainingOf(const HttpRequest& request) {
+/// @return the time until the request's deadline, at most one hour, which is
+/// also the value for a missing or malformed header.
+Duration RemainingTimeOf(const HttpRequest& request) {
   const std::string text = HeaderOf(request, "Medlar-Deadline-Ms");
   std::int64_t milliseconds = 0;
   const char* end = text.data() + text.size();
@@ -72,8 +74,8 @@
     const std::shared_ptr<adapters::Responder>& responder) {
   {
     const std::lock_guard lock(mutex_);
-    if (IsSilent(request.connection_id)) {
-      work_.HoldSilently(responder);
+    if (IsSilentConnection(request.connection_id)) {
+      work_.HoldUnanswered(responder);
       return std::nullopt;
     }
   }
@@ -101,7 +103,7 @@
   const std::size_t outstanding = work_.Outstanding();
   const std::lock_guard lock(mutex_);
   return MakeJson(
-      200, {{"outstanding", faults_.lying_load.value_or(
+      200, {{"outstanding", faults_.false_load.value_or(
                                 static_cast<std::uint32_t>(outstanding))},
             {"slots", options_.slots},
             {"draining", faults_.draining}});
@@ -110,9 +112,9 @@
 HttpResponse TargetHandler::ListRuns(const HttpRequest& /*request*/) {
   const std::lock_guard lock(mutex_);
   json runs = json::array();
-  for (const auto& [name, count] : runs_.Runs()) {
-    runs.push_back({{"idempotency_key", name.idempotency_key},
-                    {"path", name.path},
+  for (const auto& [key, count] : runs_.Runs()) {
+    runs.push_back({{"idempotency_key", key.idempotency_key},
+                    {"path", key.path},
                     {"count", count.started},
                     {"completed", count.completed},
                     {"cancelled", count.cancelled}});
@@ -139,23 +141,23 @@
   const std::lock_guard lock(mutex_);
   faults_ = ValueOf(parsed);
   faults_set_at_ = std::chrono::steady_clock::now();
-  // A connection that went silent stays so, also when the fault is reset.
+  // A silent connection stays silent after the fault is cleared.
   if (faults_.silent_connections && connections_ != nullptr) {
     last_silent_connection_ = *connections_;
-    control_connection_ = request.connection_id;
+    exempt_connection_ = request.connection_id;
   }
   return MakeJson(200, {{"target", options_.name}});
 }
 
-bool TargetHandler::IsSilent(std::uint64_t connection_id) const {
+bool TargetHandler::IsSilentConnection(std::uint64_t connection_id) const {
   return connection_id <= last_silent_connection_ &&
-         connection_id != control_connection_;
+         connection_id != exempt_connection_;
 }
 
 std::optional<HttpResponse> TargetHandler::Serve(
     const HttpRequest& request,
     const std::shared_ptr<adapters::Responder>& responder) {
-  const Duration remaining = RemainingOf(request);
+  const Duration remaining = RemainingTimeOf(request);
   const std::lock_guard lock(mutex_);
   counters_.requests++;
   if (faults_.draining) {
@@ -175,18 +177,19 @@
     Duration remaining,
     const std::shared_ptr<adapters::Responder>& responder) {
   const SteadyTime now = std::chrono::steady_clock::now();
-  const Identity identity{.request_id = HeaderOf(request, kRequestIdHeader),
-                          .path = request.raw_target,
-                          .body_hash = load_generator::HashBody(request.body)};
-  const RunName run{.idempotency_key = HeaderOf(request, "Idempotency-Key"),
-                    .path = request.path};
+  const RequestIdentity identity{
+      .request_id = HeaderOf(request, kRequestIdHeader),
+      .path = request.raw_target,
+      .body_hash = load_generator::HashBody(request.body)};
+  const RunKey run{.idempotency_key = HeaderOf(request, "Idempotency-Key"),
+                   .path = request.path};
   const bool is_started = work_.TryStart(
       {.ends_at = now + DrawServiceTime(),
        .deadline_at = now + remaining,
        .responder = responder,
        .finish = [this, identity, run, responder,
-                  connection_id = request.connection_id](WorkEnd end) {
-         Finish(identity, run, connection_id, responder, end);
+                  connection_id = request.connection_id](WorkOutcome outcome) {
+         Finish(identity, run, connection_id, responder, outcome);
        }});
   if (!is_started) {
     return Shed("no-slot");
@@ -200,36 +203,37 @@
   HttpResponse response =
       MakeJson(503, {{"code", code}, {"target", options_.name}});
   response.headers.Add("Medlar-Target-Not-Run", "1");
-  AddLeavingSign(response);
+  AddDrainingHeader(response);
   return response;
 }
 
 void TargetHandler::Finish(
-    const Identity& identity,
-    const RunName& run,
+    const RequestIdentity& identity,
+    const RunKey& run,
     std::uint64_t connection_id,
     const std::shared_ptr<adapters::Responder>& responder,
-    WorkEnd end) {
+    WorkOutcome outcome) {
   const std::lock_guard lock(mutex_);
-  if (end != WorkEnd::kDone) {
+  if (outcome != WorkOutcome::kDone) {
     runs_.RecordCancellation(run);
-    (end == WorkEnd::kCancelled ? counters_.cancelled
-                                : counters_.deadlines_passed)++;
+    (outcome == WorkOutcome::kCancelled ? counters_.cancelled
+                                        : counters_.deadlines_passed)++;
     responder->Send(MakeJson(504, {{"code", "deadline-passed"}}));
     return;
   }
 
   runs_.RecordCompletion(run);
   counters_.completed++;
-  if (IsSilent(connection_id)) {
-    work_.HoldSilently(responder);
+  if (IsSilentConnection(connection_id)) {
+    work_.HoldUnanswered(responder);
     return;
   }
-  responder->Send(MakeAnswer(faults_.crossed_answer ? previous_ : identity));
+  responder->Send(
+      MakeResponse(faults_.mismatched_response ? previous_ : identity));
   previous_ = identity;
 }
 
-HttpResponse TargetHandler::MakeAnswer(const Identity& identity) {
+HttpResponse TargetHandler::MakeResponse(const RequestIdentity& identity) {
   HttpResponse response = MakeJson(200, {{"target", options_.name},
                                          {"service", options_.service},
                                          {"request_id", identity.request_id},
@@ -237,8 +241,8 @@
                                          {"body_hash", identity.body_hash}});
   response.headers.Add(kRequestIdHeader, identity.request_id);
   response.headers.Add("Medlar-Target", options_.name);
-  AddLeavingSign(response);
-  if (faults_.truncated_answer) {
+  AddDrainingHeader(response);
+  if (faults_.truncated_response) {
     const std::size_t half = response.body.size() / 2;
     response.missing_bytes = response.body.size() - half;
     response.body.resize(half);
@@ -246,7 +250,7 @@
   return response;
 }
 
-void TargetHandler::AddLeavingSign(HttpResponse& response) const {
+void TargetHandler::AddDrainingHeader(HttpResponse& response) const {
   if (faults_.draining) {
     response.headers.Add("Medlar-Target-Draining", "1");
   }
@@ -255,11 +259,11 @@
 Duration TargetHandler::DrawServiceTime() {
   std::exponential_distribution<double> draw(1.0);
   double seconds = ToSeconds(options_.mean_service_time) *
-                   std::min(draw(random_), kLongestServiceTimes);
+                   std::min(draw(random_), kMaxServiceTimeInMeans);
   const Duration since = std::chrono::steady_clock::now() - faults_set_at_;
   if (since < faults_.cold_start) {
     const double left = 1.0 - ToSeconds(since) / ToSeconds(faults_.cold_start);
-    seconds *= 1.0 + (kColdFactor - 1.0) * left;
+    seconds *= 1.0 + (kColdStartSlowdown - 1.0) * left;
   }
   return FromSeconds(seconds) + faults_.latency;
 }
--- a/tests/standins/target/target_handler.h
+++ b/tests/standins/target/target_handler.h
@@ -17,7 +17,7 @@
 
 namespace medlarcroft::standins {
 
-/// @brief What the target is.
+/// @brief Configuration of a target.
 struct TargetOptions {
   std::string listen = "127.0.0.1:0";
   std::string name = "target";
@@ -28,8 +28,8 @@
   std::uint64_t seed = 1;
 };
 
-/// @brief A back end as its owner runs it: bounded slots, shedding with its own
-/// word that nothing ran, and faults on demand.
+/// @brief A target with a bounded number of slots. It sheds excess requests
+/// with a header stating that they did not run, and injects faults on request.
 class TargetHandler final : public adapters::HttpHandler {
  public:
   explicit TargetHandler(const TargetOptions& options);
@@ -41,8 +41,8 @@
   [[nodiscard]] std::size_t MaxBodyBytes(
       const adapters::HttpRequest& request) const override;
 
-  /// @brief Where the number of connections accepted so far comes from.
-  void WatchConnections(const std::atomic<std::uint64_t>& connections) {
+  /// @brief Sets the counter of connections accepted so far.
+  void SetConnectionCounter(const std::atomic<std::uint64_t>& connections) {
     connections_ = &connections;
   }
 
@@ -55,8 +55,8 @@
   struct ControlRoute;
   static const ControlRoute kControlRoutes[];
 
-  /// What an answer has to tell its caller about the request.
-  struct Identity {
+  /// Properties of a request that its response repeats.
+  struct RequestIdentity {
     std::string request_id;
     std::string path;
     std::string body_hash;
@@ -83,15 +83,15 @@
       Duration remaining,
       const std::shared_ptr<adapters::Responder>& responder);
   adapters::HttpResponse Shed(std::string_view code);
-  void Finish(const Identity& identity,
-              const RunName& run,
+  void Finish(const RequestIdentity& identity,
+              const RunKey& run,
               std::uint64_t connection_id,
               const std::shared_ptr<adapters::Responder>& responder,
-              WorkEnd end);
-  adapters::HttpResponse MakeAnswer(const Identity& identity);
-  void AddLeavingSign(adapters::HttpResponse& response) const;
+              WorkOutcome outcome);
+  adapters::HttpResponse MakeResponse(const RequestIdentity& identity);
+  void AddDrainingHeader(adapters::HttpResponse& response) const;
   Duration DrawServiceTime();
-  [[nodiscard]] bool IsSilent(std::uint64_t connection_id) const;
+  [[nodiscard]] bool IsSilentConnection(std::uint64_t connection_id) const;
 
   const TargetOptions options_;
   const std::atomic<std::uint64_t>* connections_ = nullptr;
@@ -101,13 +101,13 @@
   FaultPlan faults_;
   SteadyTime faults_set_at_;
   std::uint64_t last_silent_connection_ = 0;
-  std::uint64_t control_connection_ = 0;
+  std::uint64_t exempt_connection_ = 0;
   RunLedger runs_;
   Counters counters_;
-  /// Of the request answered before; at first one that nobody sent.
-  Identity previous_{.request_id = "nobody", .path = "/nobody"};
+  /// Identity of the request answered last; initially a placeholder.
+  RequestIdentity previous_{.request_id = "nobody", .path = "/nobody"};
 
-  // Last: its thread uses the members above until it is joined.
+  // Must be the last member: its thread uses the members above until joined.
   WorkQueue work_;
 };
 
--- a/tests/standins/target/work_queue.cc
+++ b/tests/standins/target/work_queue.cc
@@ -7,16 +7,16 @@
 
 namespace {
 
-/// How often callers are checked for having gone.
-constexpr auto kLookInterval = std::chrono::milliseconds(5);
+/// How often callers are checked for a closed connection.
+constexpr auto kDisconnectPollInterval = std::chrono::milliseconds(5);
 
-WorkEnd EndOf(const Work& work, SteadyTime now) {
+WorkOutcome OutcomeOf(const Work& work, SteadyTime now) {
   if (work.responder->IsClientDisconnected()) {
-    return WorkEnd::kCancelled;
+    return WorkOutcome::kCancelled;
   }
   return now >= work.deadline_at && work.deadline_at < work.ends_at
-             ? WorkEnd::kDeadlinePassed
-             : WorkEnd::kDone;
+             ? WorkOutcome::kDeadlinePassed
+             : WorkOutcome::kDone;
 }
 
 }  // namespace
@@ -50,10 +50,10 @@
   return active_.size();
 }
 
-void WorkQueue::HoldSilently(std::shared_ptr<adapters::Responder> responder) {
+void WorkQueue::HoldUnanswered(std::shared_ptr<adapters::Responder> responder) {
   {
     const std::lock_guard lock(mutex_);
-    silent_.push_back(std::move(responder));
+    unanswered_.push_back(std::move(responder));
   }
   changed_.notify_one();
 }
@@ -61,52 +61,54 @@
 void WorkQueue::Run() {
   std::unique_lock lock(mutex_);
   while (!is_stopping_) {
-    if (active_.empty() && silent_.empty()) {
+    if (active_.empty() && unanswered_.empty()) {
       changed_.wait(lock);
       continue;
     }
-    changed_.wait_until(lock, NextLook());
-    ReleaseAbandoned();
+    changed_.wait_until(lock, NextWakeUp());
+    CloseAbandoned();
     const SteadyTime now = std::chrono::steady_clock::now();
-    std::list<Work> ended = TakeEnded(now);
+    std::list<Work> finished = ExtractFinished(now);
     lock.unlock();
-    for (Work& work : ended) {
-      work.finish(EndOf(work, now));
+    for (Work& work : finished) {
+      work.finish(OutcomeOf(work, now));
     }
     lock.lock();
   }
 }
 
-std::list<Work> WorkQueue::TakeEnded(SteadyTime now) {
-  std::list<Work> ended;
+std::list<Work> WorkQueue::ExtractFinished(SteadyTime now) {
+  std::list<Work> finished;
   for (auto work = active_.begin(); work != active_.end();) {
     const auto next = std::next(work);
     if (now >= std::min(work->ends_at, work->deadline_at) ||
         work->responder->IsClientDisconnected()) {
-      ended.splice(ended.end(), active_, work);
+      finished.splice(finished.end(), active_, work);
     }
     work = next;
   }
-  return ended;
+  return finished;
 }
 
-SteadyTime WorkQueue::NextLook() const {
-  SteadyTime next = std::chrono::steady_clock::now() + kLookInterval;
+SteadyTime WorkQueue::NextWakeUp() const {
+  SteadyTime next = std::chrono::steady_clock::now() + kDisconnectPollInterval;
   for (const Work& work : active_) {
     next = std::min({next, work.ends_at, work.deadline_at});
   }
   return next;
 }
 
-void WorkQueue::ReleaseAbandoned() {
-  silent_.remove_if([](const std::shared_ptr<adapters::Responder>& responder) {
-    if (!responder->IsClientDisconnected()) {
-      return false;
-    }
-    // Nobody reads this; it lets the listener close its side.
-    responder->Send({.status = 503});
-    return true;
-  });
+void WorkQueue::CloseAbandoned() {
+  unanswered_.remove_if(
+      [](const std::shared_ptr<adapters::Responder>& responder) {
+        if (!responder->IsClientDisconnected()) {
+          return false;
+        }
+        // The caller does not read this response; it lets the HTTP server close
+        // its side of the connection.
+        responder->Send({.status = 503});
+        return true;
+      });
 }
 
 }  // namespace medlarcroft::standins
--- a/tests/standins/target/work_queue.h
+++ b/tests/standins/target/work_queue.h
@@ -16,19 +16,19 @@
 
 using SteadyTime = std::chrono::steady_clock::time_point;
 
-/// @brief How a piece of work ended.
-enum class WorkEnd { kDone, kDeadlinePassed, kCancelled };
+/// @brief Outcome of a request in a slot.
+enum class WorkOutcome { kDone, kDeadlinePassed, kCancelled };
 
-/// @brief One request that holds a slot until a point in time.
+/// @brief A request that occupies a slot until `ends_at` or `deadline_at`.
 struct Work {
   SteadyTime ends_at;
   SteadyTime deadline_at = SteadyTime::max();
   std::shared_ptr<adapters::Responder> responder;
-  std::function<void(WorkEnd)> finish;
+  std::function<void(WorkOutcome)> finish;
 };
 
-/// @brief Times the work of all slots on one thread. Work whose caller closes
-/// its connection is ended at once and frees its slot.
+/// @brief Times the requests of all slots on one thread. A request whose caller
+/// closes its connection is cancelled at once and frees its slot.
 class WorkQueue {
  public:
   explicit WorkQueue(std::size_t slots);
@@ -36,24 +36,24 @@
   WorkQueue(const WorkQueue&) = delete;
   WorkQueue& operator=(const WorkQueue&) = delete;
 
-  /// @return false when all slots are taken; `finish` is not called then.
+  /// @return false when all slots are taken; `finish` is then not called.
   [[nodiscard]] bool TryStart(Work work);
   [[nodiscard]] std::size_t Outstanding() const;
 
-  /// @brief Keeps a request unanswered until its caller has gone.
-  void HoldSilently(std::shared_ptr<adapters::Responder> responder);
+  /// @brief Leaves a request unanswered until its caller closes the connection.
+  void HoldUnanswered(std::shared_ptr<adapters::Responder> responder);
 
  private:
   void Run();
-  std::list<Work> TakeEnded(SteadyTime now);
-  [[nodiscard]] SteadyTime NextLook() const;
-  void ReleaseAbandoned();
+  std::list<Work> ExtractFinished(SteadyTime now);
+  [[nodiscard]] SteadyTime NextWakeUp() const;
+  void CloseAbandoned();
 
   const std::size_t slots_;
   mutable std::mutex mutex_;
   std::condition_variable changed_;
   std::list<Work> active_;
-  std::list<std::shared_ptr<adapters::Responder>> silent_;
+  std::list<std::shared_ptr<adapters::Responder>> unanswered_;
   bool is_stopping_ = false;
   std::thread thread_;
 };
--- a/tests/system/bad_input_test.py
+++ b/tests/system/bad_input_test.py
@@ -1,5 +1,5 @@
-"""What malformed, oversized, forged and slow input does on real processes: each is refused
-with a type and counted, and normal callers beside it lose nothing."""
+"""Tests malformed, oversized, forged and slow input to real processes: each is rejected with
+an error code and counted, and concurrent normal callers are not affected."""
 
 import json
 import random
@@ -12,7 +12,7 @@
 from deployment import http, stop_all
 from small_deployment import SERVICES, TOKEN, start_small_deployment
 
-KEYED = {service: mode != "none" for service, (_, mode, _, _) in SERVICES.items()}
+USES_KEYS = {service: mode != "none" for service, (_, mode, _, _) in SERVICES.items()}
 NETWORK = 62
 HOST = "south-a-1"
 MAX_REQUEST_BYTES = 16384
@@ -23,7 +23,7 @@
 
 
 class BadInputTest(unittest.TestCase):
-    """One deployment for all tests; normal callers run beside each."""
+    """All tests share one deployment; normal callers run during each test."""
 
     @classmethod
     def setUpClass(cls):
@@ -38,7 +38,7 @@
         stop_all(cls.state)
 
     def setUp(self):
-        self.callers = Callers(self.state, KEYED, threads=4, seed=11)
+        self.callers = Callers(self.state, USES_KEYS, threads=4, seed=11)
         self.callers.__enter__()
 
     def tearDown(self):
@@ -48,7 +48,7 @@
                          len(self.callers.orders))
         self.assertGreater(self.callers.lookups["answered"], 10)
         self.assertEqual(self.callers.lookups["failed"] + self.callers.lookups["refused"], 0)
-        self.assertEqual(self.callers.cut, 0)
+        self.assertEqual(self.callers.lost_connections, 0)
 
     def send(self, service="desk", method="GET", body=None, **headers):
         fields = {"Medlar-Brand": "brand-a"} | {
@@ -78,16 +78,16 @@
             connection.sendall(data)
             return connection.recv(65536).decode(errors="replace")
 
-    # A caller sends a head that is larger than any of ours. It is refused before it takes
-    # more than its connection's fixed memory.
+    # A request head exceeds the size limit. It must be rejected before it uses more than the
+    # fixed buffer of its connection.
     def test_oversized_head(self):
         head = "GET /v1/services/desk/menu HTTP/1.1\r\nHost: a\r\nX-Large: %s\r\n\r\n"
         self.assertRegex(self.raw((head % ("x" * 100000)).encode()), "^HTTP/1.1 431 ")
         line = "GET /v1/services/desk/%s HTTP/1.1\r\nHost: a\r\n\r\n" % ("y" * 100000)
         self.assertRegex(self.raw(line.encode()), "^HTTP/1.1 (414|431) ")
 
-    # A body above the class's limit is read to its end and dropped, so the caller gets its
-    # refusal and not a reset; nothing is sent to a target.
+    # A body above the limit of its request class is read to its end and discarded, so that the
+    # caller receives the error response instead of a connection reset. No target receives it.
     def test_oversized_body(self):
         before = self.count(self.entry, "medlar_http_bodies_too_large_total")
         answer = self.send("ledger", "POST", b"x" * (MAX_REQUEST_BYTES + 1),
@@ -96,8 +96,8 @@
         self.assertEqual(self.count(self.entry, "medlar_http_bodies_too_large_total"),
                          before + 1)
 
-    # Fields that callers get wrong or forge. Each has a type of its own, says that nothing
-    # ran, and is counted.
+    # Callers send malformed or forged header fields. Each error has its own code, states that
+    # nothing ran, and is counted.
     def test_bad_fields(self):
         cases = [({"Medlar_Deadline_Ms": value}, 400, "bad-deadline")
                  for value in ("", "x", "-1", "0", "1.5", "99999999999999999999")]
@@ -113,8 +113,8 @@
         self.assertGreaterEqual(self.count(self.entry, "medlar_http_client_errors_total"),
                                 before + len(cases))
 
-    # A caller names a client that is no address. An answer for some other place would look
-    # like one for this client, so it is refused with a type of its own.
+    # A look-up names a client that is not a valid address. A response for another location
+    # would look like one for this client, so it is rejected with its own error code.
     def test_bad_client_address(self):
         path = f"{self.steer}/v1/lookup?service=desk&brand=brand-a"
         for client, status in (("999.1.1.1", 400), ("", 400), ("x", 400), ("10.1.2.3", 200), (None, 200)):
@@ -124,21 +124,21 @@
                 if status == 400:
                     self.assertEqual(answer[2]["code"], "bad-client-address")
 
-    # Keys that are missing, malformed, altered or used for another body. None may run; a key
-    # that was altered in one place must not pass for one of ours.
+    # Idempotency keys are missing, malformed, altered or reused for another body. None of these
+    # requests may run; a key altered in one character must not be accepted.
     def test_bad_keys(self):
         self.assert_refused(self.send("ledger", "POST", b"{}"), 400, "missing-key")
         good = self.key()
-        chance = random.Random(1)
+        rng = random.Random(1)
         for _ in range(40):
-            place = chance.randrange(len(good))
-            letter = chance.choice([c for c in "0123456789abcdefABCDEF" if c.lower() !=
+            place = rng.randrange(len(good))
+            character = rng.choice([c for c in "0123456789abcdefABCDEF" if c.lower() !=
                                     good[place].lower()])
-            forged = good[:place] + letter + good[place + 1:]
+            forged = good[:place] + character + good[place + 1:]
             status, head, body = self.send("ledger", "POST", b"{}", Idempotency_Key=forged)
             self.assertIn((status, body["code"]), ((400, "bad-key"), (410, "key-expired")))
-            # One that has a key's form may have been signed with a secret that was replaced,
-            # or be of a later version: then nothing is proved.
+            # A well-formed key may have been signed with a replaced secret or have a later
+            # version: then the host cannot know whether the request ran.
             if WELL_FORMED_KEY.fullmatch(forged):
                 self.assertEqual(head["Medlar-Outcome"], "unknown")
             self.assertIn(head["Medlar-Outcome"], ("unknown", "not-run"))
@@ -149,8 +149,8 @@
         status, _, body = self.send("ledger", "POST", b'{"a":2}', Idempotency_Key=good)
         self.assertEqual((status, body["code"]), (422, "key-reused"))
 
-    # An operator's tool sends what is no entry. It is refused with a type, and the revision
-    # stays what it was.
+    # An operator's tool sends invalid catalogue entries. They are rejected with an error code,
+    # and the catalogue revision does not change.
     def test_bad_catalogue_documents(self):
         url = self.steer + "/v1/catalogue/service.desk"
         revision = http("GET", self.steer + "/v1/status")[2]["catalogue"]["revision"]
@@ -166,19 +166,19 @@
         self.assertEqual(http("GET", self.steer + "/v1/status")[2]["catalogue"]["revision"],
                          revision)
 
-    # Random bytes and frames that announce too much come to the listeners between our own
-    # processes. Each such connection is closed and counted; the others go on.
+    # Internal listeners receive random bytes and frames that announce an excessive length. Each
+    # such connection is closed and counted; other connections are not affected.
     def test_bad_frames(self):
-        chance = random.Random(2)
+        rng = random.Random(2)
         listeners = {17002: self.steer, 17003: self.steer, 17004: self.entry}
         name = "medlar_thrift_bad_frames_total"
         before = {port: self.count(url, name) for port, url in listeners.items()}
         for port, url in listeners.items():
             with self.subTest(port=port):
                 for number in range(20):
-                    noise = chance.randbytes(200)
-                    data = (b"\xff\xff\xff\xff" + noise, b"\x00\x00\x00\x00",
-                            len(noise).to_bytes(4, "big") + noise)[number % 3]
+                    random_bytes = rng.randbytes(200)
+                    data = (b"\xff\xff\xff\xff" + random_bytes, b"\x00\x00\x00\x00",
+                            len(random_bytes).to_bytes(4, "big") + random_bytes)[number % 3]
                     with self.open(port) as connection:
                         connection.sendall(data)
                         try:
@@ -188,8 +188,8 @@
                             pass
                 self.assertGreaterEqual(self.count(url, name), before[port] + 13)
 
-    # Many connections stay idle or send a byte at a time. They hold no thread, so callers
-    # beside them are served as before.
+    # Many connections stay idle or send one byte at a time. They must not block a thread, so
+    # other callers are served as usual.
     def test_slow_and_idle_connections(self):
         connections = [self.open(17010) for _ in range(400)]
         head = b"GET /v1/services/desk/menu HTTP/1.1\r\n"
--- a/tests/system/callers.py
+++ b/tests/system/callers.py
@@ -1,5 +1,5 @@
-"""Callers that behave as ours do: they keep look-up answers, try the next host, and ask
-again with the same idempotency key until they know what became of an order."""
+"""Callers that behave like real clients: they use look-up responses, try the next host on
+failure, and repeat an order with the same idempotency key until they know its outcome."""
 
 import collections
 import random
@@ -12,7 +12,7 @@
 
 
 class Order:
-    """One non-idempotent request and everything that was said of it."""
+    """A non-idempotent request and all outcomes reported for it."""
 
     def __init__(self, key):
         self.key = key
@@ -21,7 +21,7 @@
 
 
 class Callers:
-    """Some threads that send look-ups and orders until they are told to stop."""
+    """Threads that send look-ups and orders until they are stopped."""
 
     def __init__(self, state, services, threads=6, seed=1):
         self.state = state
@@ -30,7 +30,7 @@
         self.orders = []
         self.lookups = {"answered": 0, "refused": 0, "failed": 0}
         self.codes = collections.Counter()
-        self.cut = 0
+        self.lost_connections = 0
         self.lock = threading.Lock()
         self.is_stopping = threading.Event()
         self.threads = [threading.Thread(target=self._run, args=(random.Random(seed + n),))
@@ -46,22 +46,22 @@
         for thread in self.threads:
             thread.join()
 
-    def _run(self, chance):
+    def _run(self, rng):
         while not self.is_stopping.is_set():
-            service, is_keyed = chance.choice(list(self.services.items()))
+            service, is_keyed = rng.choice(list(self.services.items()))
             try:
                 if is_keyed:
-                    self._order(service, chance)
+                    self._order(service, rng)
                 else:
-                    self._look_up(service, chance)
+                    self._look_up(service, rng)
             except OSError:
                 with self.lock:
                     self.lookups["failed"] += 1
             time.sleep(0.01)
 
-    def _hosts(self, service, chance):
-        """Asks the steerds in turn; a caller knows several of them."""
-        for steerd in chance.sample(self.state["steerd"], len(self.state["steerd"])):
+    def _look_up_hosts(self, service, rng):
+        """Requests entry hosts from the steerds in random order, until one responds."""
+        for steerd in rng.sample(self.state["steerd"], len(self.state["steerd"])):
             try:
                 status, _, answer = http(
                     "GET", f"{steerd['url']}/v1/lookup?service={service}&brand=brand-a",
@@ -72,9 +72,9 @@
                 return answer
         return {"entry_hosts": [], "idempotency_keys": []}
 
-    def _look_up(self, service, chance):
-        for host in self._hosts(service, chance)["entry_hosts"]:
-            url = f"http://{host['address']}/v1/services/{service}/menu?n={chance.random()}"
+    def _look_up(self, service, rng):
+        for host in self._look_up_hosts(service, rng)["entry_hosts"]:
+            url = f"http://{host['address']}/v1/services/{service}/menu?n={rng.random()}"
             try:
                 status, _, _ = http("GET", url, None,
                                     {"Medlar-Brand": "brand-a", "Medlar-Deadline-Ms": "2000"},
@@ -85,10 +85,10 @@
                 self.lookups["answered" if status == 200 else "refused"] += 1
             return
 
-    def _order(self, service, chance):
-        answer = self._hosts(service, chance)
+    def _order(self, service, rng):
+        answer = self._look_up_hosts(service, rng)
         hosts = answer["entry_hosts"]
-        keys = answer["idempotency_keys"] or self._ask_for_keys(service, hosts)
+        keys = answer["idempotency_keys"] or self._request_keys(service, hosts)
         if not keys:
             return
         order = Order(keys[0])
@@ -98,14 +98,14 @@
             host = hosts[attempt % len(hosts)]
             outcome = self._send(service, order, host)
             if outcome == "ran":
-                # A duplicate that comes late must get the same answer.
-                if chance.random() < 0.3:
+                # A late duplicate must get the same response.
+                if rng.random() < 0.3:
                     self._send(service, order, host)
                 return
             time.sleep(0.2)
 
     @staticmethod
-    def _ask_for_keys(service, hosts):
+    def _request_keys(service, hosts):
         for host in hosts:
             url = f"http://{host['address']}/v1/keys?service={service}"
             try:
@@ -133,12 +133,12 @@
             if outcome == "ran" and status == 200:
                 order.bodies.add(str(body))
             if outcome == "no-answer":
-                self.cut += 1
+                self.lost_connections += 1
         return outcome
 
 
 def runs_by_key(state):
-    """How often each key was started, over all targets."""
+    """Returns how often each key was started, over all targets."""
     runs = {}
     for target in state["targets"]:
         for run in http("GET", target["url"] + "/control/runs")[2]["runs"]:
@@ -148,25 +148,25 @@
 
 
 def check_orders(test, state, callers):
-    """Asserts the promises that hold whatever failed. Returns how many ran."""
+    """Asserts the guarantees that hold despite any failure. Returns the number of orders that ran."""
     runs = runs_by_key(state)
     orders = callers.orders
     for order in orders:
         count = runs.get(order.key, 0)
         test.assertLessEqual(count, 1, f"ran {count} times: {order.outcomes}")
         if "ran" in order.outcomes:
-            test.assertEqual(count, 1, f"said to have run: {order.outcomes}")
+            test.assertEqual(count, 1, f"reported as run: {order.outcomes}")
         if order.outcomes and order.outcomes[-1] == "not-run":
-            test.assertEqual(count, 0, f"said not to have run: {order.outcomes}")
-        test.assertLessEqual(len(order.bodies), 1, "a duplicate got another answer")
+            test.assertEqual(count, 0, f"reported as not run: {order.outcomes}")
+        test.assertLessEqual(len(order.bodies), 1, "a duplicate got a different response")
     ran = sum(1 for order in orders if "ran" in order.outcomes)
-    said = collections.Counter(outcome for order in orders for outcome in order.outcomes)
-    print(f"\n  {len(orders)} orders, {ran} ran; said: {dict(said)} {dict(callers.codes)};"
-          f" look-ups: {callers.lookups}; connections cut: {callers.cut}", flush=True)
+    outcomes_reported = collections.Counter(outcome for order in orders for outcome in order.outcomes)
+    print(f"\n  {len(orders)} orders, {ran} ran; outcomes: {dict(outcomes_reported)} {dict(callers.codes)};"
+          f" look-ups: {callers.lookups}; connections lost: {callers.lost_connections}", flush=True)
     return ran
 
 
-def sheds(state):
-    """Requests that targets refused because all slots were taken."""
+def shed_count(state):
+    """Returns the number of requests that targets rejected because all slots were taken."""
     return sum(http("GET", target["url"] + "/control/runs")[2]["shed"]
                for target in state["targets"])
--- a/tests/system/daemon_test.py
+++ b/tests/system/daemon_test.py
@@ -1,4 +1,4 @@
-"""One daemon alone: TLS, settings read again, a planned stop."""
+"""Tests a single daemon: TLS, reload of settings, planned stop."""
 
 import signal
 import ssl
@@ -14,7 +14,7 @@
 
 
 class DaemonTest(unittest.TestCase):
-    """A steerd without platform and peers; it answers, and says why it is not ready."""
+    """Runs a steerd without platform and peers, which responds but is not ready."""
 
     @classmethod
     def setUpClass(cls):
@@ -50,7 +50,7 @@
         (self.work / "steerd.yaml").write_text(yaml.safe_dump(settings))
 
     def get(self, path):
-        """The status, with the certificate checked against our own trust anchor."""
+        """Returns the status; verifies the certificate against the test's own trust anchor."""
         context = ssl.create_default_context(cafile=str(self.work / "cert.pem"))
         opener = urllib.request.build_opener(urllib.request.ProxyHandler({}),
                                              urllib.request.HTTPSHandler(context=context))
@@ -60,28 +60,28 @@
         except urllib.error.HTTPError as error:
             return error.code
 
-    def wait_logged(self, event):
+    def wait_for_event(self, event):
         wait_until(event, lambda: f'"event":"{event}"' in self.log.read_text())
 
-    # A host that knows nothing yet is alive, and not ready.
+    # A host without data is alive but not ready.
     def test_tls_and_readiness(self):
         self.assertEqual(self.get("/readyz"), 503)
 
-    # An operator edits the settings of a running daemon. Good ones are taken, a faulty file
-    # changes nothing, and the daemon serves on.
-    def test_settings_are_read_again(self):
+    # An operator edits the settings of a running daemon and sends SIGHUP. Valid settings are
+    # applied, a faulty file changes nothing, and the daemon continues to serve.
+    def test_settings_reload_on_sighup(self):
         self.process.send_signal(signal.SIGHUP)
-        self.wait_logged("settings-reloaded")
+        self.wait_for_event("settings-reloaded")
         self.write_settings(self.settings | {"no_such_setting": 1})
         self.process.send_signal(signal.SIGHUP)
-        self.wait_logged("settings-refused")
+        self.wait_for_event("settings-refused")
         self.assertIn("no_such_setting: unknown-key", self.log.read_text())
         self.assertEqual(self.get("/healthz"), 200)
 
-    def test_planned_stop_ends_with_status_0(self):
+    def test_planned_stop_exits_with_status_0(self):
         self.process.send_signal(signal.SIGTERM)
         self.assertEqual(self.process.wait(timeout=30), 0)
-        self.wait_logged("stopped")
+        self.wait_for_event("stopped")
 
 
 if __name__ == "__main__":
--- a/tests/system/platform_standins.py
+++ b/tests/system/platform_standins.py
@@ -1,4 +1,4 @@
-"""The platform's store and its targets, small, for tests of medlar-node on loopback."""
+"""Stand-ins for the platform's store and the targets, for tests of medlar-node on loopback."""
 
 import base64
 import json
@@ -18,7 +18,7 @@
         super().__init__(*args)
 
     def handle_error(self, *_):
-        """A caller that is gone is no news here."""
+        """Ignores errors of disconnected callers."""
 
     def process_request(self, request, client_address):
         self.connections.add(request)
@@ -29,7 +29,7 @@
         super().shutdown_request(request)
 
     def terminate(self):
-        """Acts like a killed process: closes open connections and refuses new ones."""
+        """Behaves like a killed process: closes open connections and refuses new ones."""
         self.shutdown()
         self.server_close()
         for connection in list(self.connections):
@@ -62,11 +62,12 @@
 
 
 class Store:
-    """Rows, conditions and feed. `refuse_with` is the status of every answer while it is set. While it `is_hung`,
-    connections stay up and calls are taken; those that arrive then are never answered, those held before are later."""
+    """A store with rows, preconditions and a change feed. While `error_status` is set, all responses have this status.
+    While `is_hung`, connections stay open and calls are accepted: calls that arrive in this time are never answered, and
+    calls held since before are answered afterwards."""
 
     def __init__(self, address):
-        self.refuse_with = None
+        self.error_status = None
         self.is_hung = False
         self.version = 0
         self.rows = {}  # (table, key) -> (value, version)
@@ -108,12 +109,12 @@
                     for (name, key), version in self.removed.items() if name == table and version > after]
         return [row for _, row in sorted(changed, key=lambda item: item[0])]
 
-    def _is_swallowed(self, handler):
+    def _is_call_dropped(self, handler):
         if not self.is_hung:
             return False
         handler.close_connection = True
         try:
-            handler.rfile.read(1)  # Until the caller gives the call up.
+            handler.rfile.read(1)  # Blocks until the caller closes the connection.
         except OSError:
             pass
         return True
@@ -121,10 +122,10 @@
     def _get(self, handler):
         url = urlsplit(handler.path)
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
-        if self._is_swallowed(handler):
+        if self._is_call_dropped(handler):
             return
-        if self.refuse_with:
-            handler.answer(self.refuse_with)
+        if self.error_status:
+            handler.answer(self.error_status)
             return
         with self.changed:
             after = 0
@@ -139,17 +140,17 @@
             if after == 0:
                 rows = [row for row in rows if not row.get("removed")]
             body = {"rows": rows, "has_more": False, "schema_version": self.version, "now": "0ms"}
-        if self.refuse_with:
-            handler.answer(self.refuse_with)
+        if self.error_status:
+            handler.answer(self.error_status)
             return
         handler.answer_json(body)
 
     def _post(self, handler):
         transaction = json.loads(handler.body())
-        if self._is_swallowed(handler):
+        if self._is_call_dropped(handler):
             return
-        if self.refuse_with:
-            handler.answer(self.refuse_with)
+        if self.error_status:
+            handler.answer(self.error_status)
             return
         with self.changed:
             versions = {(row["table"], row["key"]): row["schema_version"] for row in transaction.get("precondition", [])}
@@ -165,9 +166,9 @@
 
 
 class Target:
-    """One target. `mode`: ok, slow (answers after `delay_s`), cut (runs, then closes without an answer). A request
+    """One target. `mode`: ok, slow (responds after `delay_s`), cut (runs, then closes without a response). A request
     whose path is in `crash_paths` crashes the target, which restarts on the same address after `restart_delay_s`.
-    With `limit_per_s` set, answers declare that rate limit."""
+    While `limit_per_s` is set, responses declare that rate limit."""
 
     def __init__(self, store, name, service, domain, address, slots=2):
         self.store, self.name, self.slots = store, name, slots
@@ -176,8 +177,8 @@
         self.crash_paths, self.restart_delay_s = set(), 1.0
         self.on_crash = self.on_restart = None  # Used by a proxy in front of the target.
         self.base_name, self.crashes, self.terminated, self.is_stopped = name, 0, [], False
-        self.ran = []
-        self.ran_paths = []  # (time, path) pairs, kept across restarts.
+        self.executed_requests = []
+        self.executed_paths = []  # (time, path) pairs, kept across restarts.
         self.running = 0
         self.lock = threading.Lock()
         self.entry = {"address": "%s:%d" % address,
@@ -223,7 +224,7 @@
         if self.server not in self.terminated:
             self.server.terminate()
 
-    def leave(self):
+    def drain(self):
         self.entry["status"]["state"] = "draining"
         self.store.put_json("servers", self.name, self.entry)
 
@@ -236,8 +237,8 @@
             return
         with self.lock:
             self.running += 1
-            self.ran.append(request)
-            self.ran_paths.append((time.monotonic(), handler.path))
+            self.executed_requests.append(request)
+            self.executed_paths.append((time.monotonic(), handler.path))
             crashes = handler.path in self.crash_paths
         time.sleep(self.delay_s)
         with self.lock:
--- a/tests/system/rate_limit_test.py
+++ b/tests/system/rate_limit_test.py
@@ -1,4 +1,4 @@
-"""Runs medlar-node on loopback with a target that declares a rate limit for all hosts together."""
+"""Tests medlar-node on loopback with a target that declares a rate limit for all hosts together."""
 
 import http.client
 import pathlib
@@ -9,7 +9,7 @@
 
 import platform_test
 from platform_standins import Store, Target
-from platform_test import ROUTES, Node, configuration, wait_for
+from platform_test import ROUTES, Node, make_configuration, wait_for
 
 NET = platform_test.NET = "127.84"
 NODES, TARGETS = 6, 6
@@ -28,7 +28,7 @@
         self.addCleanup(self.folder.cleanup)
         self.store = Store((f"{NET}.0.1", 0))
         self.addCleanup(self.store.server.shutdown)
-        self.store.put_json("op", "config", configuration(1, ROUTES))
+        self.store.put_json("op", "config", make_configuration(1, ROUTES))
         self.targets = []
         for number in range(TARGETS):
             target = Target(self.store, f"desk-{number}", "desk", f"z{number % 2 + 1}",
@@ -66,12 +66,12 @@
         return statuses.count(200) / len(statuses)
 
     def arrivals(self, target, since):
-        return [at for at, _ in target.ran_paths if at >= since]
+        return [at for at, _ in target.executed_paths if at >= since]
 
     def test_nodes_together_respect_the_rate_limit_of_a_target(self):
         # Guards against each node applying the limit to its own requests only, which multiplies the total.
         self.send_for(3.0)
-        limited = max(self.targets, key=lambda target: len(target.ran_paths))
+        limited = max(self.targets, key=lambda target: len(target.executed_paths))
         limited.limit_per_s = LIMIT
         limited_at = time.monotonic()
         served = self.send_for(9.0)
--- a/tests/system/small_deployment.py
+++ b/tests/system/small_deployment.py
@@ -1,4 +1,4 @@
-"""A deployment of three failure domains for tests of real processes."""
+"""A deployment with three failure domains for system tests."""
 
 import json
 import pathlib
@@ -12,7 +12,7 @@
 from deployment import Deployment, stop_all  # noqa: E402
 
 DOMAINS = {"north-a": ("north", 1, 2), "north-b": ("north", 2, 1), "south-a": ("south", 3, 1)}
-# service: (class, key mode, deadline ms, service time ms)
+# Service: (request class, key mode, deadline ms, service time ms)
 SERVICES = {"desk": ("lookup", "none", 2000, 15), "ledger": ("order", "local", 5000, 15),
             "reserve": ("booking", "durable", 5000, 15)}
 SLOTS = 4
@@ -57,8 +57,8 @@
 
 
 def make_small_deployment(work, network, copies=1):
-    """Writes the deployment's files below `work`; its addresses are 127.{network}.*, and
-    each failure domain has `copies` targets of each service."""
+    """Writes the files of a deployment below `work`. Its addresses are 127.{network}.*, and each
+    failure domain has `copies` targets per service."""
     work = pathlib.Path(work)
     (work / "catalogue").mkdir(parents=True, exist_ok=True)
     files = []
@@ -83,7 +83,7 @@
 
 
 def start_small_deployment(name, network, copies=1):
-    """Starts a deployment below build/`name`; nothing of it is left when that fails."""
+    """Starts a deployment below build/`name`; stops all its processes if that fails."""
     work = ROOT / "build" / name
     for log in (work / "logs").glob("*.log"):
         log.unlink()
--- a/tests/unit/standins/target_handler_test.cc
+++ b/tests/unit/standins/target_handler_test.cc
@@ -19,8 +19,8 @@
 using adapters::TransportFailure;
 using nlohmann::json;
 
-/// Longer than a test waits for anything.
-constexpr std::string_view kEndless = R"({"latency_ms":60000})";
+/// Latency that exceeds the duration of any test.
+constexpr std::string_view kVeryLongLatency = R"({"latency_ms":60000})";
 
 class TargetHandlerTest : public testing::Test {
  protected:
@@ -32,7 +32,7 @@
         server_(TakeValue(
             HttpServer::Start({.address = "127.0.0.1:0", .threads = 1},
                               handler_))) {
-    handler_.WatchConnections(server_->Counters().connections);
+    handler_.SetConnectionCounter(server_->Counters().connections);
   }
 
   [[nodiscard]] ClientRequest Make(std::string_view path) const {
@@ -56,13 +56,13 @@
     return IsOk(result) ? ValueOf(result).status : 0;
   }
 
-  /// @brief Sends a request that holds its slot until it is cancelled.
-  HttpClient::RequestId Hold() {
+  /// @brief Sends a request that occupies its slot until it is cancelled.
+  HttpClient::RequestId SendHeldRequest() {
     return client_.Send(Make("/held"), [](const ClientResult&) {});
   }
 
-  void WaitForOutstanding(std::size_t wanted) {
-    while (handler_.Outstanding() != wanted) {
+  void WaitForOutstanding(std::size_t expected) {
+    while (handler_.Outstanding() != expected) {
       std::this_thread::yield();
     }
   }
@@ -72,7 +72,7 @@
   HttpClient client_{{}};
 };
 
-TEST_F(TargetHandlerTest, EchoesTheRequestAndRecordsItsRun) {
+TEST_F(TargetHandlerTest, EchoesRequestAndRecordsRun) {
   ClientRequest request = Make("/order?x=1");
   request.method = "POST";
   request.body = "hello";
@@ -90,12 +90,13 @@
   EXPECT_EQ(list->runs[0].count, 1U);
 }
 
-// More requests than slots: those beyond are refused with the target's own word
-// that they did not run, which lets the caller try elsewhere.
-TEST_F(TargetHandlerTest, ShedsBeyondItsSlotsAndFreesThemOnCancellation) {
-  SetFaults(kEndless);
-  const auto first = Hold();
-  const auto second = Hold();
+// Requests beyond the number of slots are rejected with a header stating that
+// they did not run, which lets the caller retry at another target.
+TEST_F(TargetHandlerTest,
+       ShedsRequestsBeyondItsSlotsAndFreesSlotsOnCancellation) {
+  SetFaults(kVeryLongLatency);
+  const auto first = SendHeldRequest();
+  const auto second = SendHeldRequest();
   WaitForOutstanding(2);
   const ClientResponse shed = Get("/third");
   EXPECT_EQ(shed.status, 503);
@@ -105,7 +106,7 @@
   client_.Cancel(first);
   client_.Cancel(second);
   WaitForOutstanding(0);
-  // The work is counted just after its slot is free.
+  // Cancellations are counted shortly after their slots are free.
   json runs;
   do {
     runs = GetJson("/control/runs");
@@ -114,8 +115,8 @@
   EXPECT_EQ(runs["runs"][0]["cancelled"], 2);
 }
 
-TEST_F(TargetHandlerTest, WorkEndsAtItsDeadline) {
-  SetFaults(kEndless);
+TEST_F(TargetHandlerTest, RequestEndsAtItsDeadline) {
+  SetFaults(kVeryLongLatency);
   ClientRequest request = Make("/late");
   request.headers = {{"Medlar-Deadline-Ms", "20"}};
   const ClientResponse late = ValueOf(client_.SendAndWait(request));
@@ -127,7 +128,7 @@
   EXPECT_TRUE(refused.headers.Find("Medlar-Target-Not-Run").has_value());
 }
 
-TEST_F(TargetHandlerTest, DrainingRefusesNewWorkAndSaysSo) {
+TEST_F(TargetHandlerTest, DrainingRejectsNewRequestsAndReportsIt) {
   SetFaults(R"({"draining":true})");
   const ClientResponse answer = Get("/x");
   EXPECT_EQ(answer.status, 503);
@@ -140,9 +141,9 @@
   EXPECT_EQ(Get("/x").status, 200);
 }
 
-// Something between the ends forgets the connections that are open: what is
-// sent on them is never answered, while new connections work.
-TEST_F(TargetHandlerTest, SilentConnectionsStaySilentAndNewOnesWork) {
+// A device on the path loses the state of open connections: requests on them
+// are never answered, while new connections work.
+TEST_F(TargetHandlerTest, OpenConnectionsStaySilentAndNewOnesWork) {
   HttpClient old_client({});
   ASSERT_TRUE(IsOk(old_client.SendAndWait(Make("/before"))));
   SetFaults(R"({"silent_connections":true})");
@@ -158,7 +159,7 @@
   EXPECT_TRUE(IsOk(old_client.SendAndWait(request)));
 }
 
-TEST_F(TargetHandlerTest, PlantedFaultsChangeWhatItSays) {
+TEST_F(TargetHandlerTest, InjectedFaultsChangeResponses) {
   SetFaults(R"({"lying_load":7})");
   EXPECT_EQ(GetJson("/load")["outstanding"], 7);
 
@@ -178,15 +179,15 @@
   EXPECT_EQ(ErrorOf(cut).failure, TransportFailure::kTruncated);
 }
 
-struct BadPlan {
+struct InvalidFaultPlan {
   std::string name;
   std::string json;
   FaultPlanError error;
 };
 
-class BadPlans : public testing::TestWithParam<BadPlan> {};
+class InvalidFaultPlans : public testing::TestWithParam<InvalidFaultPlan> {};
 
-TEST_P(BadPlans, AreRefused) {
+TEST_P(InvalidFaultPlans, AreRejected) {
   const auto result = ParseFaultPlan(GetParam().json);
   ASSERT_FALSE(IsOk(result));
   EXPECT_EQ(ErrorOf(result), GetParam().error);
@@ -194,13 +195,14 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Table,
-    BadPlans,
-    testing::Values(
-        BadPlan{"Text", "x", FaultPlanError::kNotAnObject},
-        BadPlan{"Unknown", R"({"bogus":1})", FaultPlanError::kUnknownField},
-        BadPlan{"NumberForFlag", R"({"shed":1})", FaultPlanError::kWrongType},
-        BadPlan{"TextForNumber", R"({"latency_ms":"1"})",
-                FaultPlanError::kWrongType}),
+    InvalidFaultPlans,
+    testing::Values(InvalidFaultPlan{"Text", "x", FaultPlanError::kNotAnObject},
+                    InvalidFaultPlan{"Unknown", R"({"bogus":1})",
+                                     FaultPlanError::kUnknownField},
+                    InvalidFaultPlan{"NumberForFlag", R"({"shed":1})",
+                                     FaultPlanError::kWrongType},
+                    InvalidFaultPlan{"TextForNumber", R"({"latency_ms":"1"})",
+                                     FaultPlanError::kWrongType}),
     [](const auto& info) { return info.param.name; });
 
 }  // namespace
