--- a/benchmarks/coordination_benchmark.cc
+++ b/benchmarks/coordination_benchmark.cc
@@ -16,17 +16,17 @@
 /// Acquires and releases the share for one dispatch. Argument: limits.
 void TakeAndReleaseShare(benchmark::State& state) {
   const fakes::ManualClock clock;
-  capacity::ShareAllocator book({.host = HostName("h")}, clock);
-  book.SetOwnValidUntil(MonotonicTime::max());
+  capacity::ShareAllocator allocator({.host = HostName("h")}, clock);
+  allocator.SetOwnValidUntil(MonotonicTime::max());
   std::vector<std::string> limits;
   for (int i = 0; i < state.range(0); ++i) {
     limits.push_back("target/swap-ledger-" + std::to_string(i) + "/slots");
-    book.SetOwn(limits.back(), 3);
+    allocator.SetOwn(limits.back(), 3);
   }
   std::size_t next = 0;
   for (auto step : state) {
-    const auto use = book.TryAcquire(limits[next]);
-    book.Release(*use);
+    const auto use = allocator.TryAcquire(limits[next]);
+    allocator.Release(*use);
     next = (next + 1) % limits.size();
   }
 }
--- a/benchmarks/host_at_size.cc
+++ b/benchmarks/host_at_size.cc
@@ -35,7 +35,7 @@
 class NoSender final : public peer_updates::UpdateSender {
  public:
   void Send(std::span<const std::string> /*addresses*/,
-            const peer_updates::PeerUpdate& /*news*/) override {}
+            const peer_updates::PeerUpdate& /*update*/) override {}
 };
 
 std::string DomainName(int number) {
@@ -56,9 +56,9 @@
   NoObserver observer;
   fakes::SeededRandom random(1);
   routing::RouteTable routes;
-  request_path::TargetDirectory book(Regions(), observer);
+  request_path::TargetDirectory directory(Regions(), observer);
   request_path::RequestPath path({.own_region = RegionName("region-0")}, routes,
-                                 book, random);
+                                 directory, random);
   routes.Apply({.version = 1,
                 .routes = {{.name = "r",
                             .host = "h",
@@ -78,19 +78,19 @@
                        .domain = FailureDomainName(DomainName(number)),
                        .slots = 9});
   }
-  book.ReplaceAll(targets, {}, std::nullopt, kNow);
+  directory.ReplaceAll(targets, {}, std::nullopt, kNow);
   MonotonicTime now = kNow;
   std::uint64_t number = 0;
   for (auto iteration : state) {
     (void)iteration;
     now += std::chrono::milliseconds(60);
-    const request_path::RequestStart begun =
+    const request_path::RequestStart start =
         path.Begin({.host = "h",
                     .target = "/x",
                     .object = std::to_string(number++ % kObjects)},
                    now);
     benchmark::DoNotOptimize(path.OnAttemptEnd(
-        begun.ticket, 1, request_path::AttemptEnd::kAnswered, now));
+        start.ticket, 1, request_path::AttemptEnd::kAnswered, now));
   }
 }
 
--- a/examples/embedding/keys.cc
+++ b/examples/embedding/keys.cc
@@ -40,11 +40,11 @@
   int runs = 0;
   int replays = 0;
   for (int attempt = 0; attempt < 3; ++attempt) {
-    const auto verdict = ledger.Begin(key, fingerprint, kLargestAnswer, 0);
-    if (std::holds_alternative<idempotency::DispatchRequest>(verdict)) {
+    const auto decision = ledger.Begin(key, fingerprint, kLargestAnswer, 0);
+    if (std::holds_alternative<idempotency::DispatchRequest>(decision)) {
       ++runs;
       ledger.Complete(key, std::make_shared<idempotency::Answer>());
-    } else if (std::holds_alternative<idempotency::ReplayAnswer>(verdict)) {
+    } else if (std::holds_alternative<idempotency::ReplayAnswer>(decision)) {
       ++replays;
     }
   }
--- a/examples/embedding/shares.cc
+++ b/examples/embedding/shares.cc
@@ -14,10 +14,10 @@
 
 constexpr std::string_view kLimit = "target/swap-ledger-1";
 
-/// @return how many units `book` can acquire now.
-int TakeAll(ShareAllocator& book) {
+/// @return how many units `allocator` can acquire now.
+int TakeAll(ShareAllocator& allocator) {
   int taken = 0;
-  while (book.TryAcquire(kLimit)) {
+  while (allocator.TryAcquire(kLimit)) {
     ++taken;
   }
   return taken;
@@ -39,8 +39,9 @@
 
   // The second is busy and borrows one unit. In a real program the request and
   // the answer are sent over the network, and either may be lost.
-  const OutgoingShareRequest ask = second.Borrow(kLimit, 1, HostName("first"));
-  second.Apply(ask, first.Lend(ask.request));
+  const OutgoingShareRequest outgoing =
+      second.Borrow(kLimit, 1, HostName("first"));
+  second.Apply(outgoing, first.Lend(outgoing.request));
 
   const int by_first = TakeAll(first);
   const int by_second = TakeAll(second);
--- a/lib/libmedlarcroft/source/adapters/entry/entry_node.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_node.cc
@@ -290,7 +290,7 @@
   }
 
   /// @return whether a target of a sibling failure domain answers. If it does,
-  /// a network partition can't be what makes the hosts there look dead.
+  /// a network partition can't be the reason why the hosts there do not answer.
   [[nodiscard]] bool AreTargetsReachable() {
     const SharedRoutingTable routes = engine_.Routes();
     if (!routes) {
--- a/lib/libmedlarcroft/source/adapters/entry/entry_node.h
+++ b/lib/libmedlarcroft/source/adapters/entry/entry_node.h
@@ -35,9 +35,9 @@
   EntryNode(const EntryNode&) = delete;
   EntryNode& operator=(const EntryNode&) = delete;
 
-  /// @brief Signals to the keeper of the seat leases that this process runs,
-  /// checks for disconnected callers and advances the stop sequence. Call it at
-  /// least four times a second.
+  /// @brief Records a heartbeat of this process for the seat leases, checks for
+  /// disconnected callers and advances the stop sequence. Call it at least four
+  /// times a second.
   void Tick();
 
   /// @brief Applies the settings that may change at run time.
--- a/lib/libmedlarcroft/source/adapters/entry/share_lending.cc
+++ b/lib/libmedlarcroft/source/adapters/entry/share_lending.cc
@@ -31,47 +31,49 @@
 
 void ShareService::borrow_share(wire::ShareGrant& answer,
                                 const wire::ShareRequest& request) {
-  const capacity::ShareGrant grant = keeper_.Lend(FromWire(request));
+  const capacity::ShareGrant grant = capacity_manager_.Lend(FromWire(request));
   answer.request_id = static_cast<std::int64_t>(grant.request_id);
   answer.amount = static_cast<std::int32_t>(grant.amount);
   answer.lease_ms = static_cast<std::int32_t>(ToMilliseconds(grant.lease));
 }
 
 void ShareService::return_share(const wire::ShareRequest& request) {
-  keeper_.AcceptReturn(FromWire(request));
+  capacity_manager_.AcceptReturn(FromWire(request));
 }
 
 void ShareBorrower::SendDueMessages(const RoutingTable& routes,
                                     const std::vector<TargetName>& saturated) {
   const capacity::CapacityManager::DueRequests due =
-      keeper_.CollectDueRequests(saturated);
-  for (const capacity::OutgoingShareRequest& ask : due.requests) {
-    Channel* channel = ChannelTo(routes, ask.lender);
+      capacity_manager_.CollectDueRequests(saturated);
+  for (const capacity::OutgoingShareRequest& outgoing : due.requests) {
+    Channel* channel = ChannelTo(routes, outgoing.lender);
     if (channel == nullptr) {
       continue;
     }
-    const auto answer = channel->Invoke([&ask](wire::SharesClient& client) {
-      wire::ShareGrant grant;
-      client.borrow_share(grant, ToWire(ask.request));
-      return grant;
-    });
+    const auto answer =
+        channel->Invoke([&outgoing](wire::SharesClient& client) {
+          wire::ShareGrant grant;
+          client.borrow_share(grant, ToWire(outgoing.request));
+          return grant;
+        });
     if (IsOk(answer)) {
       const wire::ShareGrant& grant = ValueOf(answer);
-      keeper_.Apply(
-          ask,
+      capacity_manager_.Apply(
+          outgoing,
           {.request_id = static_cast<std::uint64_t>(grant.request_id),
            .amount = static_cast<std::uint32_t>(std::max(0, grant.amount)),
            .lease = std::chrono::milliseconds(std::max(0, grant.lease_ms))});
     }
   }
-  for (const capacity::OutgoingShareRequest& ask : due.returns) {
-    if (Channel* channel = ChannelTo(routes, ask.lender)) {
+  for (const capacity::OutgoingShareRequest& outgoing : due.returns) {
+    if (Channel* channel = ChannelTo(routes, outgoing.lender)) {
       // If the message is lost, the lender gets the slots back when the lease
       // ends.
-      static_cast<void>(channel->Invoke([&ask](wire::SharesClient& client) {
-        client.return_share(ToWire(ask.request));
-        return true;
-      }));
+      static_cast<void>(
+          channel->Invoke([&outgoing](wire::SharesClient& client) {
+            client.return_share(ToWire(outgoing.request));
+            return true;
+          }));
     }
   }
 }
--- a/lib/libmedlarcroft/source/adapters/entry/share_lending.h
+++ b/lib/libmedlarcroft/source/adapters/entry/share_lending.h
@@ -17,8 +17,8 @@
 /// @brief Lends this host's free slots to entryd on other hosts.
 class ShareService final : public wire::SharesIf {
  public:
-  ShareService(HostName self, capacity::CapacityManager& keeper)
-      : self_(std::move(self)), keeper_(keeper) {}
+  ShareService(HostName self, capacity::CapacityManager& capacity_manager)
+      : self_(std::move(self)), capacity_manager_(capacity_manager) {}
 
   void borrow_share(wire::ShareGrant& answer,
                     const wire::ShareRequest& request) override;
@@ -27,14 +27,15 @@
 
  private:
   const HostName self_;
-  capacity::CapacityManager& keeper_;
+  capacity::CapacityManager& capacity_manager_;
 };
 
 /// @brief Sends this host's loan requests to lenders. Calls block, so it runs
 /// on its own thread.
 class ShareBorrower {
  public:
-  explicit ShareBorrower(capacity::CapacityManager& keeper) : keeper_(keeper) {}
+  explicit ShareBorrower(capacity::CapacityManager& capacity_manager)
+      : capacity_manager_(capacity_manager) {}
 
   /// @brief Sends the loan requests, renewals and returns that are due.
   /// @param saturated targets for which this host needs more slots.
@@ -47,7 +48,7 @@
   [[nodiscard]] Channel* ChannelTo(const RoutingTable& routes,
                                    const HostName& host);
 
-  capacity::CapacityManager& keeper_;
+  capacity::CapacityManager& capacity_manager_;
   std::map<std::string, std::unique_ptr<Channel>> channels_;
 };
 
--- a/lib/libmedlarcroft/source/adapters/entry/target_poller.h
+++ b/lib/libmedlarcroft/source/adapters/entry/target_poller.h
@@ -23,7 +23,7 @@
 /// @brief A target's response to GET /load.
 struct TargetReport {
   std::uint32_t outstanding = 0;  ///< Its unfinished requests, from all hosts.
-  std::optional<bool> is_draining;  ///< If absent, GET /health is asked.
+  std::optional<bool> is_draining;  ///< If absent, GET /health is polled.
   std::optional<Duration> age;      ///< Age of the count, if given.
 };
 
@@ -47,7 +47,7 @@
 /// hosts of that. Without polling, the first request that each host sends to it
 /// afterwards would be refused, and each would cost a retry. About one poll a
 /// second from its failure domain reports the state before that. What one host
-/// learns reaches the other hosts of the failure domain with its observations.
+/// detects reaches the other hosts of the failure domain with its observations.
 /// A missing or malformed report changes nothing: the load that this host sees
 /// from its own requests stays in use.
 class TargetPoller {
--- a/lib/libmedlarcroft/source/adapters/event/event_http_client.h
+++ b/lib/libmedlarcroft/source/adapters/event/event_http_client.h
@@ -52,7 +52,7 @@
   /// this; zero always opens a new connection.
   Duration max_idle = std::chrono::seconds(8);
   std::size_t max_answer_bytes = std::size_t{64} * 1024 * 1024;
-  /// Tells whether a response belongs to this request. One that does not is
+  /// Returns whether a response belongs to this request. One that does not is
   /// discarded, and its connection is not reused.
   std::function<bool(const HttpResponse&)> is_matching_response;
   /// Called with the time that a new connection took to establish, about one
--- a/lib/libmedlarcroft/source/adapters/event/tcp_stream.cc
+++ b/lib/libmedlarcroft/source/adapters/event/tcp_stream.cc
@@ -18,11 +18,11 @@
   (void)::setsockopt(descriptor, level, name, &value, sizeof(value));
 }
 
-/// Guards against a peer that disappears without closing the connection: a
-/// device between the two ends loses its connection state, or the peer loses
-/// power. Without it the connection stays open, and whoever waits for it waits
-/// forever. The kernel's keepalive probes end such a connection, also while no
-/// data is sent.
+/// Guards against a peer that becomes unreachable without closing the
+/// connection: a device between the two ends loses its connection state, or the
+/// peer loses power. Without keepalive probes the connection would stay open,
+/// and a request that waits for it would wait forever. The kernel's probes end
+/// such a connection, also while no data is sent.
 void EnableDeadPeerDetection(int descriptor, Duration limit) {
   constexpr int kKeepAliveIntervalSeconds = 1;
   constexpr int kKeepAliveProbeCount = 2;
--- a/lib/libmedlarcroft/source/adapters/forward/request_codec.h
+++ b/lib/libmedlarcroft/source/adapters/forward/request_codec.h
@@ -47,7 +47,7 @@
       HttpResponse answer) const = 0;
   /// @return a response that this host generates itself.
   [[nodiscard]] virtual HttpResponse EncodeLocalResponse(
-      const request_path::RequestFailure& ending,
+      const request_path::RequestFailure& failure,
       const std::string& id) const = 0;
 };
 
--- a/lib/libmedlarcroft/source/adapters/forward/request_forwarder.cc
+++ b/lib/libmedlarcroft/source/adapters/forward/request_forwarder.cc
@@ -62,10 +62,10 @@
                   .retry_after = kRetryAfterWhenLeaving});
     return;
   }
-  active->begun = parts_.path.Begin(active->decoded.request, now);
-  const RequestTicket ticket = active->begun.ticket;
+  active->start = parts_.path.Begin(active->decoded.request, now);
+  const RequestTicket ticket = active->start.ticket;
   if (ticket == 0) {
-    End(*active, std::get<RequestFailure>(active->begun.step));
+    End(*active, std::get<RequestFailure>(active->start.step));
     return;
   }
 
@@ -73,8 +73,8 @@
   active_requests_.emplace(ticket, std::move(active));
   exchange->OnCallerGone([this, ticket] { OnCallerGone(ticket); });
   stored.request_timer = parts_.loop.After(
-      stored.begun.time_left, [this, ticket] { OnTimeout(ticket); });
-  ExecuteStep(ticket, stored.begun.step);
+      stored.start.time_left, [this, ticket] { OnTimeout(ticket); });
+  ExecuteStep(ticket, stored.start.step);
 }
 
 void RequestForwarder::ExecuteStep(RequestTicket ticket, const Step& step) {
@@ -92,8 +92,8 @@
     Remove(ticket);
     return;
   }
-  if (const auto* const ending = std::get_if<RequestFailure>(&step)) {
-    End(active, *ending);
+  if (const auto* const failure = std::get_if<RequestFailure>(&step)) {
+    End(active, *failure);
     Remove(ticket);
   }
 }
@@ -101,7 +101,7 @@
 void RequestForwarder::Send(RequestTicket ticket,
                             ActiveRequest& active,
                             const SendAttempt& attempt) {
-  parts_.telemetry.OnSend(active.lines, active.decoded.id, *active.begun.route,
+  parts_.telemetry.OnSend(active.lines, active.decoded.id, *active.start.route,
                           attempt);
   if (attempt.should_announce && parts_.on_placed) {
     parts_.on_placed(attempt.target, active.decoded.request.object);
@@ -214,7 +214,7 @@
   }
   const MonotonicTime now = parts_.loop.Now();
   parts_.telemetry.OnCallerGone(found->second->lines, found->second->decoded.id,
-                                *found->second->begun.route,
+                                *found->second->start.route,
                                 now - found->second->started_at);
   parts_.path.OnCallerGone(ticket);
   Remove(ticket);
@@ -225,20 +225,20 @@
   HttpResponse& answer = active.answers.at(pass_on.attempt);
   active.trace->OnAnswer(answer.status);
   parts_.telemetry.OnAnswer(active.lines, active.decoded.id,
-                            *active.begun.route, answer.status,
+                            *active.start.route, answer.status,
                             parts_.loop.Now() - active.started_at);
   active.exchange->Respond(parts_.codec.ForwardResponse(std::move(answer)));
 }
 
 void RequestForwarder::End(ActiveRequest& active,
-                           const RequestFailure& ending) {
-  active.trace->OnEnding(ending);
+                           const RequestFailure& failure) {
+  active.trace->OnEnding(failure);
   parts_.telemetry.OnEnding(active.lines, active.decoded,
-                            active.begun.route.get(), ending,
+                            active.start.route.get(), failure,
                             parts_.path.ConfigurationVersion(),
                             parts_.loop.Now() - active.started_at);
   active.exchange->Respond(
-      parts_.codec.EncodeLocalResponse(ending, active.decoded.id));
+      parts_.codec.EncodeLocalResponse(failure, active.decoded.id));
 }
 
 void RequestForwarder::Remove(RequestTicket ticket) {
--- a/lib/libmedlarcroft/source/adapters/forward/request_forwarder.h
+++ b/lib/libmedlarcroft/source/adapters/forward/request_forwarder.h
@@ -68,7 +68,7 @@
     std::optional<RequestTrace> trace;
     RequestLogBuffer lines;
     std::shared_ptr<HttpExchange> exchange;
-    request_path::RequestStart begun;
+    request_path::RequestStart start;
     MonotonicTime started_at;
     TimerId request_timer = 0;
     TimerId slow_attempt_timer = 0;
@@ -95,7 +95,7 @@
   void OnCallerGone(request_path::RequestTicket ticket);
   void ForwardResponse(ActiveRequest& active,
                        const request_path::PassOn& pass_on);
-  void End(ActiveRequest& active, const request_path::RequestFailure& ending);
+  void End(ActiveRequest& active, const request_path::RequestFailure& failure);
   /// @brief Removes a request, and cancels its timers and pending exchanges.
   void Remove(request_path::RequestTicket ticket);
 
--- a/lib/libmedlarcroft/source/adapters/forward/request_telemetry.cc
+++ b/lib/libmedlarcroft/source/adapters/forward/request_telemetry.cc
@@ -205,11 +205,11 @@
 void RequestTelemetry::OnEnding(RequestLogBuffer& lines,
                                 const DecodedRequest& call,
                                 const routing::Route* route,
-                                const request_path::RequestFailure& ending,
+                                const request_path::RequestFailure& failure,
                                 std::uint64_t configuration_version,
                                 Duration since_arrival) {
-  const std::string_view name = NameOf(ending.reason);
-  const auto& best = ending.best;
+  const std::string_view name = NameOf(failure.reason);
+  const auto& best = failure.best;
   metrics_.CounterOf(kLocallyEndedRequests, {Label::OfConstant("reason", name)})
       .Add();
   if (!SampleAtEnd(lines, call.id, route, OutcomeOf(route))) {
@@ -217,12 +217,12 @@
   }
   LogUnthrottled(
       FinalLogLine(LogLevel::kWarning,
-                   ending.is_not_run ? "request-refused" : "request-failed"),
+                   failure.is_not_run ? "request-refused" : "request-failed"),
       {{"request", call.id},
        {"route", route == nullptr ? std::string_view{} : route->name},
        {"path", call.request.target},
        {"reason", name},
-       {"is_not_run", ending.is_not_run},
+       {"is_not_run", failure.is_not_run},
        {"configuration", configuration_version},
        {"best_target",
         best ? best->target->Record().id.Value() : std::string()},
@@ -230,7 +230,7 @@
        {"expected_wait_ms", best ? ToMilliseconds(best->expected_wait) : -1},
        {"estimated_load", best ? best->estimated_load : -1.0},
        {"retry_after_ms",
-        ending.retry_after ? ToMilliseconds(*ending.retry_after) : -1},
+        failure.retry_after ? ToMilliseconds(*failure.retry_after) : -1},
        {"since_arrival_ms", ToMilliseconds(since_arrival)}});
 }
 
--- a/lib/libmedlarcroft/source/adapters/forward/request_telemetry.h
+++ b/lib/libmedlarcroft/source/adapters/forward/request_telemetry.h
@@ -63,7 +63,7 @@
   void OnEnding(RequestLogBuffer& lines,
                 const DecodedRequest& call,
                 const routing::Route* route,
-                const request_path::RequestFailure& ending,
+                const request_path::RequestFailure& failure,
                 std::uint64_t configuration_version,
                 Duration since_arrival);
   void OnCallerGone(RequestLogBuffer& lines,
--- a/lib/libmedlarcroft/source/adapters/forward/request_trace.cc
+++ b/lib/libmedlarcroft/source/adapters/forward/request_trace.cc
@@ -73,13 +73,13 @@
   request_span_.reset();
 }
 
-void RequestTrace::OnEnding(const request_path::RequestFailure& ending) {
+void RequestTrace::OnEnding(const request_path::RequestFailure& failure) {
   attempt_spans_.clear();
   if (!request_span_) {
     return;
   }
   request_span_->SetAttribute("medlar.reason",
-                              std::string(NameOf(ending.reason)));
+                              std::string(NameOf(failure.reason)));
   request_span_->SetStatus(SpanStatus::kError);
   request_span_.reset();
 }
--- a/lib/libmedlarcroft/source/adapters/forward/request_trace.h
+++ b/lib/libmedlarcroft/source/adapters/forward/request_trace.h
@@ -28,7 +28,7 @@
                     request_path::AttemptEnd end);
   /// @brief Ends this host's span and the spans of abandoned sends.
   void OnAnswer(int status);
-  void OnEnding(const request_path::RequestFailure& ending);
+  void OnEnding(const request_path::RequestFailure& failure);
 
  private:
   telemetry::Tracer& tracer_;
--- a/lib/libmedlarcroft/source/adapters/http/http_server.h
+++ b/lib/libmedlarcroft/source/adapters/http/http_server.h
@@ -90,7 +90,7 @@
   [[nodiscard]] const HttpServerCounters& Counters() const { return counters_; }
 
   /// @brief From now on every response carries `Connection: close`, so that
-  /// clients move away without a request being interrupted.
+  /// clients leave their connections without a request being interrupted.
   void StartDraining() { is_draining_ = true; }
 
   /// @brief Closes the listener and its connections. Pending requests are first
--- a/lib/libmedlarcroft/source/adapters/process/event_rate_limit.h
+++ b/lib/libmedlarcroft/source/adapters/process/event_rate_limit.h
@@ -14,9 +14,9 @@
 
 /// @brief Limits how many events of the same name are logged per second.
 ///
-/// Failure: an error affects every request. Symptom: thousands of identical
-/// lines per second hide all others and cost more than the requests. A limit
-/// per event name keeps the other events visible and bounds the cost.
+/// When an error affects every request, thousands of identical lines per second
+/// would hide all others and cost more than the requests. A limit per event
+/// name keeps the other events visible and bounds the cost.
 class EventRateLimit {
  public:
   explicit EventRateLimit(std::uint32_t events_per_second)
--- a/lib/libmedlarcroft/source/adapters/process/pipe_appender.h
+++ b/lib/libmedlarcroft/source/adapters/process/pipe_appender.h
@@ -11,10 +11,10 @@
 
 /// @brief Writes log lines to a file descriptor without blocking.
 ///
-/// Failure: the reader of the log stops reading. Symptom: the pipe fills up,
-/// and the next write blocks and with it every request. So a line is written
-/// only when the descriptor accepts it immediately; other lines are dropped,
-/// and their number is logged before the next line that is written.
+/// When the reader of the log stops reading, the pipe fills up; a blocking
+/// write would then block every request. Therefore a line is written only when
+/// the descriptor accepts it immediately; other lines are dropped, and their
+/// number is logged before the next line that is written.
 class PipeAppender final : public log4cplus::Appender {
  public:
   explicit PipeAppender(int descriptor) : descriptor_(descriptor) {}
--- a/lib/libmedlarcroft/source/adapters/process/settings_field.cc
+++ b/lib/libmedlarcroft/source/adapters/process/settings_field.cc
@@ -53,9 +53,9 @@
                       "each name once");
     return;
   }
-  // Failure: a template is expanded in a deployment that lacks a value.
-  // Symptom: the key is present with an empty value, and the program refuses to
-  // start. So an empty value counts as not set; for a required setting it stays
+  // When a template is expanded in a deployment that lacks a value, the key is
+  // present with an empty value, and the program would refuse to start.
+  // Therefore an empty value counts as not set; for a required setting it stays
   // an error.
   if (value.IsNull() && !field->options.is_required) {
     return;
--- a/lib/libmedlarcroft/source/adapters/steer/catalogue_sync.h
+++ b/lib/libmedlarcroft/source/adapters/steer/catalogue_sync.h
@@ -11,7 +11,7 @@
 
 namespace medlarcroft::adapters {
 
-/// @brief Keeps the catalogue's replica up to date from peers: remembers a peer
+/// @brief Keeps the catalogue's replica up to date from peers: records a peer
 /// that has a newer revision, and passes each new view to a callback.
 /// Thread-safe.
 class CatalogueSync {
@@ -29,8 +29,8 @@
   /// is known.
   [[nodiscard]] std::optional<std::string> NewerPeerAddress() const;
 
-  /// @brief Forgets the peer after it failed to return changes, so that the
-  /// next fetch uses another one.
+  /// @brief Clears the recorded peer after it failed to return changes, so that
+  /// the next fetch uses another one.
   void ClearNewerPeer(const std::string& peer_address);
 
   void ApplyFromPeer(const catalogue::Delta& delta);
--- a/lib/libmedlarcroft/source/adapters/steer/peer_exchanger.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/peer_exchanger.cc
@@ -15,11 +15,12 @@
 constexpr Duration kCallTimeout = std::chrono::milliseconds(700);
 
 /// Hosts of other failure domains are called in every round, and only by the
-/// relays of this domain. Load summaries are trusted for 3 s and discounted
-/// after that; each call also forwards the summaries received from others.
+/// few hosts of this domain that are assigned to this task. Load summaries are
+/// used in full for 3 s and discounted after that; each call also forwards the
+/// summaries received from others.
 constexpr std::uint64_t kRoundsPerCrossDomainCall = 1;
-constexpr std::size_t kRelaysPerDomain = 2;
-constexpr std::string_view kCrossDomainExchangeDuty =
+constexpr std::size_t kCrossDomainCallersPerDomain = 2;
+constexpr std::string_view kCrossDomainExchangeTask =
     "exchange-between-domains";
 
 /// A bootstrap address is called from time to time even when peers are known,
@@ -84,7 +85,8 @@
   }
   const bool is_cross_domain_round = round_ % kRoundsPerCrossDomainCall == 0;
   if (is_cross_domain_round &&
-      core_.IsRelayFor(kCrossDomainExchangeDuty, kRelaysPerDomain)) {
+      core_.IsAssignedTo(kCrossDomainExchangeTask,
+                         kCrossDomainCallersPerDomain)) {
     AddNextPartner(other_domains, other_domain_rotation_, chosen);
   }
   const bool has_no_peers = same_domain.empty() && other_domains.empty();
--- a/lib/libmedlarcroft/source/adapters/steer/platform_poller.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/platform_poller.cc
@@ -19,8 +19,8 @@
 
 /// Hosts per failure domain that poll the catalogue's head. Two polling at once
 /// do no harm, and the failure of one delays no change.
-constexpr std::size_t kCatalogueRelayCount = 2;
-constexpr std::string_view kCatalogueRelayDuty = "watch-catalogue-head";
+constexpr std::size_t kCatalogueHeadPollersPerDomain = 2;
+constexpr std::string_view kCatalogueHeadPollTask = "watch-catalogue-head";
 
 /// The row that holds the newest version number of the block map, and the name
 /// prefix of the objects that hold the versions.
@@ -33,8 +33,8 @@
   if (schedule_.IsDue(PlatformPoll::kCatalogueHead,
                       dependencies_.clock.Now())) {
     const Duration pause =
-        dependencies_.relay.Step(dependencies_.core.IsRelayFor(
-            kCatalogueRelayDuty, kCatalogueRelayCount));
+        dependencies_.relay.Step(dependencies_.core.IsAssignedTo(
+            kCatalogueHeadPollTask, kCatalogueHeadPollersPerDomain));
     dependencies_.catalogue_sync.Publish();
     schedule_.SetDue(PlatformPoll::kCatalogueHead,
                      dependencies_.clock.Now() + pause);
--- a/lib/libmedlarcroft/source/adapters/steer/steer_core.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_core.cc
@@ -325,12 +325,13 @@
   return partners;
 }
 
-bool SteerCore::IsRelayFor(std::string_view task, std::size_t count) const {
+bool SteerCore::IsAssignedTo(std::string_view task, std::size_t count) const {
   const std::lock_guard lock(mutex_);
   const std::vector<HostName> live = members_.LiveHosts();
-  const std::vector<HostName> relays =
+  const std::vector<HostName> assigned_hosts =
       membership::ChooseHostsByRendezvousHash(task, live, count);
-  return std::ranges::find(relays, identity_.host) != relays.end();
+  return std::ranges::find(assigned_hosts, identity_.host) !=
+         assigned_hosts.end();
 }
 
 std::set<HostName> SteerCore::HostsToProbe() const {
--- a/lib/libmedlarcroft/source/adapters/steer/steer_core.h
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_core.h
@@ -83,14 +83,17 @@
       const FailureDomainName& receiver);
 
   /// @return the hosts that this one may call, in its own failure domain and
-  /// in the others. Only the relays of a domain call other domains.
+  /// in the others. Only the hosts of a domain that are assigned to this task
+  /// call other domains; see `IsAssignedTo`.
   [[nodiscard]] std::vector<membership::Member> ExchangePartners() const;
   /// @return hosts that entryd needs an answer from before it may use or take
   /// over a seat.
   [[nodiscard]] std::set<HostName> HostsToProbe() const;
   /// @return whether this host is now one of the `count` hosts of its failure
-  /// domain that perform `task`.
-  [[nodiscard]] bool IsRelayFor(std::string_view task, std::size_t count) const;
+  /// domain that perform `task`. They are chosen among the live hosts by
+  /// rendezvous hashing, so that hosts with the same members agree.
+  [[nodiscard]] bool IsAssignedTo(std::string_view task,
+                                  std::size_t count) const;
 
   // State for status pages and metrics.
   [[nodiscard]] catalogue::SharedCatalogueView Catalogue() const;
--- a/lib/libmedlarcroft/source/adapters/steer/steer_node.cc
+++ b/lib/libmedlarcroft/source/adapters/steer/steer_node.cc
@@ -107,7 +107,8 @@
         objects_(platform_, budget_),
         reader_(table_, objects_),
         replica_({}, clock),
-        relay_({}, {reader_, replica_, clock, relay_random_}),
+        catalogue_poller_({},
+                          {reader_, replica_, clock, catalogue_poller_random_}),
         store_({},
                {platform_, platform_, clock, store_random_,
                 [](Duration pause) { std::this_thread::sleep_for(pause); }}),
@@ -125,7 +126,7 @@
                    catalogue_sync_,
                    exchange_random_),
         platform_poller_({.core = core_,
-                          .relay = relay_,
+                          .relay = catalogue_poller_,
                           .catalogue_sync = catalogue_sync_,
                           .hosts = platform_,
                           .budget = budget_,
@@ -248,7 +249,7 @@
  private:
   const SteerdSettings settings_;
   const ports::Clock& clock_;
-  SystemRandom relay_random_;
+  SystemRandom catalogue_poller_random_;
   SystemRandom store_random_;
   SystemRandom core_random_;
   SystemRandom exchange_random_;
@@ -259,7 +260,7 @@
   catalogue::RateLimitedObjectStore objects_;
   catalogue::CatalogueReader reader_;
   catalogue::CatalogueReplica replica_;
-  catalogue::CataloguePoller relay_;
+  catalogue::CataloguePoller catalogue_poller_;
   catalogue::CatalogueStore store_;
   SteerCore core_;
   KeyPool keys_;
--- a/programs/node/crash_sharing.h
+++ b/programs/node/crash_sharing.h
@@ -14,7 +14,7 @@
 
 namespace medlarcroft::node {
 
-/// @brief Synchronizes the crash ledger with other hosts: exchanges reports in
+/// @brief Synchronizes the crash tracker with other hosts: exchanges reports in
 /// datagrams and stores a row per blocked request, so that a block outlives the
 /// hosts that observed the crashes.
 class CrashSharing final : public request_path::CrashObserver {
--- a/programs/node/node.cc
+++ b/programs/node/node.cc
@@ -298,7 +298,7 @@
   // If updates of the operator's table stop arriving, a request for a route
   // that was added meanwhile would be rejected, and its caller would not retry.
   // While a response of the store is overdue, a missing route may be an update
-  // that has not arrived, so callers are asked to retry meanwhile.
+  // that has not arrived, so meanwhile the rejection names a time to retry.
   path_.SetConfigurationStale(operator_follower_.IsOverdue());
   UpdateFollowTiming();
   UpdatePhase();
--- a/tests/system/platform_test.py
+++ b/tests/system/platform_test.py
@@ -151,8 +151,8 @@
         self.assertEqual(len(self.targets["desk-1"].executed_requests), before)
 
     def test_planned_stop_completes_requests_in_flight(self):
-        # The host is told to stop while requests are in flight. Each caller gets its complete response, readiness and
-        # look-ups end at once, and the process exits by itself.
+        # The host gets the stop signal while requests are in flight. Each caller gets its complete response, readiness
+        # and look-ups end at once, and the process exits by itself.
         for target in self.targets.values():
             target.delay_s = 0.5
         answers = []
--- a/tests/system/targets_test.py
+++ b/tests/system/targets_test.py
@@ -244,7 +244,7 @@
                             lambda: self.set_faults("desk-north-a-2", draining=True))
 
     # A target without traffic drains. No rejected request can inform the hosts, so they must
-    # learn it from its load report; the next look-ups do not try the target at all.
+    # detect it by its load report; the next look-ups do not try the target at all.
     def test_draining_without_traffic(self):
         name = "desk-north-a"
         self.set_faults(name, draining=True)
@@ -379,7 +379,7 @@
         before = self.shed_count()
         for name in self.targets_of("desk"):
             self.set_faults(name, latency_ms=150)
-        # Lets the hosts learn the new service time; until then they admit by the old one.
+        # Lets the hosts measure the new service time; until then they admit by the old one.
         self.send_lookups("north-b-1", 200, threads=24)
         answers = self.send_lookups("north-b-1", 1200, threads=96, deadline_ms=2000)
         outcome_counts = self.print_outcomes(answers)
--- a/tests/unit/adapters/entry/idempotency_guard_test.cc
+++ b/tests/unit/adapters/entry/idempotency_guard_test.cc
@@ -44,8 +44,9 @@
 };
 
 // An order ran and its answer was lost. The caller retries with the same key
-// while the host is stopping, or has just started and has no routes. If it were
-// told "not run", it would take a new key and the order would run twice.
+// while the host is stopping, or has just started and has no routes. If the
+// response were "not run", the caller would use a new key and the order would
+// run twice.
 TEST_F(IdempotencyGuardTest, RefusalBeforeLedgerLookupDoesNotReportNotRun) {
   const std::string ran = guard_.Issue(idempotency::Mode::kLocal);
   const std::string lost = guard_.Issue(idempotency::Mode::kLocal);
--- a/tests/unit/adapters/event/http_listener_test.cc
+++ b/tests/unit/adapters/event/http_listener_test.cc
@@ -141,7 +141,7 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(30));
   });
   EXPECT_TRUE(handler_.has_disconnected);
-  // A response after the disconnect reaches nobody and does no harm.
+  // A response after the disconnect is discarded and does no harm.
   handler_.pending_exchange->Respond({.status = 200});
 }
 
--- a/tests/unit/adapters/platform/catalogue_over_http_test.cc
+++ b/tests/unit/adapters/platform/catalogue_over_http_test.cc
@@ -63,16 +63,16 @@
   }
   CatalogueReader reader(platform_, platform_);
   CatalogueReplica replica({}, clock_);
-  catalogue::CataloguePoller relay({}, {.reader = reader,
-                                        .replica = replica,
-                                        .clock = clock_,
-                                        .random = random_});
+  catalogue::CataloguePoller poller({}, {.reader = reader,
+                                         .replica = replica,
+                                         .clock = clock_,
+                                         .random = random_});
 
-  relay.Step(true);
+  poller.Step(true);
 
   EXPECT_EQ(replica.Revision(), 100U);
   EXPECT_TRUE(replica.IsReady());
-  EXPECT_EQ(relay.FailedSteps(), 0U);
+  EXPECT_EQ(poller.FailedSteps(), 0U);
   EXPECT_TRUE(replica.ChangesSince(0, 1).is_snapshot);
 }
 
--- a/tests/unit/adapters/platform/http_platform_test.cc
+++ b/tests/unit/adapters/platform/http_platform_test.cc
@@ -93,8 +93,8 @@
   EXPECT_EQ(ErrorOf(platform.Commit({})), StoreFailure::kUnavailable);
 }
 
-// The write takes effect, but a proxy on the way returns 504. The caller must
-// not be told that nothing was done, since a reader finds the row.
+// The write takes effect, but a proxy on the way returns 504. The result must
+// not state that nothing was done, since a reader finds the row.
 TEST_F(HttpPlatformTest, LostAnswerIsOutcomeUnknown) {
   handler_.ActiveFaults().Set({.responses_to_drop = 1});
 
@@ -106,7 +106,7 @@
 }
 
 // The service is slower than the timeout. The caller gives up while the write
-// is in progress, and the write takes effect later. The caller must not be told
+// is in progress, and the write takes effect later. The result must not state
 // that nothing was done here either.
 TEST_F(HttpPlatformTest, TimeoutIsOutcomeUnknown) {
   handler_.ActiveFaults().Set({.delay = milliseconds(600)});
--- a/tests/unit/adapters/steer/steer_telemetry_test.cc
+++ b/tests/unit/adapters/steer/steer_telemetry_test.cc
@@ -79,7 +79,7 @@
 }
 
 // Operators set alerts on the age of the host list. Before the first read the
-// metric must be absent: a value of 0 would show a fresh list.
+// metric must be absent: a value of 0 would mean a fresh list.
 TEST_F(SteerTelemetryTest, OmitsHostListAgeBeforeFirstRead) {
   EXPECT_THAT(telemetry_.FormatPrometheus(),
               Not(HasSubstr("medlar_host_list_age_seconds ")));
--- a/tests/unit/node/crash_sharing_test.cc
+++ b/tests/unit/node/crash_sharing_test.cc
@@ -19,7 +19,7 @@
 
 const auto kRequest = request_path::RequestFingerprint::Of({"crash"});
 
-/// @brief A single host whose crash ledger is synchronized with stored rows.
+/// @brief A single host whose crash tracker is synchronized with stored rows.
 class CrashSharingTest : public testing::Test {
  protected:
   CrashSharingTest() {
@@ -52,12 +52,12 @@
   }
   void CrashThreeTargets() {
     for (std::uint32_t target = 1; target <= 3; ++target) {
-      ledger_.OnCrash(kRequest, request_path::TargetNumber{target},
-                      loop_.Now());
+      crash_tracker_.OnCrash(kRequest, request_path::TargetNumber{target},
+                             loop_.Now());
     }
   }
   [[nodiscard]] bool IsBlocked() const {
-    return ledger_.BlockedFor(kRequest, loop_.Now()).has_value();
+    return crash_tracker_.BlockedFor(kRequest, loop_.Now()).has_value();
   }
 
   std::string stored_value_;  ///< Of the blocked request, in the store.
@@ -70,7 +70,7 @@
   request_path::DomainRegions regions_{
       {FailureDomainName("z"), RegionName("r")}};
   adapters::NodeSettings settings_;
-  request_path::CrashTracker ledger_{{}};
+  request_path::CrashTracker crash_tracker_{{}};
   PeerGroup peers_{
       settings_,
       PeerGroup::Parts{.loop = loop_,
@@ -83,7 +83,7 @@
                        }}};
   CrashSharing sharing_{{.loop = loop_,
                          .store = store_,
-                         .ledger = ledger_,
+                         .ledger = crash_tracker_,
                          .peers = peers_,
                          .random = random_,
                          .metrics = metrics_}};
--- a/tests/unit/node/routing_table_listeners_test.cc
+++ b/tests/unit/node/routing_table_listeners_test.cc
@@ -60,9 +60,9 @@
 class TargetTableListenerTest : public testing::Test {
  protected:
   [[nodiscard]] std::size_t CountUsable() {
-    book_.Advance(clock_.Now());
+    target_directory_.Advance(clock_.Now());
     std::size_t usable = 0;
-    for (const auto& region : book_.Usable(ServiceName("desk"))) {
+    for (const auto& region : target_directory_.Usable(ServiceName("desk"))) {
       usable += region.targets.size();
     }
     return usable;
@@ -70,16 +70,16 @@
 
   request_path::TargetState* Find(const std::string& target,
                                   std::uint64_t started = 0) {
-    return book_.Find({TargetName(target), started});
+    return target_directory_.Find({TargetName(target), started});
   }
 
   fakes::ManualClock clock_;
   adapters::EventLoop loop_{clock_};
   IgnoringObserver observer_;
-  request_path::TargetDirectory book_{
+  request_path::TargetDirectory target_directory_{
       {{FailureDomainName("z"), RegionName("r")}},
       observer_};
-  TargetTableListener listener_{loop_, book_};
+  TargetTableListener listener_{loop_, target_directory_};
 };
 
 // During a long outage of the store all entries expire. When it returns, the
@@ -213,7 +213,7 @@
 // process. It is used as soon as its entry arrives, without the state of the
 // earlier process, also when an update of the earlier process arrives late.
 TEST_F(TargetTableListenerTest, ADrainedTargetIsUsedAgainAfterItsRestart) {
-  book_.SetColdTime(ServiceName("desk"), seconds(3));
+  target_directory_.SetColdTime(ServiceName("desk"), seconds(3));
   listener_.OnTable(std::vector{Registered("a", kFirstStart), Registered("b")});
   listener_.OnRows(std::vector{Draining("a", kFirstStart)});
   listener_.OnRows(std::vector{Removed("a")});
@@ -231,7 +231,7 @@
 // the earlier process (objects, failures, another owner of its address) does
 // not apply to the new one, which is cold.
 TEST_F(TargetTableListenerTest, ARestartWithoutARemovalResetsTheTargetState) {
-  book_.SetColdTime(ServiceName("desk"), seconds(3));
+  target_directory_.SetColdTime(ServiceName("desk"), seconds(3));
   listener_.OnTable(std::vector{Registered("a", kFirstStart)});
   Find("a", kFirstStart)
       ->OnSent(request_path::ObjectKey("object"), clock_.Now());
--- a/tests/unit/platform/platform_codec_test.cc
+++ b/tests/unit/platform/platform_codec_test.cc
@@ -188,7 +188,7 @@
 
 struct LocalResponseCase {
   std::string name;
-  request_path::RequestFailure ending;
+  request_path::RequestFailure failure;
   int status;
   bool has_retry_after;
 };
@@ -197,7 +197,7 @@
 
 TEST_P(LocalResponseTest, StatusMeansNotRunOnlyIfProved) {
   const HttpResponse response =
-      PlatformCodec().EncodeLocalResponse(GetParam().ending, "id-1");
+      PlatformCodec().EncodeLocalResponse(GetParam().failure, "id-1");
 
   EXPECT_EQ(response.status, GetParam().status);
   EXPECT_EQ(response.headers.Find("Retry-After").has_value(),
--- a/tests/unit/platform/table_follower_peer_test.cc
+++ b/tests/unit/platform/table_follower_peer_test.cc
@@ -143,14 +143,14 @@
 }
 
 // Many hosts request the same rows at once and get the same cached response. A
-// host that asks after a change, or knows fewer rows, must not get that
+// host that queries after a change, or knows fewer rows, must not get that
 // response.
 TEST_F(TableFollowerPeerTest, EachHostGetsTheRowsItLacks) {
   server_.Put("a", "1");
   reader_.Start();
   std::vector<std::vector<std::string>> answers;
   std::uint64_t known = 0;
-  const auto ask = [&](std::uint64_t version) {
+  const auto query = [&](std::uint64_t version) {
     QueryReader({.table = "t", .known_version = version},
                 [&](const Result<RowBatch, RowFailure>& answer) {
                   std::vector<std::string> keys;
@@ -167,8 +167,8 @@
     if (!reader_.HasTable()) {
       return false;
     }
-    ask(0);
-    ask(0);
+    query(0);
+    query(0);
     return true;
   });
   AddStep([&] {
@@ -182,8 +182,8 @@
     if (reader_recorded_.rows.size() < 2) {
       return false;
     }
-    ask(known);
-    ask(0);
+    query(known);
+    query(0);
     return true;
   });
   AddStep([&] { return answers.size() == 4; });
