--- a/programs/node/node.cc
+++ b/programs/node/node.cc
@@ -239,14 +239,15 @@
           .timing =
               replication::FollowTimingFor(1, settings_.bounds.in_touch_after),
           .ask_peer =
-              [this](const replication::RowsRequest& question,
+              [this](const replication::RowsRequest& rows_request,
                      replication::RowsCallback callback) {
-                peers_.Readers().AskSomeReader(question, std::move(callback));
+                peers_.Readers().AskSomeReader(rows_request,
+                                               std::move(callback));
               },
           .ask_reader =
-              [this](const replication::RowsRequest& question,
+              [this](const replication::RowsRequest& rows_request,
                      replication::RowsCallback callback) {
-                return peers_.Readers().AskReader(question,
+                return peers_.Readers().AskReader(rows_request,
                                                   std::move(callback));
               }};
 }
--- a/programs/node/peer_group.cc
+++ b/programs/node/peer_group.cc
@@ -74,24 +74,25 @@
                {.directory = *this,
                 .ask_host =
                     [this](const std::string& address,
-                           const replication::RowsRequest& question,
+                           const replication::RowsRequest& rows_request,
                            replication::RowsCallback callback) {
-                      platform::FetchRowsFromPeer(caller_, address, question,
-                                                  std::move(callback));
+                      platform::FetchRowsFromPeer(
+                          caller_, address, rows_request, std::move(callback));
                     },
                 .timers = parts.loop,
                 .random = parts.random,
                 .regions = parts.regions}),
-      follower_({.timers = parts.loop,
-                 .store = parts.store,
-                 .random = parts.random,
-                 .listener = *this},
-                {.table = std::string(platform::kHostTable),
-                 .timing = StartupTiming(),
-                 .ask_reader = [this](const replication::RowsRequest& question,
-                                      replication::RowsCallback callback) {
-                   return readers_.AskReader(question, std::move(callback));
-                 }}) {}
+      follower_(
+          {.timers = parts.loop,
+           .store = parts.store,
+           .random = parts.random,
+           .listener = *this},
+          {.table = std::string(platform::kHostTable),
+           .timing = StartupTiming(),
+           .ask_reader = [this](const replication::RowsRequest& rows_request,
+                                replication::RowsCallback callback) {
+             return readers_.AskReader(rows_request, std::move(callback));
+           }}) {}
 
 bool PeerGroup::Start() {
   auto channel = adapters::PeerChannel::Open(
--- a/tests/unit/platform/table_follower_peer_test.cc
+++ b/tests/unit/platform/table_follower_peer_test.cc
@@ -19,17 +19,17 @@
   [[nodiscard]] TableFollower::Options Options() const {
     return {.table = "t", .timing = kTestTiming};
   }
-  void QueryReader(const RowsRequest& question, RowsCallback callback) {
+  void QueryReader(const RowsRequest& rows_request, RowsCallback callback) {
     ++queries_;
     platform::FetchRowsFromPeer(
-        caller_, "127.0.0.1:" + std::to_string(listener_->Port()), question,
+        caller_, "127.0.0.1:" + std::to_string(listener_->Port()), rows_request,
         std::move(callback));
   }
   [[nodiscard]] TableFollower::Options OptionsWithReader() {
     TableFollower::Options options = Options();
-    options.ask_reader = [this](const RowsRequest& question,
+    options.ask_reader = [this](const RowsRequest& rows_request,
                                 RowsCallback callback) {
-      QueryReader(question, std::move(callback));
+      QueryReader(rows_request, std::move(callback));
       return true;
     };
     return options;
@@ -62,9 +62,9 @@
   platform::StoreClient refused_store(loop_, {.address = refusing.Address()},
                                       metrics_);
   TableFollower::Options options = Options();
-  options.ask_peer = [this](const RowsRequest& question,
+  options.ask_peer = [this](const RowsRequest& rows_request,
                             RowsCallback callback) {
-    QueryReader(question, std::move(callback));
+    QueryReader(rows_request, std::move(callback));
   };
   TableFollower refused_follower({.timers = loop_,
                                   .store = refused_store,
