--- a/lib/libmedlarcroft/include/medlarcroft/capacity/seat_holder.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/seat_holder.h
@@ -51,10 +51,10 @@
 /// compare-and-swap to the next epoch, after the owner is gone (`IsAbandoned`),
 /// and the new owner waits until no work or loan of the old one can still be
 /// active. A holder does not need the platform to keep its seat: unless it is
-/// paused, the other hosts hear from it, so none of them takes the seat. `Step`
-/// blocks on the store and runs on a control thread; `RecordHeartbeat` and
-/// `ValidUntil` do not block on the store.
-/// Not thread-safe without a lock around each call.
+/// paused, it answers the calls of the other hosts, so none of them takes the
+/// seat. `Step` blocks on the store and runs on a control thread;
+/// `RecordHeartbeat` and `ValidUntil` do not block on the store. Not
+/// thread-safe without a lock around each call.
 class SeatHolder {
  public:
   SeatHolder(SeatHolderOptions options,
--- a/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_poller.h
+++ b/lib/libmedlarcroft/include/medlarcroft/catalogue/catalogue_poller.h
@@ -15,21 +15,21 @@
 /// @brief Why a host currently polls the catalogue from the platform.
 enum class PollReason {
   kNone,         ///< Not polling; peers deliver changes.
-  kDutyHost,     ///< Polls the head on behalf of its domain.
+  kRelay,        ///< Polls the head on behalf of its domain.
   kPeersSilent,  ///< No contact with any peer for some time.
   kBehind,       ///< Peers announced a revision but did not deliver it.
 };
 
 /// @brief Updates this host's replica to the latest revision on the platform.
 ///
-/// A few duty hosts of each failure domain poll the head. The other hosts
-/// receive changes from peers and read the platform only when their peers fail
-/// to deliver. `Step` blocks on the platform, so it needs its own thread; a
-/// slow platform then delays nothing else.
+/// A few hosts of each failure domain, its relays, poll the head. The other
+/// hosts receive changes from peers and read the platform only when their peers
+/// fail to deliver. `Step` blocks on the platform, so it needs its own thread;
+/// a slow platform then delays nothing else.
 class CataloguePoller {
  public:
   struct Options {
-    /// Two duty hosts in each of 17 domains make 34 reads per second at a
+    /// Two relays in each of 17 domains make 34 reads per second at a
     /// period of 1 s. A change must be in force everywhere within 18 s.
     Duration poll_period = std::chrono::seconds(1);
     /// How often a host that does not poll checks whether it needs to.
@@ -53,16 +53,15 @@
   CataloguePoller(Options options, Ports ports);
 
   /// @brief Reads from the platform if this host needs to.
-  /// @param is_duty_host whether this host polls the head on behalf of its
-  /// domain.
+  /// @param is_relay whether this host polls the head on behalf of its domain.
   /// @return how long to wait before the next step.
-  Duration Step(bool is_duty_host);
+  Duration Step(bool is_relay);
 
   [[nodiscard]] PollReason Reason() const { return reason_; }
   [[nodiscard]] std::uint64_t FailedSteps() const { return failed_steps_; }
 
  private:
-  [[nodiscard]] PollReason FindPollReason(bool is_duty_host) const;
+  [[nodiscard]] PollReason FindPollReason(bool is_relay) const;
   [[nodiscard]] bool ReadPlatform();
   [[nodiscard]] bool ReadMissingRevisions(std::uint64_t head);
   [[nodiscard]] Duration AddJitter(Duration duration);
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/durable_claims.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/durable_claims.h
@@ -41,8 +41,8 @@
 struct Unsettled {
   ports::StoreFailure failure = ports::StoreFailure::kUnavailable;
 };
-/// @brief Reasons for refusing here without asking the platform; the outcome is
-/// `unknown`.
+/// @brief Reasons for refusing here without a call to the platform; the outcome
+/// is `unknown`.
 enum class ClaimRefusal {
   kExpired,
   kRelinquished,  ///< This process promised never to dispatch it.
@@ -96,7 +96,7 @@
   /// @return false if it must not be sent.
   [[nodiscard]] bool MarkDispatched(const Key& key);
 
-  /// @brief Answers another host that wants to take over.
+  /// @brief Answers another host that requests to take the claim over.
   /// @param incarnation the one named in the row; any other than this process's
   /// own proves nothing.
   /// @return true, which is binding, if this process has not dispatched the key
@@ -121,7 +121,7 @@
   [[nodiscard]] std::optional<ClaimRefusal> Admit(const Key& key);
   [[nodiscard]] ClaimResult Acquire(const Key& key, std::uint64_t version);
   [[nodiscard]] ClaimResult ClassifyRow(const Key& key, const ports::Row& row);
-  void ForgetExpired();
+  void RemoveExpired();
 
   DurableClaimsOptions options_;
   ports::TableStore& store_;
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/expiry_index.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/expiry_index.h
@@ -22,7 +22,7 @@
   void Remove(const Key& key) { ids_.erase({key.expiry, key.id}); }
 
   [[nodiscard]] bool IsExpired(const Key& key, WallTime now) const {
-    return key.expiry <= now || key.expiry <= forgotten_through_;
+    return key.expiry <= now || key.expiry <= removed_through_;
   }
 
   /// @brief Removes the next key that expired by `now`.
@@ -32,13 +32,13 @@
       return std::nullopt;
     }
     auto node = ids_.extract(ids_.begin());
-    forgotten_through_ = node.value().first;
+    removed_through_ = node.value().first;
     return std::move(node.value().second);
   }
 
  private:
   std::set<std::pair<WallTime, KeyId>> ids_;
-  WallTime forgotten_through_{WallTime::min()};
+  WallTime removed_through_{WallTime::min()};
 };
 
 }  // namespace medlarcroft::idempotency
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/ledger.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/ledger.h
@@ -130,7 +130,7 @@
   [[nodiscard]] bool IsOwn(const Key& key) const;
   std::vector<WaiterId> Settle(EntryMap::iterator found, State state);
   void SetBytes(Entry& entry, std::size_t bytes);
-  void ForgetExpired();
+  void RemoveExpired();
 
   LedgerOptions options_;
   const ports::Clock& clock_;
--- a/lib/libmedlarcroft/include/medlarcroft/ports/slot_source.h
+++ b/lib/libmedlarcroft/include/medlarcroft/ports/slot_source.h
@@ -7,11 +7,12 @@
 
 /// @brief Acquires a slot of a target at the moment of dispatch.
 ///
-/// Failure: the process is paused between its decision and the dispatch, and
-/// its share of the target's slots is meanwhile given to another host. Symptom:
-/// the target receives more requests than it has slots. A count made at the
-/// time of the decision does not prevent this, so each slot is acquired here,
-/// from the share that is valid at dispatch.
+/// Guards against overloading a target when the process is paused between the
+/// decision for a target and the dispatch. If its share of the target's slots
+/// is given to another host during the pause, the target would receive more
+/// requests than it has slots. A count made at the time of the decision does
+/// not prevent this, so each slot is acquired here, from the share that is
+/// valid at dispatch.
 class SlotSource {
  public:
   virtual ~SlotSource() = default;
--- a/lib/libmedlarcroft/include/medlarcroft/process/stop_sequence.h
+++ b/lib/libmedlarcroft/include/medlarcroft/process/stop_sequence.h
@@ -17,8 +17,8 @@
 
 /// @brief State machine of a graceful shutdown, without I/O.
 ///
-/// Failure: a host shuts down while callers still cache look-up answers that
-/// name it. Symptom: their connections are refused, or their requests are
+/// Guards against shutting down while callers still cache look-up answers that
+/// name this host: their connections would be refused, or their requests
 /// aborted. The host therefore announces first that it leaves and serves
 /// requests until those answers have expired; then it accepts no new requests
 /// and waits for those in flight. The wait is limited, so that a stuck request
--- a/lib/libmedlarcroft/include/medlarcroft/replication/follow_timing.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/follow_timing.h
@@ -95,7 +95,7 @@
 inline constexpr std::size_t kMaxDirectReaders = 5;
 
 /// @brief The longest hold for hosts that must be up to date with the store
-/// once both have been without trouble for `in_touch_after`.
+/// once both have been without a fault for `in_touch_after`.
 ///
 /// The store may hang as a call reaches it, then resume and never answer that
 /// call, while the connection stays open. The host learns of no change until it
--- a/lib/libmedlarcroft/include/medlarcroft/replication/peer_readers.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/peer_readers.h
@@ -18,7 +18,7 @@
 
 namespace medlarcroft::replication {
 
-/// @brief The hosts that may be asked for rows.
+/// @brief The hosts from which rows may be requested.
 class PeerDirectory {
  public:
   virtual ~PeerDirectory() = default;
@@ -41,7 +41,7 @@
   struct Options {
     HostName host;
     FailureDomainName failure_domain;
-    /// How many other readers are asked after one that refused.
+    /// To how many other readers a request is sent after one refused it.
     int other_readers_asked = 0;
   };
   struct Parts {
--- a/lib/libmedlarcroft/include/medlarcroft/replication/refused_readers.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/refused_readers.h
@@ -15,8 +15,8 @@
 ///
 /// The store may refuse a reader while it serves other hosts. All followers of
 /// that reader would then call the store themselves, and many of them would be
-/// refused as well. A refusal comes at once, so there is time to ask another
-/// reader first.
+/// refused as well. A refusal comes at once, so there is time for a call to
+/// another reader first.
 class RefusedReaders {
  public:
   void Record(const HostName& host, MonotonicTime now) {
@@ -40,12 +40,12 @@
 };
 
 /// Another reader may need half a second to find out that the store refuses it
-/// as well. With less time to spare, no other reader is asked.
+/// as well. With less time to spare, no other reader is called.
 inline constexpr Duration kMinTimeForOtherReader =
     std::chrono::milliseconds(3500);
 
 /// @param known_within the time in which a leaving target must be known.
-/// @return how many other readers are asked after one that refused.
+/// @return how many other readers are called after one that refused.
 [[nodiscard]] constexpr int OtherReadersAsked(Duration known_within) {
   return known_within >= kMinTimeForOtherReader ? 1 : 0;
 }
--- a/lib/libmedlarcroft/include/medlarcroft/replication/table_follower.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/table_follower.h
@@ -42,8 +42,8 @@
   /// Called with the rows that changed, in order; removed rows are marked.
   virtual void OnRows(std::span<const Row> rows) = 0;
   virtual void OnCallFailed(const FailedCall& call) = 0;
-  /// The store answers again, `away` after its first failed call.
-  virtual void OnStoreRecovered(Duration away) = 0;
+  /// The store answers again, `outage_time` after the first failed call to it.
+  virtual void OnStoreRecovered(Duration outage_time) = 0;
   /// The host that read for this one failed. This host reads the store itself
   /// for a while.
   virtual void OnReaderLost(RowFailure failure,
@@ -59,7 +59,7 @@
     std::string table;
     FollowTiming timing;
     /// Requests rows from another host while the store does not answer this
-    /// one. Empty when no host is to be asked.
+    /// one. Empty when rows are not to be requested from hosts.
     std::function<void(const RowsRequest& request, RowsCallback callback)>
         ask_peer;
     /// Requests rows from the host that reads for the region.
@@ -95,8 +95,8 @@
   /// @return whether no answer has come in the time in which one was due, so
   /// that this host may have missed changes.
   [[nodiscard]] bool IsOverdue() const;
-  /// @brief Called when another host asks this one as the reader of its region.
-  /// From then on this host reads the store itself.
+  /// @brief Called when another host requests rows from this one as the reader
+  /// of its region. From then on this host reads the store itself.
   /// @return the rows, if the store itself has answered this host within
   /// `FreshnessLimit`.
   [[nodiscard]] FreshTable ServeFollowers();
@@ -144,12 +144,12 @@
   /// ignored.
   std::optional<std::uint64_t> reader_call_;
   std::uint64_t reader_calls_ = 0;
-  /// Whether other hosts are being asked, one request at a time.
+  /// Whether rows are being requested from other hosts, one request at a time.
   bool is_asking_peers_ = false;
-  /// Whether the store is being asked for changes before other hosts are
+  /// Whether changes are being requested from the store before other hosts are
   /// answered.
   bool is_catching_up_ = false;
-  /// When another host last asked this one.
+  /// When another host last requested rows from this one.
   std::optional<MonotonicTime> served_others_at_;
   /// Until then this host reads the store itself, since its reader failed or
   /// other hosts read from this one.
--- a/lib/libmedlarcroft/include/medlarcroft/replication/table_server.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/table_server.h
@@ -27,14 +27,14 @@
   Duration answer_margin = kPeerAnswerMargin;
 };
 
-/// @brief Answers other hosts that ask for a table's rows. Answers at once when
-/// there are newer rows. Otherwise answers when some arrive, when the wait is
-/// over, or when the store has not answered this host for so long that the
+/// @brief Answers other hosts' requests for a table's rows. Answers at once
+/// when there are newer rows. Otherwise answers when some arrive, when the wait
+/// is over, or when the store has not answered this host for so long that the
 /// other hosts must know that the rows are outdated.
 ///
-/// Some thirty hosts of a region wait for one reader. A refusal prevents that
-/// all of them act on old rows, without knowing it, while the reader is
-/// disconnected.
+/// Some thirty hosts of a region wait for one reader. Without a refusal, all of
+/// them would act on outdated rows while the reader is disconnected, and could
+/// not detect it.
 class TableServer {
  public:
   using FindTable = std::function<FreshTable(std::string_view table)>;
--- a/lib/libmedlarcroft/include/medlarcroft/steering/lookup_planner.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/lookup_planner.h
@@ -34,11 +34,11 @@
 struct LookupOptions {
   std::size_t max_home_hosts = 4;   ///< Hosts of the first domain.
   std::size_t max_other_hosts = 2;  ///< Hosts of other domains.
-  /// A TTL is drawn from [ttl * (1 - jitter), ttl], so that callers who asked
-  /// at the same time do not ask again at the same time.
+  /// A TTL is drawn from [ttl * (1 - jitter), ttl], so that callers whose
+  /// look-ups coincided do not all repeat them at the same time.
   double ttl_jitter = 0.25;
   /// Factor on the TTL of an answer whose rule is not `LookupRule::kHome`:
-  /// callers ask again soon, but at most twice as often.
+  /// callers repeat the look-up soon, but at most twice as often.
   double degraded_ttl_fraction = 0.5;
   /// Time over which the callers of a domain that was lost return to it,
   /// evenly. Its hosts are diskless and the caches of its targets are empty, so
--- a/lib/libmedlarcroft/include/medlarcroft/telemetry/gauge_group.h
+++ b/lib/libmedlarcroft/include/medlarcroft/telemetry/gauge_group.h
@@ -18,9 +18,9 @@
 
 /// @brief Gauges of one name whose label sets change over time.
 ///
-/// Failure: the series of a traffic shift that has ended keeps its last value.
-/// Symptom: operators see a shift that no longer exists. A series that is not
-/// in the latest update is therefore set to 0, which keeps it exported.
+/// If the series of a traffic shift kept its last value after the shift ended,
+/// operators would see a shift that no longer exists. A series that is not in
+/// the latest update is therefore set to 0, which keeps it exported.
 /// Thread-safe.
 class GaugeGroup {
  public:
--- a/lib/libmedlarcroft/include/medlarcroft/telemetry/request_log_sampler.h
+++ b/lib/libmedlarcroft/include/medlarcroft/telemetry/request_log_sampler.h
@@ -22,10 +22,10 @@
 /// @brief Samples the requests to log. A request is logged with all of its
 /// lines or not at all.
 ///
-/// Load: thousands of requests per second, many of which may fail at once.
-/// Without a limit, logging costs more than the requests. A limit on lines
-/// alone would log requests in part, so that an id found in the log could not
-/// be explained. Some requests are therefore sampled by a hash of their id,
+/// A host handles thousands of requests per second, many of which may fail at
+/// once. Without a limit, logging would cost more than the requests. A limit on
+/// lines alone would log requests in part, so that an id found in the log could
+/// not be explained. Some requests are therefore sampled by a hash of their id,
 /// whatever their outcome; others are sampled when they end, with priority for
 /// failed requests that are not idempotent.
 class RequestLogSampler {
--- a/lib/libmedlarcroft/source/capacity/seat_holder_plan.cc
+++ b/lib/libmedlarcroft/source/capacity/seat_holder_plan.cc
@@ -97,7 +97,7 @@
     is_delegated_ = false;
   }
   // Guards against two users of a seat after a long pause: the row still names
-  // this process, but while the platform was down and this process was silent,
+  // this process, but while the platform was down and this process was paused,
   // a former owner took the seat again and has work running. That owner sees
   // this host's claim and drops the seat; its work must end before the seat is
   // used here.
--- a/lib/libmedlarcroft/source/catalogue/catalogue_poller.cc
+++ b/lib/libmedlarcroft/source/catalogue/catalogue_poller.cc
@@ -27,8 +27,8 @@
       peer_timeout_(
           ScaleBy(options.peer_timeout, 1.0 + ports.random.NextUnit())) {}
 
-Duration CataloguePoller::Step(bool is_duty_host) {
-  reason_ = FindPollReason(is_duty_host);
+Duration CataloguePoller::Step(bool is_relay) {
+  reason_ = FindPollReason(is_relay);
   if (reason_ == PollReason::kNone) {
     consecutive_failures_ = 0;
     return AddJitter(options_.idle_period);
@@ -45,9 +45,9 @@
                             options_.first_backoff * (1 << doublings)));
 }
 
-PollReason CataloguePoller::FindPollReason(bool is_duty_host) const {
-  if (is_duty_host) {
-    return PollReason::kDutyHost;
+PollReason CataloguePoller::FindPollReason(bool is_relay) const {
+  if (is_relay) {
+    return PollReason::kRelay;
   }
   const MonotonicTime now = ports_.clock.Now();
   const MonotonicTime last_contact =
--- a/lib/libmedlarcroft/source/idempotency/durable_claims.cc
+++ b/lib/libmedlarcroft/source/idempotency/durable_claims.cc
@@ -81,7 +81,7 @@
 }
 
 bool DurableClaims::Relinquish(const Key& key, std::uint64_t incarnation) {
-  ForgetExpired();
+  RemoveExpired();
   if (incarnation != options_.incarnation ||
       expiries_.IsExpired(key, clock_.WallNow())) {
     return false;
@@ -123,7 +123,7 @@
 }
 
 std::optional<ClaimRefusal> DurableClaims::Admit(const Key& key) {
-  ForgetExpired();
+  RemoveExpired();
   if (expiries_.IsExpired(key, clock_.WallNow())) {
     return ClaimRefusal::kExpired;
   }
@@ -146,7 +146,7 @@
 
 // Guards against a lost answer to a write that took effect: the writer would
 // take the row for another process's and answer `unknown`, or, worse, a second
-// writer would believe that there is no claim. The nonce shows which attempt
+// writer would assume that there is no claim. The nonce shows which attempt
 // wrote the row. A missing row proves nothing, because the write may still
 // arrive. The same insert is therefore sent again, and whichever of the two
 // arrives first carries this attempt's nonce.
@@ -202,7 +202,7 @@
   return Claimed{};
 }
 
-void DurableClaims::ForgetExpired() {
+void DurableClaims::RemoveExpired() {
   while (const auto id = expiries_.TakeExpired(clock_.WallNow())) {
     keys_.erase(*id);
   }
--- a/lib/libmedlarcroft/source/idempotency/ledger.cc
+++ b/lib/libmedlarcroft/source/idempotency/ledger.cc
@@ -12,7 +12,7 @@
                           const Fingerprint& fingerprint,
                           std::size_t reserve_bytes,
                           WaiterId waiter) {
-  ForgetExpired();
+  RemoveExpired();
   // An entry outlives its expiry only while its request runs.
   if (const auto found = entries_.find(key.id); found != entries_.end()) {
     return BeginRepeat(found->second, fingerprint, waiter);
@@ -145,7 +145,7 @@
   entry.bytes = bytes;
 }
 
-void Ledger::ForgetExpired() {
+void Ledger::RemoveExpired() {
   const WallTime now = clock_.WallNow();
   while (const auto id = expiries_.TakeExpired(now)) {
     const auto found = entries_.find(*id);
--- a/lib/libmedlarcroft/source/load_generator/load_statistics.cc
+++ b/lib/libmedlarcroft/source/load_generator/load_statistics.cc
@@ -42,7 +42,7 @@
 
 std::string Describe(const OutcomeMismatch& mismatch) {
   constexpr std::array<std::string_view, 3> kNames = {
-      "double run", "false \"not run\"", "reported but not run"};
+      "double run", "false \"not run\"", "answered without a run"};
   std::string text(kNames.at(static_cast<std::size_t>(mismatch.fault)));
   text += ": " + mismatch.request + ", runs: " + std::to_string(mismatch.runs);
   for (const std::string& target : mismatch.targets) {
--- a/lib/libmedlarcroft/source/replication/table_follower.cc
+++ b/lib/libmedlarcroft/source/replication/table_follower.cc
@@ -163,9 +163,9 @@
   const MonotonicTime now = parts_.timers.Now();
   failures_ = 0;
   if (disconnected_since_) {
-    const Duration away = now - *disconnected_since_;
+    const Duration outage_time = now - *disconnected_since_;
     disconnected_since_.reset();
-    parts_.listener.OnStoreRecovered(away);
+    parts_.listener.OnStoreRecovered(outage_time);
   }
   answered_at_ = now;
   store_answered_at_ =
@@ -296,7 +296,7 @@
 
 void TableFollower::OnReaderLost(RowFailure failure) {
   parts_.listener.OnReaderLost(failure, version_);
-  // A reader that refused is asked again after the next call. If it were
+  // A reader that refused is called again after the next call. If it were
   // avoided for longer, each host would have to handle an outage of the store
   // that affects all of them by itself for seconds.
   if (failure != RowFailure::kRefused) {
--- a/lib/libmedlarcroft/source/replication/table_server.cc
+++ b/lib/libmedlarcroft/source/replication/table_server.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration kMaxWait = std::chrono::seconds(5);
-// Hosts that start together ask their reader before it has read anything.
+// Hosts that start together call their reader before it has read anything.
 constexpr Duration kMaxStartupWait = std::chrono::milliseconds(500);
 
 }  // namespace
--- a/lib/libmedlarcroft/source/steering/shift_measure.cc
+++ b/lib/libmedlarcroft/source/steering/shift_measure.cc
@@ -21,7 +21,7 @@
 constexpr Duration kLoadTimeConstant = std::chrono::seconds(3);
 constexpr Duration kServiceTimeTimeConstant = std::chrono::seconds(20);
 /// Minimum work from which a service time is derived, in requests and in
-/// requests per second; less says nothing about how long requests take.
+/// requests per second; with less, the time cannot be estimated.
 constexpr double kMinOutstanding = 1.0;
 constexpr double kMinServedPerSecond = 1.0;
 /// A pool is congested when its callers wait for this fraction of the queue
--- a/tests/unit/capacity/seat_holder_test.cc
+++ b/tests/unit/capacity/seat_holder_test.cc
@@ -104,8 +104,8 @@
 
 // Guards against overloading a target after a late handover. The holder hands
 // its seat over and restarts, the platform goes down, and the successor
-// receives the handover late. Both then wait for the seat, each hears the other
-// claim it, and neither uses it.
+// receives the handover late. Both then wait for the seat, each receives the
+// other's claim to it, and neither uses it.
 TEST_F(SeatHolderTest, LateHandoverYieldsToRestartedPredecessor) {
   SeatHolder first = Make("a");
   AdvanceTime({&first}, 1, {});
@@ -182,8 +182,8 @@
   EXPECT_EQ(store_.Rows().size(), 2U);
 }
 
-// A domain that lost its only host is served by the sibling domain 0.5 ms away,
-// and gets its seat back when it has a host again.
+// A domain that lost its only host is served by the sibling domain, 0.5 ms from
+// it, and gets its seat back when it has a host again.
 TEST_F(SeatHolderTest, SiblingServesDomainWithoutHosts) {
   SeatHolder own = Make("a");
   AdvanceTime({&own}, 1, {});
--- a/tests/unit/catalogue/catalogue_poller_test.cc
+++ b/tests/unit/catalogue/catalogue_poller_test.cc
@@ -43,10 +43,10 @@
 
   /// Steps the poller for `duration` of virtual time, with the waits that it
   /// returns.
-  void Run(Node& node, bool is_duty_host, Duration duration) {
+  void Run(Node& node, bool is_relay, Duration duration) {
     const MonotonicTime end = platform_.clock.Now() + duration;
     while (platform_.clock.Now() < end) {
-      platform_.clock.Advance(node.poller.Step(is_duty_host));
+      platform_.clock.Advance(node.poller.Step(is_relay));
     }
   }
 
@@ -143,8 +143,8 @@
   EXPECT_EQ(node.poller.Reason(), PollReason::kNone);
 }
 
-// A host that is not a duty host loses all its peers. Nobody would deliver
-// changes to it any more, so after some time it polls the head itself.
+// A host that is not a relay loses all its peers. It would receive no more
+// changes, so after some time it polls the head itself.
 TEST_F(CataloguePollerTest, ReadsPlatformWhenPeersAreSilent) {
   Accept(2);
   Node node(platform_);
@@ -169,7 +169,7 @@
   EXPECT_EQ(node.replica.Revision(), 2U);
 }
 
-// The platform is down for ten minutes while duty hosts poll it, then recovers
+// The platform is down for ten minutes while relays poll it, then recovers
 // with a change. Polls must become less frequent during the outage, and the
 // change must still be in force within the 18 s that owners expect.
 TEST_F(CataloguePollerTest, BacksOffDuringOutageAndRecoversInTime) {
@@ -205,9 +205,8 @@
   EXPECT_EQ(node.poller.FailedSteps(), 0U);
 }
 
-// Of the 18 s in which a change must be in force everywhere, a domain's duty
-// hosts take one poll; the rest is left for peers, retries and the loss of a
-// duty host.
+// Of the 18 s in which a change must be in force everywhere, a domain's relays
+// take one poll; the rest is left for peers, retries and the loss of a relay.
 TEST_F(CataloguePollerTest, ChangeReachesDomainWithinOnePoll) {
   Node nodes[] = {Node(platform_), Node(platform_)};
   MonotonicTime due[] = {platform_.clock.Now(), platform_.clock.Now()};
--- a/tests/unit/catalogue/catalogue_replica_test.cc
+++ b/tests/unit/catalogue/catalogue_replica_test.cc
@@ -173,8 +173,8 @@
   EXPECT_TRUE(at_new_platform.IsReady());
 }
 
-// A serving host learns of a revision that nobody can deliver yet. Ceasing to
-// serve would turn one missing change into an outage, so it continues and
+// A serving host learns of a revision that no source can deliver yet. Ceasing
+// to serve would turn one missing change into an outage, so it continues and
 // reports that it is behind.
 TEST_F(CatalogueReplicaTest, ServingHostStaysReadyWhileBehind) {
   (void)FromPeer(Changes(1, 3));
--- a/tests/unit/catalogue/catalogue_store_test.cc
+++ b/tests/unit/catalogue/catalogue_store_test.cc
@@ -132,7 +132,7 @@
                        public testing::WithParamInterface<LostCommitCase> {};
 
 // The response to the commit is lost, with or without the commit taking effect.
-// The operator must be told "accepted" for exactly one change, and must never
+// The operator must receive "accepted" for exactly one change, and must never
 // get a conflict with its own change: the change-id row determines which it
 // was.
 TEST_P(LostCommitTest, ResultsInExactlyOneChange) {
@@ -256,8 +256,8 @@
 
 // The platform was restored from an older backup, so its head is below the
 // revision that hosts hold. Hosts would ignore a change with such a low
-// revision, and an operator told "accepted" would wait forever, so the change
-// must be rejected.
+// revision, and an operator who received "accepted" would wait forever, so the
+// change must be rejected.
 TEST_F(CatalogueStoreTest, RejectsChangeWhenPlatformIsBehindHosts) {
   (void)store_.Accept(DomainChange("c1", "a", 0));
   auto change = DomainChange("c2", "a", 1);
--- a/tests/unit/platform/table_follower_peer_test.cc
+++ b/tests/unit/platform/table_follower_peer_test.cc
@@ -143,8 +143,8 @@
 }
 
 // Many hosts request the same rows at once and get the same cached response. A
-// host that queries after a change, or knows fewer rows, must not get that
-// response.
+// host whose request follows a change, or that has fewer rows, must not get
+// that response.
 TEST_F(TableFollowerPeerTest, EachHostGetsTheRowsItLacks) {
   server_.Put("a", "1");
   reader_.Start();
--- a/tests/unit/replication/peer_readers_test.cc
+++ b/tests/unit/replication/peer_readers_test.cc
@@ -110,7 +110,7 @@
   EXPECT_TRUE(is_answered);
   ASSERT_EQ(asked_.size(), 2U);
 
-  // The first reader is not asked again for a while.
+  // The first reader is not called again for a while.
   EXPECT_TRUE(ask());
   EXPECT_EQ(asked_.size(), 3U);
   EXPECT_EQ(asked_[2], asked_[1]);
@@ -120,8 +120,8 @@
   EXPECT_EQ(asked_.back(), first);
 }
 
-// Where leaving targets must be known sooner, there is no time to ask another
-// reader.
+// Where leaving targets must be known sooner, there is no time for a call to
+// another reader.
 TEST_F(PeerReadersTest, NoOtherReaderIsAskedWhenTimeIsShort) {
   refusing_ = {FirstReader()};
   PeerReaders readers = Make(OtherReadersAsked(std::chrono::seconds(2)));
@@ -132,8 +132,8 @@
   EXPECT_EQ(asked_.size(), 1U);
 }
 
-// A host that is asked reads the store itself, so of 90 hosts only the readers
-// may be asked.
+// A host that gets a request for rows reads the store itself, so of 90 hosts
+// only the readers may get requests.
 TEST_F(PeerReadersTest, ARefusedHostAsksReadersOfAllRegions) {
   PeerReaders readers = Make(1);
   for (int i = 0; i < 100; ++i) {
--- a/tests/unit/steering/lookup_planner_test.cc
+++ b/tests/unit/steering/lookup_planner_test.cc
@@ -123,10 +123,10 @@
   EXPECT_EQ(Answer().entry_hosts.size(), 1U);
 }
 
-// A caller in an isolated domain asks the only host that it can reach, which
-// has received no state of any other host yet. No answer would leave the caller
-// without service although the hosts may be up, so the hosts of the domain are
-// listed.
+// A caller in an isolated domain sends its look-up to the only host that it can
+// reach, which has received no state of any other host yet. No answer would
+// leave the caller without service although the hosts may be up, so the hosts
+// of the domain are listed.
 TEST_F(LookupPlannerTest, ListsOwnDomainWhenAllHostsAreUnknown) {
   Update({MakeHost("a", kNyarugenge, kStarting, kUnknown),
           MakeHost("b", kKicukiro, kStarting, kUnknown)});
