--- a/lib/libmedlarcroft/include/medlarcroft/capacity/seat_policy.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/seat_policy.h
@@ -14,7 +14,7 @@
 /// The owner must be missing from a fresh host list, calls to it must have
 /// failed for more than a lease, and no other host may claim the seat. Neither
 /// of the first two conditions is enough alone: the list lags behind, and a
-/// host that is only cut off from the platform keeps serving.
+/// host that is only disconnected from the platform keeps serving.
 /// @param observed_since when this process started or last resumed from a
 /// pause.
 [[nodiscard]] bool IsAbandoned(const SeatOwner& owner,
@@ -29,8 +29,8 @@
 /// peer has claimed the seat for a whole `LeaseRules::ReuseDelayAfterRelease`.
 /// This is enough because a host that took the seat meanwhile either claims it,
 /// or has released it, or is down (there are no partitions within a domain), or
-/// is cut off in a sibling domain and cannot reach this domain's targets. In
-/// each case its work has ended by then.
+/// is in a disconnected sibling domain and cannot reach this domain's targets.
+/// In each case its work has ended by then.
 [[nodiscard]] bool IsSeatContested(std::uint32_t seat,
                                    const DomainEvidence& evidence,
                                    MonotonicTime since);
--- a/lib/libmedlarcroft/include/medlarcroft/decision/attempt_rules.h
+++ b/lib/libmedlarcroft/include/medlarcroft/decision/attempt_rules.h
@@ -8,7 +8,7 @@
 /// @brief When an attempt's slot at the target is released.
 enum class SlotRelease {
   kImmediately,  ///< The target has ended the attempt or never received it.
-  kAfterGracePeriod,  ///< The target was asked to stop and soon does.
+  kAfterGracePeriod,  ///< The target was requested to stop and soon does.
   kAfterDeadline,     ///< The target may continue until the request deadline.
 };
 
--- a/lib/libmedlarcroft/include/medlarcroft/idempotency/durable_claims.h
+++ b/lib/libmedlarcroft/include/medlarcroft/idempotency/durable_claims.h
@@ -82,8 +82,7 @@
   [[nodiscard]] ClaimResult Claim(const Key& key);
 
   /// @brief Makes "not run" provable: no process can claim the key afterwards.
-  /// Needs one write; for refusals that must tell the caller whether the
-  /// request ran.
+  /// Needs one write; for refusals that must state whether the request ran.
   /// @return `Claimed` when this process holds the claim and has not dispatched
   /// the key; then no process has.
   [[nodiscard]] ClaimResult Fence(const Key& key);
--- a/lib/libmedlarcroft/include/medlarcroft/replication/peer_readers.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/peer_readers.h
@@ -69,14 +69,14 @@
 
  private:
   [[nodiscard]] std::vector<ReaderCandidate> Candidates() const;
-  bool AskReaderOf(const RowsRequest& request,
-                   int attempts_left,
-                   RowsCallback callback);
+  bool TryReader(const RowsRequest& request,
+                 int attempts_left,
+                 RowsCallback callback);
   /// @brief Requests the rows from `reader`. If it refuses, since its rows are
   /// not fresh, it is not used again for a while.
-  void Ask(const ReaderCandidate& reader,
-           const RowsRequest& request,
-           RowsCallback callback);
+  void CallReader(const ReaderCandidate& reader,
+                  const RowsRequest& request,
+                  RowsCallback callback);
 
   Options options_;
   Parts parts_;
--- a/lib/libmedlarcroft/include/medlarcroft/replication/table_follower.h
+++ b/lib/libmedlarcroft/include/medlarcroft/replication/table_follower.h
@@ -145,7 +145,7 @@
   std::optional<std::uint64_t> reader_call_;
   std::uint64_t reader_calls_ = 0;
   /// Whether rows are being requested from other hosts, one request at a time.
-  bool is_asking_peers_ = false;
+  bool is_requesting_from_peers_ = false;
   /// Whether changes are being requested from the store before other hosts are
   /// answered.
   bool is_catching_up_ = false;
--- a/lib/libmedlarcroft/include/medlarcroft/request_path/target_directory.h
+++ b/lib/libmedlarcroft/include/medlarcroft/request_path/target_directory.h
@@ -50,11 +50,11 @@
 /// @brief All registered targets, and which of them may get new requests.
 ///
 /// A process that announced its shutdown never returns to service: a later
-/// entry of the same process that says otherwise is outdated or wrong. A newer
-/// process with the same id is a different one: it starts cold and without any
-/// estimates. Entries of older processes than the known one are ignored, so
-/// hosts that receive entries in different orders agree once each has received
-/// the newest.
+/// entry of the same process that states otherwise is outdated or wrong. A
+/// newer process with the same id is a different one: it starts cold and
+/// without any estimates. Entries of older processes than the known one are
+/// ignored, so hosts that receive entries in different orders agree once each
+/// has received the newest.
 class TargetDirectory {
  public:
   TargetDirectory(DomainRegions regions, TargetDirectoryObserver& observer);
--- a/lib/libmedlarcroft/include/medlarcroft/steering/shift_admission.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/shift_admission.h
@@ -23,13 +23,13 @@
 
 /// @brief Decides whether to accept a request that another domain forwarded.
 ///
-/// The sender's plan may be seconds old, several senders do not know of each
-/// other, and the receiver's own demand may surge. Therefore the check uses
-/// only the current local state, so that no outdated view of a sender can take
-/// the receiver over its capacity: a forwarded request gets a slot only if the
-/// reserve stays free after it and none of the domain's own callers is waiting.
-/// It is never queued, because the link has already used up part of its
-/// deadline.
+/// The sender's plan may be seconds old, several senders act independently of
+/// each other, and the receiver's own demand may surge. Therefore the check
+/// uses only the current local state, so that no outdated view of a sender can
+/// take the receiver over its capacity: a forwarded request gets a slot only if
+/// the reserve stays free after it and none of the domain's own callers is
+/// waiting. It is never queued, because the link has already used up part of
+/// its deadline.
 [[nodiscard]] Result<Success, ShiftAdmissionRefusal> AdmitForwarded(
     const ReceiverState& state);
 
--- a/lib/libmedlarcroft/include/medlarcroft/steering/shift_planner.h
+++ b/lib/libmedlarcroft/include/medlarcroft/steering/shift_planner.h
@@ -50,8 +50,8 @@
 /// what a receiver offers to all senders together is its spare capacity, less
 /// its reserved headroom and the demand that look-up answers will still bring,
 /// reduced by the age of its measurements and while its caches are cold. A
-/// planner that counted only what it measures would give the same spare slots
-/// away again at each step. The second is oscillation: a source's demand is
+/// planner that counted only what it measures would offer the same spare slots
+/// again at each step. The second is oscillation: a source's demand is
 /// measured before forwarding, so a shift does not change the figure that it
 /// was decided by; growth needs a margin; and a return needs home to have been
 /// cheaper for a hold time, and proceeds in steps. Not thread-safe.
--- a/lib/libmedlarcroft/source/membership/exchange.cc
+++ b/lib/libmedlarcroft/source/membership/exchange.cc
@@ -212,9 +212,9 @@
     ExchangeContent& content,
     std::vector<TargetObservation> observations,
     std::size_t& room) {
-  // Observations of other hosts are passed on only when they warn: the
-  // observations of 300 targets by 52 hosts would take minutes to reach all
-  // hosts.
+  // Observations of other hosts are forwarded only if they report a target as
+  // leaving or ejected: all observations of 300 targets by 52 hosts would take
+  // minutes to reach all hosts.
   std::erase_if(observations, [&content](const TargetObservation& observation) {
     return observation.observer != content.sender.host &&
            !observation.is_leaving && !observation.is_ejected;
--- a/lib/libmedlarcroft/source/membership/membership_table.cc
+++ b/lib/libmedlarcroft/source/membership/membership_table.cc
@@ -163,7 +163,7 @@
   if (state.number <= self_.number) {
     return false;
   }
-  // Peers know a later number than this process has used: its wall clock was
+  // Peers have a later number than this process has used: its wall clock was
   // set back between two starts. Without a higher number, peers would ignore
   // all its statements.
   self_.number = {.incarnation = state.number.incarnation + 1, .sequence = 0};
--- a/lib/libmedlarcroft/source/replication/peer_readers.cc
+++ b/lib/libmedlarcroft/source/replication/peer_readers.cc
@@ -33,13 +33,12 @@
 }
 
 bool PeerReaders::AskReader(const RowsRequest& request, RowsCallback callback) {
-  return AskReaderOf(request, options_.other_readers_asked,
-                     std::move(callback));
+  return TryReader(request, options_.other_readers_asked, std::move(callback));
 }
 
-bool PeerReaders::AskReaderOf(const RowsRequest& request,
-                              int attempts_left,
-                              RowsCallback callback) {
+bool PeerReaders::TryReader(const RowsRequest& request,
+                            int attempts_left,
+                            RowsCallback callback) {
   std::vector<ReaderCandidate> candidates = Candidates();
   if (candidates.size() <= kMaxDirectReaders) {
     return false;
@@ -49,12 +48,13 @@
   if (reader == nullptr || reader->host == options_.host) {
     return false;
   }
-  Ask(*reader, request,
+  CallReader(
+      *reader, request,
       [self = self_, request, attempts_left,
        callback = std::move(callback)](Result<RowBatch, RowFailure> answer) {
         const bool is_retried =
             IsRefusal(answer) && attempts_left > 0 && *self != nullptr &&
-            (*self)->AskReaderOf(request, attempts_left - 1, callback);
+            (*self)->TryReader(request, attempts_left - 1, callback);
         if (!is_retried) {
           callback(std::move(answer));
         }
@@ -82,13 +82,13 @@
     });
     return;
   }
-  Ask(readers[parts_.random.NextBelow(readers.size())], request,
-      std::move(callback));
+  CallReader(readers[parts_.random.NextBelow(readers.size())], request,
+             std::move(callback));
 }
 
-void PeerReaders::Ask(const ReaderCandidate& reader,
-                      const RowsRequest& request,
-                      RowsCallback callback) {
+void PeerReaders::CallReader(const ReaderCandidate& reader,
+                             const RowsRequest& request,
+                             RowsCallback callback) {
   parts_.ask_host(
       reader.address, request,
       [self = self_, host = reader.host,
--- a/lib/libmedlarcroft/source/replication/table_follower.cc
+++ b/lib/libmedlarcroft/source/replication/table_follower.cc
@@ -196,7 +196,7 @@
   if (!disconnected_since_) {
     disconnected_since_ = now;
     // Requests from an earlier outage may still be pending.
-    if (!is_asking_peers_) {
+    if (!is_requesting_from_peers_) {
       RequestPeerRows();
     }
   }
@@ -215,8 +215,8 @@
 // are ignored, and a host that itself gets no answers from the store does not
 // answer.
 void TableFollower::RequestPeerRows() {
-  is_asking_peers_ = disconnected_since_ && options_.ask_peer;
-  if (!is_asking_peers_) {
+  is_requesting_from_peers_ = disconnected_since_ && options_.ask_peer;
+  if (!is_requesting_from_peers_) {
     return;
   }
   options_.ask_peer({.table = options_.table, .known_version = version_},
--- a/lib/libmedlarcroft/source/replication/table_server.cc
+++ b/lib/libmedlarcroft/source/replication/table_server.cc
@@ -20,15 +20,15 @@
   const Duration max_wait =
       table.is_loading ? kMaxStartupWait : std::min(kMaxWait, table.fresh_for);
   const Duration wait = std::min(request.wait, max_wait);
-  PendingRequest asked{.table = request.table,
-                       .known_version = request.known_version,
-                       .answer = std::move(answer)};
+  PendingRequest pending{.table = request.table,
+                         .known_version = request.known_version,
+                         .answer = std::move(answer)};
   if (has_newer_rows || wait <= Duration(0)) {
-    Answer(asked);
+    Answer(pending);
     return;
   }
   const std::uint64_t number = ++last_request_id_;
-  pending_requests_.emplace(number, std::move(asked));
+  pending_requests_.emplace(number, std::move(pending));
   timers_.RunAfter(wait, [this, number] {
     const auto node = pending_requests_.extract(number);
     if (!node.empty()) {
--- a/tests/unit/capacity/seat_holder_test.cc
+++ b/tests/unit/capacity/seat_holder_test.cc
@@ -35,7 +35,8 @@
     }
   }
 
-  /// Evidence about a peer that is gone or only cut off from the platform.
+  /// Evidence about a peer that is gone or only disconnected from the
+  /// platform.
   static DomainEvidence EvidenceFor(const char* host,
                                     bool is_listed,
                                     bool is_silent) {
@@ -53,8 +54,8 @@
   fakes::FakeTableStore store_;
 };
 
-// A domain that is cut off from the platform keeps serving: the seat needs no
-// renewal there and is held as long as the process is not paused.
+// A domain that is disconnected from the platform keeps serving: the seat needs
+// no renewal there and is held as long as the process is not paused.
 TEST_F(SeatHolderTest, HolderKeepsItsSeatWithoutThePlatform) {
   SeatHolder holder = Make("a");
   AdvanceTime({&holder}, 1, {});
--- a/tests/unit/membership/target_status_table_test.cc
+++ b/tests/unit/membership/target_status_table_test.cc
@@ -31,7 +31,7 @@
 // observed it leaving, and an observation that another host made earlier, or an
 // older one of the same host, arrives later. The first report that it is
 // leaving must take precedence.
-TEST_F(TargetStatusTableTest, TheFirstSignOfLeavingTakesPrecedence) {
+TEST_F(TargetStatusTableTest, TheFirstReportOfLeavingTakesPrecedence) {
   Observe("a", 5, true);
   Observe("b", 9, false);
   Observe("a", 4, false);
--- a/tests/unit/peer_updates/crash_broadcast_test.cc
+++ b/tests/unit/peer_updates/crash_broadcast_test.cc
@@ -66,10 +66,10 @@
     hosts_.After(length, [this, index] { MarkRecovered(index); });
   }
 
-  void AskFor(Duration time, Duration period) {
+  void SendRequestsFor(Duration time, Duration period) {
     const MonotonicTime end = hosts_.Now() + time;
     while (hosts_.Now() < end) {
-      Ask(hosts_.Random().NextBelow(hosts_.Size()));
+      SendRequest(hosts_.Random().NextBelow(hosts_.Size()));
       hosts_.RunFor(period);
     }
   }
@@ -123,7 +123,7 @@
 
   void MarkRecovered(std::size_t index) { recovered_at_[index] = hosts_.Now(); }
 
-  void Ask(std::size_t index) {
+  void SendRequest(std::size_t index) {
     if (hosts_.IsPaused(index) ||
         ledgers_[index]->ledger.BlockedFor(kRequest, hosts_.Now())) {
       return;
@@ -196,9 +196,9 @@
     CrashSimulation simulation({.hosts = GetParam().hosts,
                                 .loss_rate = GetParam().loss_rate,
                                 .seed = seed});
-    simulation.AskFor(seconds(2), milliseconds(60));
+    simulation.SendRequestsFor(seconds(2), milliseconds(60));
     GetParam().inject_faults(simulation);
-    simulation.AskFor(seconds(16), milliseconds(60));
+    simulation.SendRequestsFor(seconds(16), milliseconds(60));
     EXPECT_GE(simulation.Crashes(), 3U);
     EXPECT_LE(simulation.LateSends(), kSendsAllowed) << "seed " << seed;
   }
@@ -215,7 +215,7 @@
     for (std::size_t index = 0; index < GetParam(); index += 4) {
       simulation.DisconnectFromHosts(index);
     }
-    simulation.AskFor(seconds(12), milliseconds(60));
+    simulation.SendRequestsFor(seconds(12), milliseconds(60));
     EXPECT_GE(simulation.Crashes(), 3U);
     EXPECT_LE(simulation.LateSends(), kSendsAllowed) << "seed " << seed;
   }
--- a/tests/unit/replication/peer_readers_test.cc
+++ b/tests/unit/replication/peer_readers_test.cc
@@ -57,7 +57,7 @@
              .ask_host =
                  [this](const std::string& address, const RowsRequest&,
                         const RowsCallback& callback) {
-                   asked_.push_back(address);
+                   called_.push_back(address);
                    if (refusing_.contains(address)) {
                      callback(RowFailure::kRefused);
                    } else {
@@ -85,61 +85,61 @@
       {kFar, RegionName("s")}};
   FixedDirectory directory_;
   std::set<std::string> refusing_;
-  std::vector<std::string> asked_;
+  std::vector<std::string> called_;
   const RowsRequest request_{.table = "t"};
 };
 
-TEST_F(PeerReadersTest, TheReaderOfTheOwnDomainIsAsked) {
+TEST_F(PeerReadersTest, TheReaderOfTheOwnDomainIsCalled) {
   PeerReaders readers = Make(1);
   EXPECT_TRUE(readers.AskReader(request_, [](const auto&) {}));
-  EXPECT_EQ(asked_, std::vector{FirstReader()});
+  EXPECT_EQ(called_, std::vector{FirstReader()});
 }
 
 // Guards against all followers of a reader that the store refuses calling the
 // store themselves.
-TEST_F(PeerReadersTest, AnotherReaderIsAskedAfterOneThatRefuses) {
+TEST_F(PeerReadersTest, AnotherReaderIsCalledAfterOneThatRefuses) {
   const std::string first = FirstReader();
   refusing_ = {first};
   PeerReaders readers = Make(1);
   bool is_answered = false;
-  const auto ask = [&] {
+  const auto request_rows = [&] {
     return readers.AskReader(
         request_, [&](const auto& answer) { is_answered = IsOk(answer); });
   };
-  EXPECT_TRUE(ask());
+  EXPECT_TRUE(request_rows());
   EXPECT_TRUE(is_answered);
-  ASSERT_EQ(asked_.size(), 2U);
+  ASSERT_EQ(called_.size(), 2U);
 
   // The first reader is not called again for a while.
-  EXPECT_TRUE(ask());
-  EXPECT_EQ(asked_.size(), 3U);
-  EXPECT_EQ(asked_[2], asked_[1]);
+  EXPECT_TRUE(request_rows());
+  EXPECT_EQ(called_.size(), 3U);
+  EXPECT_EQ(called_[2], called_[1]);
   time_.RunUntil(time_.Now() + seconds(4));
   refusing_.clear();
-  EXPECT_TRUE(ask());
-  EXPECT_EQ(asked_.back(), first);
+  EXPECT_TRUE(request_rows());
+  EXPECT_EQ(called_.back(), first);
 }
 
 // Where leaving targets must be known sooner, there is no time for a call to
 // another reader.
-TEST_F(PeerReadersTest, NoOtherReaderIsAskedWhenTimeIsShort) {
+TEST_F(PeerReadersTest, NoOtherReaderIsCalledWhenTimeIsShort) {
   refusing_ = {FirstReader()};
   PeerReaders readers = Make(OtherReadersAsked(std::chrono::seconds(2)));
   bool is_refused = false;
   EXPECT_TRUE(readers.AskReader(
       request_, [&](const auto& answer) { is_refused = !IsOk(answer); }));
   EXPECT_TRUE(is_refused);
-  EXPECT_EQ(asked_.size(), 1U);
+  EXPECT_EQ(called_.size(), 1U);
 }
 
 // A host that gets a request for rows reads the store itself, so of 90 hosts
 // only the readers may get requests.
-TEST_F(PeerReadersTest, ARefusedHostAsksReadersOfAllRegions) {
+TEST_F(PeerReadersTest, ARefusedHostCallsReadersOfAllRegions) {
   PeerReaders readers = Make(1);
   for (int i = 0; i < 100; ++i) {
     readers.AskSomeReader(request_, [](const auto&) {});
   }
-  const std::set<std::string> distinct(asked_.begin(), asked_.end());
+  const std::set<std::string> distinct(called_.begin(), called_.end());
   EXPECT_EQ(distinct.size(), 3U);
 }
 
--- a/tests/unit/replication/reader_choice_test.cc
+++ b/tests/unit/replication/reader_choice_test.cc
@@ -53,19 +53,19 @@
 }
 
 // Guards against hosts that the store refuses making all others read it.
-TEST(ReaderChoiceTest, RefusedHostsAskReadersOnly) {
+TEST(ReaderChoiceTest, RefusedHostsCallReadersOnly) {
   std::vector<ReaderCandidate> hosts = HostsOf("r", 33);
   for (const ReaderCandidate& host : HostsOf("s", 10)) {
     hosts.push_back(host);
   }
-  std::set<std::string> asked;
+  std::set<std::string> called;
   for (const ReaderCandidate& reader :
        ChooseReadersOfAllRegions("t", hosts, Regions())) {
-    asked.insert(reader.address);
+    called.insert(reader.address);
   }
   const auto own = EligibleReaders(FailureDomainName("r-a"), 99, hosts);
-  EXPECT_EQ(asked.size(), 4U);
-  EXPECT_TRUE(asked.contains(ChooseReader("t", own)->address));
+  EXPECT_EQ(called.size(), 4U);
+  EXPECT_TRUE(called.contains(ChooseReader("t", own)->address));
 }
 
 TEST(ReaderChoiceTest, InASmallRegionEachHostIsAReader) {
--- a/tests/unit/request_path/request_path_test.cc
+++ b/tests/unit/request_path/request_path_test.cc
@@ -284,19 +284,19 @@
 TEST_F(RequestPathTest, RefusesABlockedRequestAndServesOthers) {
   Configure(RequestKind::kIdempotent, 5);
   const auto crashing = RequestFingerprint::Of({"crash"});
-  const auto ask = [&](RequestFingerprint fingerprint) {
+  const auto begin_request = [&](RequestFingerprint fingerprint) {
     return path_.Begin(
         {.host = "h", .target = "/x", .fingerprint = fingerprint}, kStart);
   };
   for (std::uint32_t target = 1; target <= 3; ++target) {
     path_.Crashes().OnCrash(crashing, TargetNumber{target}, kStart);
   }
-  const RequestStart blocked = ask(crashing);
+  const RequestStart blocked = begin_request(crashing);
   ASSERT_NE(FailureIn(blocked.step), nullptr);
   EXPECT_EQ(FailureIn(blocked.step)->reason, FailureReason::kRequestBlocked);
   EXPECT_TRUE(FailureIn(blocked.step)->is_not_run);
   EXPECT_GT(FailureIn(blocked.step)->retry_after, Duration(seconds(1)));
-  const RequestStart other = ask(RequestFingerprint::Of({"other"}));
+  const RequestStart other = begin_request(RequestFingerprint::Of({"other"}));
   EXPECT_TRUE(std::holds_alternative<SendAttempt>(other.step));
 }
 
--- a/tests/unit/request_path/retry_budget_share_test.cc
+++ b/tests/unit/request_path/retry_budget_share_test.cc
@@ -25,7 +25,7 @@
   EXPECT_EQ(window.Count(kStart + seconds(30)), 0U);
 }
 
-// All targets fail at the same time, and every request on every host asks for a
+// All targets fail at the same time, and every request on every host needs a
 // retry for a minute, without coordination between the hosts. In any window of
 // ten seconds the retries of all hosts together must not exceed a fifth of the
 // requests plus the fixed amount.
--- a/tests/unit/steering/shift_limiter_test.cc
+++ b/tests/unit/steering/shift_limiter_test.cc
@@ -85,9 +85,9 @@
   EXPECT_EQ(refusal(), ShiftRefusal::kNotPlanned);
 }
 
-// The receiver has lost its targets, but the plan does not know yet. Each
-// consecutive refusal doubles the pause, so that callers stop paying for round
-// trips.
+// The receiver has lost its targets, but the plan does not reflect that yet.
+// Each consecutive refusal doubles the pause, so that fewer requests make the
+// round trip in vain.
 TEST(ShiftLimiter, PauseDoublesWithConsecutiveRefusals) {
   fakes::ManualClock clock;
   ShiftLimiter limiter(clock);
--- a/tests/unit/steering/shift_planner_test.cc
+++ b/tests/unit/steering/shift_planner_test.cc
@@ -251,7 +251,7 @@
 }
 
 // Look-up answers have sent callers to the sibling, but its measurements do not
-// show them yet. Its spare slots must not be given away a second time.
+// show them yet. Its spare slots must not be offered a second time.
 TEST_F(ShiftPlannerTest, PendingDemandCountsAsReceiversDemand) {
   SetLoad(kHome, 1400.0);
   pending_ = {{kLookupDesk, kSibling, 780.0}};
--- a/tests/unit/telemetry/gauge_group_test.cc
+++ b/tests/unit/telemetry/gauge_group_test.cc
@@ -10,7 +10,7 @@
 constexpr MetricDescription kRate = {"medlar_rate", "A rate."};
 
 // Two series are set, then only one of them. If the other kept its value, the
-// metrics would report a shift that has ended for ever.
+// metrics would permanently report a shift that has ended.
 TEST(GaugeGroup, SeriesMissingFromAnUpdateIsSetToZero) {
   MetricsRegistry metrics;
   GaugeGroup group(metrics, kRate);
