--- a/lib/libmedlarcroft/include/medlarcroft/capacity/seat_holder.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/seat_holder.h
@@ -26,7 +26,8 @@
 };
 
 /// @brief Passes a seat to another process without the platform, for example
-/// when the last hosts of a domain are replaced while it cannot reach it.
+/// when the last hosts of a domain are replaced while the domain is
+/// disconnected from the platform.
 struct SeatHandover {
   FailureDomainName failure_domain;
   std::uint32_t seat = 0;
--- a/lib/libmedlarcroft/include/medlarcroft/capacity/seat_policy.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/seat_policy.h
@@ -29,8 +29,8 @@
 /// peer has claimed the seat for a whole `LeaseRules::ReuseDelayAfterRelease`.
 /// This is enough because a host that took the seat meanwhile either claims it,
 /// or has released it, or is down (there are no partitions within a domain), or
-/// is in a disconnected sibling domain and cannot reach this domain's targets.
-/// In each case its work has ended by then.
+/// is in a sibling domain and disconnected, so that it cannot reach this
+/// domain's targets. In each case its work has ended by then.
 [[nodiscard]] bool IsSeatContested(std::uint32_t seat,
                                    const DomainEvidence& evidence,
                                    MonotonicTime since);
--- a/lib/libmedlarcroft/include/medlarcroft/capacity/token_share.h
+++ b/lib/libmedlarcroft/include/medlarcroft/capacity/token_share.h
@@ -58,7 +58,7 @@
  private:
   struct GrantRecord {
     std::uint32_t amount = 0;
-    MonotonicTime forget_at;
+    MonotonicTime remove_at;
   };
   struct Borrowed {
     std::uint32_t amount = 0;
--- a/lib/libmedlarcroft/source/capacity/token_share.cc
+++ b/lib/libmedlarcroft/source/capacity/token_share.cc
@@ -57,7 +57,7 @@
   tokens_ -= amount;
   grants_[key] = {
       .amount = amount,
-      .forget_at = now + (options_.token_lifetime * kRememberedLifetimes)};
+      .remove_at = now + (options_.token_lifetime * kRememberedLifetimes)};
   return {.request_id = request.request_id,
           .amount = amount,
           .lease = options_.token_lifetime};
@@ -101,7 +101,7 @@
 
 void TokenShare::RemoveExpired(MonotonicTime now) {
   std::erase_if(grants_, [now](const auto& entry) {
-    return entry.second.forget_at <= now;
+    return entry.second.remove_at <= now;
   });
   std::erase_if(borrowed_, [now](const auto& loan) {
     return loan.second.valid_until <= now;
--- a/lib/libmedlarcroft/source/peer_updates/region_broadcaster.cc
+++ b/lib/libmedlarcroft/source/peer_updates/region_broadcaster.cc
@@ -33,7 +33,7 @@
 }
 
 void RegionBroadcaster::SetPeers(std::vector<Peer> peers) {
-  std::unordered_map<std::uint32_t, PeerStatus> sources;
+  std::unordered_map<std::uint32_t, PeerStatus> statuses;
   peers_ = std::move(peers);
   peer_addresses_.clear();
   domain_addresses_.clear();
@@ -42,10 +42,10 @@
     const Peer& peer = peers_[index];
     const std::uint32_t hash = membership::HashOf(peer.host);
     const auto known = peer_statuses_.find(hash);
-    PeerStatus source =
+    PeerStatus status =
         known == peer_statuses_.end() ? PeerStatus{} : known->second;
-    source.peer = index;
-    sources.emplace(hash, source);
+    status.peer = index;
+    statuses.emplace(hash, status);
     peer_addresses_.push_back(peer.address);
     if (peer.failure_domain == options_.failure_domain) {
       domain_addresses_.push_back(peer.address);
@@ -54,7 +54,7 @@
       other_domains_.push_back(peer.failure_domain);
     }
   }
-  peer_statuses_ = std::move(sources);
+  peer_statuses_ = std::move(statuses);
 }
 
 bool RegionBroadcaster::UsesRelays() const {
--- a/tests/unit/node/routing_table_listeners_test.cc
+++ b/tests/unit/node/routing_table_listeners_test.cc
@@ -86,7 +86,7 @@
 // targets are still alive and must stay usable; a target that does not register
 // again within about two seconds is dropped.
 TEST_F(TargetTableListenerTest,
-       LapsedTargetsStayUsableUntilTheyHadTimeToReregister) {
+       ExpiredTargetsStayUsableUntilTheyHadTimeToReregister) {
   listener_.OnTable(std::vector{Registered("a"), Registered("b")});
   listener_.OnCallFailed({.failure = replication::RowFailure::kUnreachable});
   clock_.Advance(seconds(9));
